--- a/crates/base/src/header.rs
+++ b/crates/base/src/header.rs
@@ -25,7 +25,7 @@
 /// On an upstream's answer: the refusal came before any work.
 pub const SHED: &str = "rwr-shed";
 /// The one life of an upstream that may run the request, `id:incarnation`.
-pub const ONLY: &str = "rwr-only";
+pub const EXPECTED_INSTANCE: &str = "rwr-only";
 /// On an upstream's answer: the life that answers, `id:incarnation`.
 pub const INSTANCE: &str = "rwr-instance";
 /// On an upstream's health page: milliseconds for which it is cold yet.
--- a/crates/entry/src/dialect.rs
+++ b/crates/entry/src/dialect.rs
@@ -39,7 +39,7 @@
             request: HeaderName::from_static(header::REQUEST_ID),
             caller: Some(HeaderName::from_static(header::CALLER)),
             deadline: HeaderName::from_static(header::DEADLINE),
-            expected: HeaderName::from_static(header::ONLY),
+            expected: HeaderName::from_static(header::EXPECTED_INSTANCE),
             instance: HeaderName::from_static(header::INSTANCE),
             cold: HeaderName::from_static(header::COLD),
             load: HeaderName::from_static(header::LOAD),
--- a/crates/standin/src/handler.rs
+++ b/crates/standin/src/handler.rs
@@ -186,7 +186,7 @@
 impl Upstream {
     /// Whether the request is for this life of the instance, or for any.
     fn is_meant(&self, req: &Request) -> bool {
-        let only = text(req, header::ONLY);
+        let only = text(req, header::EXPECTED_INSTANCE);
         only.is_empty() || only == self.0.life
     }
 
--- a/crates/standin/tests/test_faults.rs
+++ b/crates/standin/tests/test_faults.rs
@@ -260,7 +260,7 @@
     let send = async |only: Option<&str>| {
         let mut request = Client::new().get(url(&upstream, "/blocks/7"));
         if let Some(only) = only {
-            request = request.header(header::ONLY, only);
+            request = request.header(header::EXPECTED_INSTANCE, only);
         }
         request.send().await.unwrap()
     };
