--- a/crates/base/src/name.rs
+++ b/crates/base/src/name.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 /// Longest name in bytes.
-pub const MAX_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 
 quick_error! {
     /// Why a text is no name.
@@ -19,9 +19,9 @@
         Empty {
             display("a name has at least one character")
         }
-        /// It is longer than [`MAX_NAME`].
+        /// It is longer than [`MAX_NAME_BYTES`].
         Long(bytes: usize) {
-            display("a name has at most {MAX_NAME} bytes, not {bytes}")
+            display("a name has at most {MAX_NAME_BYTES} bytes, not {bytes}")
         }
         /// A character that no name may have.
         Character(found: char) {
@@ -39,7 +39,7 @@
     if text.is_empty() {
         return Err(NameError::Empty);
     }
-    if text.len() > MAX_NAME {
+    if text.len() > MAX_NAME_BYTES {
         return Err(NameError::Long(text.len()));
     }
     let bad = text
--- a/crates/catalogue/src/entry.rs
+++ b/crates/catalogue/src/entry.rs
@@ -165,7 +165,9 @@
 /// Whether `text` can name an owner, in the wire form and in a catalogue file.
 pub(crate) fn is_owner(text: &str) -> bool {
     let allowed = |c: char| c.is_alphanumeric() || OWNER_MARKS.contains(c);
-    (1..=name::MAX_NAME).contains(&text.len()) && text.trim() == text && text.chars().all(allowed)
+    (1..=name::MAX_NAME_BYTES).contains(&text.len())
+        && text.trim() == text
+        && text.chars().all(allowed)
 }
 
 fn range_faults(limits: &wire::catalogue::Limits) -> Vec<(Field, Problem)> {
