--- a/crates/base/src/class.rs
+++ b/crates/base/src/class.rs
@@ -1,4 +1,4 @@
-//! The class of a service, which decides queueing, retries and overload.
+//! Service classes, which determine queueing, retries and overload handling.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,7 +7,7 @@
 use strum::EnumString;
 use strum::IntoStaticStr;
 
-/// How requests of a service are treated under load and faults.
+/// How requests to a service are treated under load and on failure.
 #[derive(
     Clone,
     Copy,
@@ -26,18 +26,18 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum Class {
-    /// The caller waits; may be retried and hedged.
+    /// The caller is waiting: may be retried and hedged.
     Urgent,
-    /// Non-idempotent: runs at most once, never retried after a byte left.
+    /// Non-idempotent: runs at most once; never retried once any byte of the request has been sent.
     Once,
-    /// Idempotent change that must not be lost; retried, never hedged.
+    /// Idempotent write that must not be lost: may be retried, never hedged.
     Durable,
-    /// May wait, must arrive whole; first to yield under overload.
+    /// Delay-tolerant, but must be delivered in full; lowest priority under overload.
     Deferred,
 }
 
 impl Class {
-    /// Whether a second run does no harm.
+    /// Whether a request can safely run more than once.
     #[must_use]
     pub fn is_idempotent(self) -> bool {
         self != Self::Once
--- a/crates/base/src/header.rs
+++ b/crates/base/src/header.rs
@@ -1,34 +1,35 @@
-//! Header names of the callers' and upstreams' contracts.
+//! Names of the HTTP headers exchanged with callers and upstreams.
 
-/// The service that a request is for; required.
+/// Name of the requested service; required.
 pub const SERVICE: &str = "rwr-service";
-/// Milliseconds that are left for the answer; passed on with what remains.
+/// Time until the deadline in milliseconds; forwarded with the remaining time.
 pub const DEADLINE: &str = "rwr-deadline-ms";
-/// Who calls.
+/// Name of the caller.
 pub const CALLER: &str = "rwr-caller";
-/// Key of a non-idempotent request.
+/// Idempotency key of a non-idempotent request.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Names one request end to end; upstreams may echo it.
+/// End-to-end ID of a request; upstreams may echo it.
 pub const REQUEST_ID: &str = "rwr-request-id";
-/// Number of the attempt at an upstream, from 1.
+/// Number of the attempt, starting at 1.
 pub const ATTEMPT: &str = "rwr-attempt";
-/// Depth of nested calls, from 0 at the edge.
+/// Nesting depth of the call; 0 at the edge.
 pub const DEPTH: &str = "rwr-depth";
-/// On an answer: extra attempts were spent on it below, or it failed there, so no level above retries it.
+/// On a response: a lower level has already used extra attempts or failed, so no level above
+/// retries the request.
 ///
-/// An upstream that calls on passes it from the answers it got to its own answer.
+/// An upstream that makes nested calls copies this header from their responses to its own.
 pub const RETRIED: &str = "rwr-retried";
-/// On an answer that is not the upstream's own: `not-run` or `unknown`.
+/// On a response that was not produced by the upstream: `not-run` or `unknown`.
 pub const OUTCOME: &str = "rwr-outcome";
-/// Why the system refused or failed, a short fixed word.
+/// Fixed identifier of the reason for a refusal or failure.
 pub const REASON: &str = "rwr-reason";
-/// On an upstream's answer: the refusal came before any work.
+/// On an upstream's response: the upstream refused the request before doing any work.
 pub const SHED: &str = "rwr-shed";
-/// The one life of an upstream that may run the request, `id:incarnation`.
+/// The only instance and incarnation that may run the request, as `id:incarnation`.
 pub const EXPECTED_INSTANCE: &str = "rwr-only";
-/// On an upstream's answer: the life that answers, `id:incarnation`.
+/// On an upstream's response: the instance and incarnation that sent it, as `id:incarnation`.
 pub const INSTANCE: &str = "rwr-instance";
-/// On an upstream's health page: milliseconds for which it is cold yet.
+/// On an upstream's health check response: milliseconds for which the instance stays cold.
 pub const COLD: &str = "rwr-cold-ms";
-/// On an upstream's answer: requests in flight and slots, `in-flight/slots`.
+/// On an upstream's response: number of requests in flight and of slots, as `in-flight/slots`.
 pub const LOAD: &str = "rwr-load";
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,7 +1,7 @@
-//! Types that every crate shares: names, classes, outcomes, time and headers.
+//! Types shared by all crates: names, service classes, outcomes, time and headers.
 //!
-//! Nothing here does input or output. Each name is an immutable shared string
-//! behind a type of its own, so that a host can't be passed for a service.
+//! This crate performs no I/O. Each kind of name has its own type, so that, for
+//! example, a host name cannot be passed as a service name.
 
 pub mod class;
 pub mod header;
--- a/crates/base/src/name.rs
+++ b/crates/base/src/name.rs
@@ -1,4 +1,4 @@
-//! Names as shared immutable strings, one type for each kind of thing.
+//! Validated names as immutable shared strings, with a separate type for each kind.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -8,33 +8,34 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Longest name in bytes.
+/// Maximum length of a name in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
 quick_error! {
-    /// Why a text is no name.
+    /// Reason why a string is not a valid name.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum NameError {
-        /// It has no character.
+        /// The string is empty.
         Empty {
-            display("a name has at least one character")
+            display("name is empty")
         }
-        /// It is longer than [`MAX_NAME_BYTES`].
+        /// The string is longer than [`MAX_NAME_BYTES`].
         Long(bytes: usize) {
-            display("a name has at most {MAX_NAME_BYTES} bytes, not {bytes}")
+            display("name is {bytes} bytes long; the maximum is {MAX_NAME_BYTES}")
         }
-        /// A character that no name may have.
+        /// The string contains a character that is not allowed in names.
         Character(found: char) {
-            display("a name has letters, digits, '-', '_', '.' and ':', not {found:?}")
+            display("invalid character {found:?} in name; allowed are ASCII letters, digits, '-', '_', '.' and ':'")
         }
     }
 }
 
-/// Checks that `text` can be a name.
+/// Checks that `text` is a valid name.
 ///
 /// # Errors
 ///
-/// Fails on an empty or long text, or a character outside letters, digits and `-_.:`.
+/// Returns an error if `text` is empty, longer than [`MAX_NAME_BYTES`], or contains a character
+/// other than ASCII letters, digits and `-_.:`.
 pub fn check(text: &str) -> Result<(), NameError> {
     if text.is_empty() {
         return Err(NameError::Empty);
@@ -42,10 +43,10 @@
     if text.len() > MAX_NAME_BYTES {
         return Err(NameError::Long(text.len()));
     }
-    let bad = text
+    let invalid = text
         .chars()
         .find(|c| !c.is_ascii_alphanumeric() && !"-_.:".contains(*c));
-    bad.map_or(Ok(()), |c| Err(NameError::Character(c)))
+    invalid.map_or(Ok(()), |c| Err(NameError::Character(c)))
 }
 
 macro_rules! names {
@@ -55,17 +56,17 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Takes `text` after [`check`].
+            /// Creates a name from `text` if [`check`] accepts it.
             ///
             /// # Errors
             ///
-            /// Fails where [`check`] does.
+            /// Returns the error of [`check`].
             pub fn new(text: &str) -> Result<Self, NameError> {
                 check(text)?;
                 Ok(Self(text.into()))
             }
 
-            /// The text.
+            /// Returns the name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -87,19 +88,19 @@
 }
 
 names! {
-    /// A service of the catalogue.
+    /// A service in the catalogue.
     ServiceName,
-    /// One instance of an upstream, unique within its service.
+    /// An instance of an upstream; unique within its service.
     InstanceId,
     /// A machine that runs processes of the system.
     HostName,
     /// A failure domain.
     DomainName,
-    /// A region, which holds failure domains.
+    /// A region, which contains failure domains.
     RegionName,
-    /// Who calls.
+    /// A caller.
     CallerName,
-    /// A caller's idempotency key.
+    /// An idempotency key set by the caller.
     RequestKey,
     /// A catalogue change, chosen by the operator.
     ChangeId,
--- a/crates/base/src/outcome.rs
+++ b/crates/base/src/outcome.rs
@@ -1,15 +1,16 @@
-//! What the system says of a request whose answer is not the upstream's own.
+//! Outcomes reported for requests whose response was not produced by the upstream.
 
 use strum::Display;
 use strum::EnumString;
 use strum::IntoStaticStr;
 
-/// Carried in the header [`crate::header::OUTCOME`].
+/// Whether the request may have run; sent in the [`crate::header::OUTCOME`] header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Outcome {
-    /// Certain: no byte of the request left for an upstream, or the upstream refused before any work.
+    /// The request did not run: no byte of it was sent to an upstream, or the upstream refused it
+    /// before doing any work.
     NotRun,
-    /// It may have run, or may still run.
+    /// The request may have run or may still run.
     Unknown,
 }
--- a/crates/base/src/prelude.rs
+++ b/crates/base/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that nearly every module uses.
+//! Commonly used types.
 
 pub use crate::class::Class;
 pub use crate::name::CallerName;
--- a/crates/base/src/time.rs
+++ b/crates/base/src/time.rs
@@ -1,16 +1,16 @@
-//! Time as plain values for the state machines, read from the runtime's clock.
+//! Timestamps as plain values for the state machines, read from the runtime's clock.
 
 use std::ops::Add;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Nanoseconds since the process's [`Clock`] began; never goes back.
+/// Monotonic timestamp: nanoseconds since the origin of the process's [`Clock`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Moment(u64);
 
 impl Moment {
-    /// The origin.
+    /// The origin of the clock.
     pub const ZERO: Self = Self(0);
 
     /// The moment `nanos` nanoseconds after the origin.
@@ -31,39 +31,39 @@
         self.0
     }
 
-    /// Time since `earlier`, zero where that lies ahead.
+    /// Time elapsed since `earlier`, or zero if `earlier` is later than `self`.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment `span` before, at the earliest the origin.
+    /// The moment `duration` before `self`, saturating at the origin.
     #[must_use]
-    pub fn before(self, span: Duration) -> Self {
-        Self(self.0.saturating_sub(nanos(span)))
+    pub fn before(self, duration: Duration) -> Self {
+        Self(self.0.saturating_sub(saturating_nanos(duration)))
     }
 }
 
 impl Add<Duration> for Moment {
     type Output = Self;
 
-    fn add(self, span: Duration) -> Self {
-        Self(self.0.saturating_add(nanos(span)))
+    fn add(self, duration: Duration) -> Self {
+        Self(self.0.saturating_add(saturating_nanos(duration)))
     }
 }
 
-fn nanos(span: Duration) -> u64 {
-    u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)
+fn saturating_nanos(duration: Duration) -> u64 {
+    u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)
 }
 
-/// The runtime's clock, which tests pause and advance, as [`Moment`]s.
+/// Reads the runtime's clock as [`Moment`]s; tests can pause and advance it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
 }
 
 impl Clock {
-    /// A clock whose origin is now.
+    /// Creates a clock whose origin is the current time.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -71,13 +71,13 @@
         }
     }
 
-    /// The present moment.
+    /// The current moment.
     #[must_use]
     pub fn now(&self) -> Moment {
-        Moment(nanos(self.origin.elapsed()))
+        Moment(saturating_nanos(self.origin.elapsed()))
     }
 
-    /// The runtime's instant of `moment`, for its timers.
+    /// Converts `moment` to an [`Instant`] for the runtime's timers.
     #[must_use]
     pub fn instant(&self, moment: Moment) -> Instant {
         self.origin + Duration::from_nanos(moment.0)
