--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -31,7 +31,7 @@
 use wire::hub::Phase;
 
 use crate::counters::Counters;
-use crate::desk::Desk;
+use crate::desk::Balancer;
 use crate::dialect::Dialect;
 use crate::habit::Habit;
 use crate::placing::Places;
@@ -60,7 +60,7 @@
 #[derive(Debug, Default)]
 pub struct Known {
     instances: Instances,
-    desks: HashMap<ServiceName, Desk>,
+    desks: HashMap<ServiceName, Balancer>,
     splits: HashMap<Arc<str>, Split>,
     habits: HashMap<Arc<str>, Habit>,
     hosts: Vec<EntryHost>,
@@ -279,7 +279,7 @@
             let rows = known.instances.of(&service);
             let rows = rows.map(|listed| evacuate::shun(&known.evacuations, listed));
             let desk = known.desks.entry(service.clone());
-            let new = || Desk::new(domain.clone(), &shared, rand::random(), now);
+            let new = || Balancer::new(domain.clone(), &shared, rand::random(), now);
             desk.or_insert_with(new).update(now, rows);
         }
         self.set_warmups(known);
@@ -312,7 +312,7 @@
     pub fn desk<T>(
         &self,
         service: &ServiceName,
-        ask: impl FnOnce(&mut Desk, Moment) -> T,
+        ask: impl FnOnce(&mut Balancer, Moment) -> T,
     ) -> Option<T> {
         let now = self.clock.now();
         let mut known = self.known();
@@ -327,7 +327,10 @@
     }
 
     /// Asks every service's desk.
-    pub fn desks<T>(&self, mut ask: impl FnMut(&mut Desk, Moment) -> T) -> Vec<(ServiceName, T)> {
+    pub fn desks<T>(
+        &self,
+        mut ask: impl FnMut(&mut Balancer, Moment) -> T,
+    ) -> Vec<(ServiceName, T)> {
         let now = self.clock.now();
         let mut known = self.known();
         let desks = known.desks.iter_mut();
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -60,7 +60,7 @@
 
 /// The machines of one service.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Balancer {
     chooser: Fresh,
     budget: Budget,
     probes: Allowance,
@@ -120,7 +120,7 @@
     }
 }
 
-impl Desk {
+impl Balancer {
     /// A desk without instances.
     #[must_use]
     pub fn new(domain: DomainName, shared: &Shared, seed: u64, now: Moment) -> Self {
--- a/crates/entry/src/desk/cold.rs
+++ b/crates/entry/src/desk/cold.rs
@@ -8,10 +8,10 @@
 use route::COLD_WINDOW;
 use route::Pick;
 
-use super::Desk;
+use super::Balancer;
 use crate::processes::Processes;
 
-impl Desk {
+impl Balancer {
     /// Takes over what cold instances bear, and who shares it.
     pub fn set_warmup(&mut self, warmup: Option<Warmup>, processes: &Arc<Processes>) {
         self.warmup = warmup;
--- a/crates/entry/src/desk/dispatch.rs
+++ b/crates/entry/src/desk/dispatch.rs
@@ -14,8 +14,8 @@
 use wire::place::Outcome;
 use wire::place::Placed;
 
+use super::Balancer;
 use super::Chosen;
-use super::Desk;
 use crate::placing::micros;
 use crate::placing::report;
 use crate::placing::report_to_wire;
@@ -27,7 +27,7 @@
 /// time and bytes between failure domains and finds no better instance.
 const BUSY: f64 = 0.5;
 
-impl Desk {
+impl Balancer {
     /// Takes who decides for the service.
     pub fn set_dispatched(&mut self, now: Moment, dispatched: Dispatched) {
         self.tenure.set(now, dispatched);
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -29,7 +29,7 @@
 use crate::body::Returned;
 use crate::body::Spool;
 use crate::core::Core;
-use crate::desk::Desk;
+use crate::desk::Balancer;
 use crate::exchange;
 use crate::exchange::Answered;
 use crate::exchange::Call;
@@ -193,7 +193,7 @@
         self.sent = body.known_length().unwrap_or_default();
         self.spool = body.spool();
         self.content = body.content();
-        self.desk(Desk::request);
+        self.desk(Balancer::request);
         loop {
             let again = body.again();
             let end = self.attempt(body).await;
@@ -204,7 +204,7 @@
         }
     }
 
-    fn desk<T>(&self, ask: impl FnOnce(&mut Desk, Moment) -> T) -> Option<T> {
+    fn desk<T>(&self, ask: impl FnOnce(&mut Balancer, Moment) -> T) -> Option<T> {
         self.core.desk(&self.service, ask)
     }
 
@@ -325,7 +325,7 @@
         }
         let back = match reason {
             Reason::Quarantined => self.back,
-            Reason::Full => self.back.or_else(|| self.desk(Desk::back)),
+            Reason::Full => self.back.or_else(|| self.desk(Balancer::back)),
             _ => Some(BACK_UNKNOWN),
         };
         Outcome::Own(reason, back)
@@ -337,7 +337,7 @@
         if !allowed {
             return false;
         }
-        let paid = self.desk(Desk::pay).unwrap_or(false);
+        let paid = self.desk(Balancer::pay).unwrap_or(false);
         if !paid {
             self.core.counters.unpaid(&self.service);
         }
--- a/crates/entry/src/placing/server.rs
+++ b/crates/entry/src/placing/server.rs
@@ -28,7 +28,7 @@
 use super::convert::span_of;
 use super::word;
 use crate::core::Core;
-use crate::desk::Desk;
+use crate::desk::Balancer;
 use crate::search;
 use crate::search::Found;
 use crate::search::Want;
@@ -72,7 +72,7 @@
                 .desk(service, |desk, now| desk.grant(now, &chosen, now + left)),
             Found::Wait => Some(outcome(Outcome::Wait)),
             Found::Full(_) => {
-                let back = self.core.desk(service, Desk::back)?;
+                let back = self.core.desk(service, Balancer::back)?;
                 Some(Placed {
                     back_us: micros(back),
                     ..outcome(Outcome::Full)
--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -21,7 +21,7 @@
 use crate::body::Outgoing;
 use crate::body::Read;
 use crate::core::Core;
-use crate::desk::Desk;
+use crate::desk::Balancer;
 use crate::exchange;
 use crate::pool::Connection;
 use crate::view::Upstream;
@@ -43,8 +43,8 @@
 pub async fn bring_back(core: Arc<Core>) {
     loop {
         tokio::time::sleep(LOOK).await;
-        core.desks(Desk::pass_time);
-        for (service, due) in core.desks(Desk::ejected) {
+        core.desks(Balancer::pass_time);
+        for (service, due) in core.desks(Balancer::ejected) {
             if !due.is_empty() {
                 ask(&core, &service, due).await;
             }
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -14,8 +14,8 @@
 
 use base::prelude::*;
 use dispatch::Dispatched;
+use entry::desk::Balancer;
 use entry::desk::Chosen;
-use entry::desk::Desk;
 use entry::desk::Verdict;
 use entry::pool::Pool;
 use entry::settings::Retry;
@@ -95,7 +95,7 @@
 struct Rig {
     case: Case,
     rng: SmallRng,
-    desks: Vec<Desk>,
+    desks: Vec<Balancer>,
     fakes: Vec<Fake>,
     upstreams: Vec<Arc<Upstream>>,
     jobs: Vec<Job>,
@@ -143,7 +143,7 @@
     };
     let desk = |n: usize| {
         let domain = DomainName::new("a").expect("a name");
-        let mut desk = Desk::new(domain, &shared, seed * 100 + n as u64, at(0));
+        let mut desk = Balancer::new(domain, &shared, seed * 100 + n as u64, at(0));
         let listed = upstreams.iter().map(|upstream| Listed {
             phase: Phase::Ready,
             silent: false,
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -6,7 +6,7 @@
 
 use base::prelude::*;
 use dispatch::Warmup;
-use entry::desk::Desk;
+use entry::desk::Balancer;
 use entry::desk::Verdict;
 use entry::pool::Pool;
 use entry::processes::Processes;
@@ -71,14 +71,14 @@
     })
 }
 
-fn desk(now: Moment, cold: Duration) -> Desk {
+fn desk(now: Moment, cold: Duration) -> Balancer {
     let shared = Shared {
         retry: Retry::default(),
         probes: 42,
         entries: PROCESSES,
     };
     let domain = DomainName::new("a").expect("a name");
-    let mut desk = Desk::new(domain, &shared, 1, now);
+    let mut desk = Balancer::new(domain, &shared, 1, now);
     let upstream = upstream(cold);
     let listed = Listed {
         phase: Phase::Ready,
@@ -98,7 +98,7 @@
 };
 
 /// Sends one request if the desk lets it, as if it were told that there is room.
-fn send(desk: &mut Desk, now: Moment) -> bool {
+fn send(desk: &mut Balancer, now: Moment) -> bool {
     for (pick, _) in desk.plan(now, &NEED, &[], 0) {
         desk.probed(now, pick, Some(IDLE));
     }
@@ -131,7 +131,7 @@
         desk.set_warmup(Some(WARMUP), &processes(own, first..PROCESSES, mark));
         desk
     };
-    let mut desks: Vec<Desk> = (0..PROCESSES).map(|own| new(own, 0, 1, 0)).collect();
+    let mut desks: Vec<Balancer> = (0..PROCESSES).map(|own| new(own, 0, 1, 0)).collect();
     let mut due: Vec<u64> = vec![u64::MAX; desks.len()];
     let mut starts = Vec::new();
     for now in (0..10 * SECOND).step_by(20) {
--- a/crates/entry/tests/test_desk.rs
+++ b/crates/entry/tests/test_desk.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use entry::desk::Desk;
+use entry::desk::Balancer;
 use entry::settings::Retry;
 use entry::settings::Shared;
 use quickcheck::quickcheck;
@@ -29,9 +29,9 @@
     }
 }
 
-fn desk(now: Moment) -> Desk {
+fn desk(now: Moment) -> Balancer {
     let domain = DomainName::new("a").expect("a name");
-    Desk::new(domain, &shared(), 1, now)
+    Balancer::new(domain, &shared(), 1, now)
 }
 
 /// Requests and retries in each step.
@@ -45,7 +45,7 @@
 fn play(seed: u64) -> Day {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut now = Moment::from_millis(1_000);
-    let mut desks: Vec<Desk> = (0..PROCESSES).map(|_| desk(now)).collect();
+    let mut desks: Vec<Balancer> = (0..PROCESSES).map(|_| desk(now)).collect();
     let mut shares = [1.0_f64; PROCESSES];
     let (mut volume, mut failing) = (30.0, 0.5);
     let mut day = Day {
--- a/crates/entry/tests/test_placing.rs
+++ b/crates/entry/tests/test_placing.rs
@@ -11,7 +11,7 @@
 use entry::Dialect;
 use entry::Entry;
 use entry::Settings;
-use entry::desk::Desk;
+use entry::desk::Balancer;
 use fakes::HUB;
 use fakes::ONCE;
 use fakes::READ;
@@ -73,7 +73,7 @@
     }]);
 }
 
-fn desk<T>(entry: &Entry, ask: impl FnOnce(&mut Desk, Moment) -> T) -> T {
+fn desk<T>(entry: &Entry, ask: impl FnOnce(&mut Balancer, Moment) -> T) -> T {
     entry.core().desk(&service(), ask).expect("a desk")
 }
 
