--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -60,7 +60,7 @@
 #[derive(Debug, Default)]
 pub struct Known {
     instances: Instances,
-    desks: HashMap<ServiceName, Balancer>,
+    balancers: HashMap<ServiceName, Balancer>,
     splits: HashMap<Arc<str>, Split>,
     habits: HashMap<Arc<str>, Habit>,
     hosts: Vec<EntryHost>,
@@ -278,7 +278,7 @@
         for service in changed {
             let rows = known.instances.of(&service);
             let rows = rows.map(|listed| evacuate::shun(&known.evacuations, listed));
-            let desk = known.desks.entry(service.clone());
+            let desk = known.balancers.entry(service.clone());
             let new = || Balancer::new(domain.clone(), &shared, rand::random(), now);
             desk.or_insert_with(new).update(now, rows);
         }
@@ -303,7 +303,7 @@
         let shared = self.settings().shared(entries);
         let mut known = self.known();
         known.entries = entries;
-        for desk in known.desks.values_mut() {
+        for desk in known.balancers.values_mut() {
             desk.set_shared(&shared, now);
         }
     }
@@ -316,7 +316,7 @@
     ) -> Option<T> {
         let now = self.clock.now();
         let mut known = self.known();
-        known.desks.get_mut(service).map(|desk| ask(desk, now))
+        known.balancers.get_mut(service).map(|desk| ask(desk, now))
     }
 
     /// Reads or changes what is usual for a route.
@@ -327,14 +327,14 @@
     }
 
     /// Asks every service's desk.
-    pub fn desks<T>(
+    pub fn balancers<T>(
         &self,
         mut ask: impl FnMut(&mut Balancer, Moment) -> T,
     ) -> Vec<(ServiceName, T)> {
         let now = self.clock.now();
         let mut known = self.known();
-        let desks = known.desks.iter_mut();
-        desks
+        let balancers = known.balancers.iter_mut();
+        balancers
             .map(|(name, desk)| (name.clone(), ask(desk, now)))
             .collect()
     }
--- a/crates/entry/src/core/evacuate.rs
+++ b/crates/entry/src/core/evacuate.rs
@@ -32,7 +32,7 @@
             "revision" => told.revision, "hub" => %hub);
         self.counters.evacuated(evacuated.len());
         known.evacuations = next;
-        let services = known.desks.keys().cloned().collect();
+        let services = known.balancers.keys().cloned().collect();
         self.update_desks(&mut known, services);
     }
 
--- a/crates/entry/src/core/share.rs
+++ b/crates/entry/src/core/share.rs
@@ -14,7 +14,7 @@
     pub(super) fn set_warmups(&self, known: &mut Known) {
         let routes = self.routes();
         let bound = self.settings().cold;
-        for (service, desk) in &mut known.desks {
+        for (service, desk) in &mut known.balancers {
             let services = &routes.table.services;
             let cold = services.iter().find(|s| s.name == *service);
             let warmup = cold.and_then(|s| s.cold).map(|cold| Warmup {
@@ -43,7 +43,7 @@
     let places: Vec<&str> = known.hosts.iter().map(|host| &*host.place).collect();
     let own = settings.place.map(|own| own.to_string());
     known.dispatchers.clear();
-    for (service, desk) in &mut known.desks {
+    for (service, desk) in &mut known.balancers {
         let few = desk.len() <= settings.dispatched;
         let named = places.iter().copied().filter(|place| !place.is_empty());
         let named = dispatch::dispatcher(service, named).filter(|_| few && own.is_some());
--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -43,8 +43,8 @@
 pub async fn bring_back(core: Arc<Core>) {
     loop {
         tokio::time::sleep(LOOK).await;
-        core.desks(Balancer::pass_time);
-        for (service, due) in core.desks(Balancer::ejected) {
+        core.balancers(Balancer::pass_time);
+        for (service, due) in core.balancers(Balancer::ejected) {
             if !due.is_empty() {
                 ask(&core, &service, due).await;
             }
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -95,7 +95,7 @@
 struct Rig {
     case: Case,
     rng: SmallRng,
-    desks: Vec<Balancer>,
+    balancers: Vec<Balancer>,
     fakes: Vec<Fake>,
     upstreams: Vec<Arc<Upstream>>,
     jobs: Vec<Job>,
@@ -156,7 +156,7 @@
         desk
     };
     let mut rig = Rig {
-        desks: (0..processes).map(desk).collect(),
+        balancers: (0..processes).map(desk).collect(),
         fakes: (0..case.instances as u64)
             .map(|n| Fake {
                 busy: 0,
@@ -183,7 +183,7 @@
         let end = self.case.seconds * 1_000_000;
         let mut next = 0.0;
         while next < end as f64 {
-            let process = self.rng.random_range(0..self.desks.len());
+            let process = self.rng.random_range(0..self.balancers.len());
             // Work times spread as the sum of some even ones does.
             let spread: f64 = (0..4).map(|_| self.rng.random::<f64>()).sum::<f64>() - 2.0;
             self.jobs.push(Job {
@@ -263,7 +263,7 @@
         }
         let (process, need, now) = (self.jobs[job].process, self.need(job), at(self.now));
         for round in 0.. {
-            let asked = self.desks[process].plan(now, &need, &[], round);
+            let asked = self.balancers[process].plan(now, &need, &[], round);
             if asked.is_empty() {
                 break;
             }
@@ -272,11 +272,11 @@
                 let instance = self.index(&upstream);
                 self.connect(process, instance);
                 let report = self.report(instance);
-                self.desks[process].probed(now, pick, Some(report));
+                self.balancers[process].probed(now, pick, Some(report));
             }
         }
         let patience = self.patience(job);
-        match self.desks[process].choose(now, &need, &[]) {
+        match self.balancers[process].choose(now, &need, &[]) {
             Verdict::Send(chosen) => self.send(job, &chosen),
             Verdict::Slow(chosen) if patience == 0 => self.send(job, &chosen),
             Verdict::Slow(_) | Verdict::Wait if patience > 0 => self.wait(job, patience.min(LOOK)),
@@ -290,13 +290,13 @@
     fn wait(&mut self, job: usize, span: u64) {
         let until = self.now + span;
         let process = self.jobs[job].process;
-        self.jobs[job].told = Some(self.desks[process].wait(0, at(until)));
+        self.jobs[job].told = Some(self.balancers[process].wait(0, at(until)));
         self.events.push(Reverse((until, Event::Look(job))));
     }
 
     fn send(&mut self, job: usize, chosen: &Chosen) {
         let process = self.jobs[job].process;
-        let ticket = self.desks[process].started(at(self.now), chosen.choice.pick);
+        let ticket = self.balancers[process].started(at(self.now), chosen.choice.pick);
         let instance = self.index(&chosen.upstream);
         self.connect(process, instance);
         self.jobs[job].ticket = Some(ticket);
@@ -335,7 +335,7 @@
         self.jobs[job].settled = true;
         let ticket = self.jobs[job].ticket.take().expect("it was sent");
         let report = self.report(instance);
-        self.desks[process].finished(at(self.now), ticket, Kind::Ok, Some(report));
+        self.balancers[process].finished(at(self.now), ticket, Kind::Ok, Some(report));
         self.begin(instance);
         self.hand_on();
     }
@@ -350,7 +350,7 @@
             let Some(Ok(pick)) = told else { continue };
             self.jobs[job].told = None;
             let (process, need) = (self.jobs[job].process, self.need(job));
-            let verdict = self.desks[process].choose_this(at(self.now), &need, pick);
+            let verdict = self.balancers[process].choose_this(at(self.now), &need, pick);
             match verdict {
                 Verdict::Send(chosen) if !self.jobs[job].settled => self.send(job, &chosen),
                 _ => {}
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -131,8 +131,8 @@
         desk.set_warmup(Some(WARMUP), &processes(own, first..PROCESSES, mark));
         desk
     };
-    let mut desks: Vec<Balancer> = (0..PROCESSES).map(|own| new(own, 0, 1, 0)).collect();
-    let mut due: Vec<u64> = vec![u64::MAX; desks.len()];
+    let mut balancers: Vec<Balancer> = (0..PROCESSES).map(|own| new(own, 0, 1, 0)).collect();
+    let mut due: Vec<u64> = vec![u64::MAX; balancers.len()];
     let mut starts = Vec::new();
     for now in (0..10 * SECOND).step_by(20) {
         if now % (3 * SECOND) == 0 && now > 0 {
@@ -146,13 +146,13 @@
             let index = usize::try_from(own).expect("small");
             if due[index] <= now {
                 due[index] = u64::MAX;
-                desks[index].set_warmup(Some(WARMUP), &processes(own, first..PROCESSES, now));
+                balancers[index].set_warmup(Some(WARMUP), &processes(own, first..PROCESSES, now));
             }
             if rng.random_bool(0.001) {
-                desks[index] = new(own, first, now, now);
+                balancers[index] = new(own, first, now, now);
                 due[index] = u64::MAX;
             }
-            if send(&mut desks[index], at(now)) {
+            if send(&mut balancers[index], at(now)) {
                 starts.push(now);
             }
         }
--- a/crates/entry/tests/test_desk.rs
+++ b/crates/entry/tests/test_desk.rs
@@ -45,7 +45,7 @@
 fn play(seed: u64) -> Day {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut now = Moment::from_millis(1_000);
-    let mut desks: Vec<Balancer> = (0..PROCESSES).map(|_| desk(now)).collect();
+    let mut balancers: Vec<Balancer> = (0..PROCESSES).map(|_| desk(now)).collect();
     let mut shares = [1.0_f64; PROCESSES];
     let (mut volume, mut failing) = (30.0, 0.5);
     let mut day = Day {
@@ -60,10 +60,10 @@
             shares = std::array::from_fn(|_| rng.random::<f64>().powi(4));
         }
         if rng.random_bool(0.004) {
-            desks = (0..PROCESSES).map(|_| desk(now)).collect();
+            balancers = (0..PROCESSES).map(|_| desk(now)).collect();
         }
         let total: f64 = shares.iter().sum();
-        for (desk, share) in desks.iter_mut().zip(shares) {
+        for (desk, share) in balancers.iter_mut().zip(shares) {
             let mean = volume * share / total;
             let extra = u32::from(rng.random_bool(mean.fract()));
             #[expect(
