--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -247,7 +247,7 @@
                 changed.insert(service);
             }
         }
-        self.update_desks(&mut known, changed);
+        self.update_balancers(&mut known, changed);
         let stocked = !known.instances.is_empty();
         drop(known);
         self.stocked
@@ -265,12 +265,12 @@
     pub fn keep_hearers(&self, hubs: &BTreeSet<SocketAddr>) {
         let mut known = self.known();
         let changed = known.instances.keep_hearers(hubs);
-        self.update_desks(&mut known, changed.into_iter().collect());
+        self.update_balancers(&mut known, changed.into_iter().collect());
     }
 
     /// Hands each service's desk its instances, once for all that was told together: a
     /// process that starts is told of hundreds, and each time costs as many steps.
-    fn update_desks(&self, known: &mut Known, changed: BTreeSet<ServiceName>) {
+    fn update_balancers(&self, known: &mut Known, changed: BTreeSet<ServiceName>) {
         let now = self.clock.now();
         let settings = self.settings();
         let shared = settings.shared(known.entries);
--- a/crates/entry/src/core/evacuate.rs
+++ b/crates/entry/src/core/evacuate.rs
@@ -33,7 +33,7 @@
         self.counters.evacuated(evacuated.len());
         known.evacuations = next;
         let services = known.balancers.keys().cloned().collect();
-        self.update_desks(&mut known, services);
+        self.update_balancers(&mut known, services);
     }
 
     /// The revision of the evacuations that are held.
