--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -30,8 +30,8 @@
 use wire::hub::Instance;
 use wire::hub::Phase;
 
+use crate::balancer::Balancer;
 use crate::counters::Counters;
-use crate::desk::Balancer;
 use crate::dialect::Dialect;
 use crate::habit::Habit;
 use crate::placing::Places;
@@ -278,9 +278,9 @@
         for service in changed {
             let rows = known.instances.of(&service);
             let rows = rows.map(|listed| evacuate::shun(&known.evacuations, listed));
-            let desk = known.balancers.entry(service.clone());
+            let balancer = known.balancers.entry(service.clone());
             let new = || Balancer::new(domain.clone(), &shared, rand::random(), now);
-            desk.or_insert_with(new).update(now, rows);
+            balancer.or_insert_with(new).update(now, rows);
         }
         self.set_warmups(known);
         share::name_dispatchers(&settings, known, now);
@@ -303,20 +303,23 @@
         let shared = self.settings().shared(entries);
         let mut known = self.known();
         known.entries = entries;
-        for desk in known.balancers.values_mut() {
-            desk.set_shared(&shared, now);
+        for balancer in known.balancers.values_mut() {
+            balancer.set_shared(&shared, now);
         }
     }
 
     /// Asks the desk of a service; none while it has no instance.
-    pub fn desk<T>(
+    pub fn balancer<T>(
         &self,
         service: &ServiceName,
         ask: impl FnOnce(&mut Balancer, Moment) -> T,
     ) -> Option<T> {
         let now = self.clock.now();
         let mut known = self.known();
-        known.balancers.get_mut(service).map(|desk| ask(desk, now))
+        known
+            .balancers
+            .get_mut(service)
+            .map(|balancer| ask(balancer, now))
     }
 
     /// Reads or changes what is usual for a route.
@@ -335,7 +338,7 @@
         let mut known = self.known();
         let balancers = known.balancers.iter_mut();
         balancers
-            .map(|(name, desk)| (name.clone(), ask(desk, now)))
+            .map(|(name, balancer)| (name.clone(), ask(balancer, now)))
             .collect()
     }
 
--- a/crates/entry/src/core/share.rs
+++ b/crates/entry/src/core/share.rs
@@ -14,7 +14,7 @@
     pub(super) fn set_warmups(&self, known: &mut Known) {
         let routes = self.routes();
         let bound = self.settings().cold;
-        for (service, desk) in &mut known.balancers {
+        for (service, balancer) in &mut known.balancers {
             let services = &routes.table.services;
             let cold = services.iter().find(|s| s.name == *service);
             let warmup = cold.and_then(|s| s.cold).map(|cold| Warmup {
@@ -22,7 +22,7 @@
                 overshoot: bound.overshoot,
                 slack: bound.slack,
             });
-            desk.set_warmup(warmup, &known.processes);
+            balancer.set_warmup(warmup, &known.processes);
         }
     }
 
@@ -43,13 +43,13 @@
     let places: Vec<&str> = known.hosts.iter().map(|host| &*host.place).collect();
     let own = settings.place.map(|own| own.to_string());
     known.dispatchers.clear();
-    for (service, desk) in &mut known.balancers {
-        let few = desk.len() <= settings.dispatched;
+    for (service, balancer) in &mut known.balancers {
+        let few = balancer.len() <= settings.dispatched;
         let named = places.iter().copied().filter(|place| !place.is_empty());
         let named = dispatch::dispatcher(service, named).filter(|_| few && own.is_some());
         let here = named.is_some() && named == own.as_deref();
         let elsewhere = named.filter(|_| !here).and_then(|named| named.parse().ok());
-        desk.set_dispatched(
+        balancer.set_dispatched(
             now,
             match (here, elsewhere) {
                 (true, _) => Dispatched::Here,
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -119,8 +119,8 @@
         if let Some(grant) = self.grant.take() {
             grant.end(kind, report);
         }
-        self.core.desk(&self.service, |desk, now| {
-            desk.finished(now, ticket, kind, report);
+        self.core.balancer(&self.service, |balancer, now| {
+            balancer.finished(now, ticket, kind, report);
         });
     }
 }
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -23,13 +23,13 @@
 use table::Target;
 use tokio::time::Instant;
 
+use crate::balancer::Balancer;
 use crate::body;
 use crate::body::Content;
 use crate::body::Outgoing;
 use crate::body::Returned;
 use crate::body::Spool;
 use crate::core::Core;
-use crate::desk::Balancer;
 use crate::exchange;
 use crate::exchange::Answered;
 use crate::exchange::Call;
@@ -193,7 +193,7 @@
         self.sent = body.known_length().unwrap_or_default();
         self.spool = body.spool();
         self.content = body.content();
-        self.desk(Balancer::request);
+        self.balancer(Balancer::request);
         loop {
             let again = body.again();
             let end = self.attempt(body).await;
@@ -204,8 +204,8 @@
         }
     }
 
-    fn desk<T>(&self, ask: impl FnOnce(&mut Balancer, Moment) -> T) -> Option<T> {
-        self.core.desk(&self.service, ask)
+    fn balancer<T>(&self, ask: impl FnOnce(&mut Balancer, Moment) -> T) -> Option<T> {
+        self.core.balancer(&self.service, ask)
     }
 
     /// One attempt.
@@ -228,7 +228,7 @@
             }),
             "cost" => format!("{:.3}", chosen.choice.cost),
             "left_ms" => millis(left));
-        let ticket = self.desk(|desk, now| desk.started(now, pick));
+        let ticket = self.balancer(|balancer, now| balancer.started(now, pick));
         let held = Held {
             ticket: ticket.ok_or(Reason::NoInstance)?,
             grant: chosen.grant,
@@ -252,7 +252,7 @@
         self.note(&end, sent.elapsed());
         self.learn(&end, upstream, sent).await;
         if matches!(end, End::Elsewhere) {
-            self.desk(|desk, _| desk.displaced(pick));
+            self.balancer(|balancer, _| balancer.displaced(pick));
         }
         if let End::Answer(parts, Answered::Whole(bytes)) = &end
             && parts.status.is_success()
@@ -325,7 +325,7 @@
         }
         let back = match reason {
             Reason::Quarantined => self.back,
-            Reason::Full => self.back.or_else(|| self.desk(Balancer::back)),
+            Reason::Full => self.back.or_else(|| self.balancer(Balancer::back)),
             _ => Some(BACK_UNKNOWN),
         };
         Outcome::Own(reason, back)
@@ -337,7 +337,7 @@
         if !allowed {
             return false;
         }
-        let paid = self.desk(Balancer::pay).unwrap_or(false);
+        let paid = self.balancer(Balancer::pay).unwrap_or(false);
         if !paid {
             self.core.counters.unpaid(&self.service);
         }
--- a/crates/entry/src/flow/choice.rs
+++ b/crates/entry/src/flow/choice.rs
@@ -7,8 +7,8 @@
 use tokio::time::Instant;
 
 use super::Flow;
+use crate::balancer::Chosen;
 use crate::body::Outgoing;
-use crate::desk::Chosen;
 use crate::placing;
 use crate::refusal::Reason;
 use crate::search;
@@ -33,7 +33,9 @@
         // While the service has little to do, the dispatcher is asked only where this
         // process finds nothing good at once: each question costs processor time and bytes
         // between failure domains.
-        let mut ask = self.desk(|desk, _| desk.is_busy()).unwrap_or(false);
+        let mut ask = self
+            .balancer(|balancer, _| balancer.is_busy())
+            .unwrap_or(false);
         loop {
             let want = self.want();
             match self.look(&want, ask).await {
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -10,11 +10,11 @@
 //! on: it has to see when a caller leaves, which bytes of a request have left,
 //! and whether an answer was whole.
 
+pub mod balancer;
 pub mod body;
 pub mod core;
 pub mod counters;
 pub mod crash;
-pub mod desk;
 pub mod dialect;
 pub mod entry;
 pub mod exchange;
--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/placing.rs
@@ -101,7 +101,7 @@
         patience_us: micros(want.patience),
         left_us: micros(want.left),
         exclude: core
-            .desk(service, |desk, _| desk.ids(&want.exclude))
+            .balancer(service, |balancer, _| balancer.ids(&want.exclude))
             .unwrap_or_default(),
     };
     let began = core.clock.now();
@@ -113,7 +113,8 @@
     match placed.outcome() {
         Outcome::Granted => {
             let grant = Grant::new(&place, service, placed.grant);
-            let chosen = core.desk(service, |desk, now| desk.granted(now, &placed))??;
+            let chosen =
+                core.balancer(service, |balancer, now| balancer.granted(now, &placed))??;
             Some(Found::Chosen(chosen.with(grant)))
         }
         Outcome::Wait => Some(Found::Wait),
--- a/crates/entry/src/placing/server.rs
+++ b/crates/entry/src/placing/server.rs
@@ -27,8 +27,8 @@
 use super::convert::report;
 use super::convert::span_of;
 use super::word;
+use crate::balancer::Balancer;
 use crate::core::Core;
-use crate::desk::Balancer;
 use crate::search;
 use crate::search::Found;
 use crate::search::Want;
@@ -52,10 +52,10 @@
 
     fn want(&self, service: &ServiceName, ask: &Ask) -> Option<Want> {
         let domain = DomainName::new(&ask.domain).ok()?;
-        self.core.desk(service, |desk, _| Want {
-            need: desk.need(ask, &domain),
+        self.core.balancer(service, |balancer, _| Want {
+            need: balancer.need(ask, &domain),
             rank: ask.priority,
-            exclude: desk.picks(&ask.exclude),
+            exclude: balancer.picks(&ask.exclude),
             patience: span_of(ask.patience_us),
             left: span_of(ask.left_us),
         })
@@ -67,12 +67,12 @@
         let found = search::search(&self.core, service, &want, HOLD).await;
         let left = want.left.saturating_sub(began.elapsed());
         match found {
-            Found::Chosen(chosen) => self
-                .core
-                .desk(service, |desk, now| desk.grant(now, &chosen, now + left)),
+            Found::Chosen(chosen) => self.core.balancer(service, |balancer, now| {
+                balancer.grant(now, &chosen, now + left)
+            }),
             Found::Wait => Some(outcome(Outcome::Wait)),
             Found::Full(_) => {
-                let back = self.core.desk(service, Balancer::back)?;
+                let back = self.core.balancer(service, Balancer::back)?;
                 Some(Placed {
                     back_us: micros(back),
                     ..outcome(Outcome::Full)
@@ -121,8 +121,9 @@
         };
         let told = end.report.as_ref().map(report);
         let kind = kind(end.kind());
-        self.core
-            .desk(&service, |desk, now| desk.ended(now, end.grant, kind, told));
+        self.core.balancer(&service, |balancer, now| {
+            balancer.ended(now, end.grant, kind, told)
+        });
     }
 }
 
--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -17,11 +17,11 @@
 use slog::info;
 use tokio::sync::mpsc;
 
+use crate::balancer::Balancer;
 use crate::body;
 use crate::body::Outgoing;
 use crate::body::Read;
 use crate::core::Core;
-use crate::desk::Balancer;
 use crate::exchange;
 use crate::pool::Connection;
 use crate::view::Upstream;
@@ -66,20 +66,22 @@
             let report = match probe.await {
                 Ok(Found::Load(report, cold)) => {
                     if let Some(left) = cold {
-                        core.desk(&service, |desk, now| desk.told_cold(now, pick, left));
+                        core.balancer(&service, |balancer, now| {
+                            balancer.told_cold(now, pick, left)
+                        });
                     }
                     Some(report)
                 }
                 Ok(Found::Another) => {
                     info!(core.log, "address taken over"; "instance" => %upstream.id,
                         "service" => %service, "address" => %upstream.address);
-                    core.desk(&service, |desk, _| desk.displaced(pick));
+                    core.balancer(&service, |balancer, _| balancer.displaced(pick));
                     None
                 }
                 Ok(Found::Nothing) | Err(_) => None,
             };
             core.counters.probe(&service, report.is_some());
-            core.desk(&service, |desk, now| desk.probed(now, pick, report));
+            core.balancer(&service, |balancer, now| balancer.probed(now, pick, report));
             // A choice that no longer waits has let go of its end.
             let _ = done.try_send(());
         });
--- a/crates/entry/src/search.rs
+++ b/crates/entry/src/search.rs
@@ -8,9 +8,9 @@
 use route::Pick;
 use tokio::time::Instant;
 
+use crate::balancer::Chosen;
+use crate::balancer::Verdict;
 use crate::core::Core;
-use crate::desk::Chosen;
-use crate::desk::Verdict;
 use crate::probe;
 
 /// What an attempt wants.
@@ -45,8 +45,8 @@
 pub async fn search(core: &Arc<Core>, service: &ServiceName, want: &Want, span: Duration) -> Found {
     let began = Instant::now();
     for round in 0.. {
-        let plan = core.desk(service, |desk, now| {
-            desk.plan(now, &want.need, &want.exclude, round)
+        let plan = core.balancer(service, |balancer, now| {
+            balancer.plan(now, &want.need, &want.exclude, round)
         });
         let asked = plan.unwrap_or_default();
         if asked.is_empty() {
@@ -54,8 +54,8 @@
         }
         probe::ask(core, service, asked).await;
     }
-    let verdict = core.desk(service, |desk, now| {
-        desk.choose(now, &want.need, &want.exclude)
+    let verdict = core.balancer(service, |balancer, now| {
+        balancer.choose(now, &want.need, &want.exclude)
     });
     let slow = match verdict {
         Some(Verdict::Send(chosen)) => return Found::Chosen(chosen),
@@ -88,12 +88,14 @@
     span: Duration,
 ) -> Option<Chosen> {
     let until = core.clock.now() + span;
-    let told = core.desk(service, |desk, _| desk.wait(want.rank, until))?;
+    let told = core.balancer(service, |balancer, _| balancer.wait(want.rank, until))?;
     let began = Instant::now();
     let told = tokio::time::timeout(span, told).await;
     core.counters.waited(service, began.elapsed());
     let pick = told.ok()?.ok()?;
-    match core.desk(service, |desk, now| desk.choose_this(now, &want.need, pick))? {
+    match core.balancer(service, |balancer, now| {
+        balancer.choose_this(now, &want.need, pick)
+    })? {
         Verdict::Send(chosen) => Some(chosen),
         // The machine is slow now: there is time to wait for another one.
         Verdict::Slow(_) | Verdict::Wait | Verdict::None => None,
--- a/crates/entry/src/tail.rs
+++ b/crates/entry/src/tail.rs
@@ -131,7 +131,7 @@
         let pick = asked.choice.pick;
         asked
             .core
-            .desk(service, |desk, now| desk.broke_off(now, pick));
+            .balancer(service, |balancer, now| balancer.broke_off(now, pick));
         let broken = Broken {
             subject: asked.subject.clone(),
             upstream: Arc::clone(&asked.upstream),
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -14,9 +14,9 @@
 
 use base::prelude::*;
 use dispatch::Dispatched;
-use entry::desk::Balancer;
-use entry::desk::Chosen;
-use entry::desk::Verdict;
+use entry::balancer::Balancer;
+use entry::balancer::Chosen;
+use entry::balancer::Verdict;
 use entry::pool::Pool;
 use entry::settings::Retry;
 use entry::settings::Shared;
@@ -141,22 +141,22 @@
         probes: 60,
         entries: u32::try_from(case.processes).expect("few"),
     };
-    let desk = |n: usize| {
+    let balancer = |n: usize| {
         let domain = DomainName::new("a").expect("a name");
-        let mut desk = Balancer::new(domain, &shared, seed * 100 + n as u64, at(0));
+        let mut balancer = Balancer::new(domain, &shared, seed * 100 + n as u64, at(0));
         let listed = upstreams.iter().map(|upstream| Listed {
             phase: Phase::Ready,
             silent: false,
             upstream,
         });
-        desk.update(at(0), listed);
+        balancer.update(at(0), listed);
         if dispatched {
-            desk.set_dispatched(at(0), Dispatched::Here);
+            balancer.set_dispatched(at(0), Dispatched::Here);
         }
-        desk
+        balancer
     };
     let mut rig = Rig {
-        balancers: (0..processes).map(desk).collect(),
+        balancers: (0..processes).map(balancer).collect(),
         fakes: (0..case.instances as u64)
             .map(|n| Fake {
                 busy: 0,
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -6,8 +6,8 @@
 
 use base::prelude::*;
 use dispatch::Warmup;
-use entry::desk::Balancer;
-use entry::desk::Verdict;
+use entry::balancer::Balancer;
+use entry::balancer::Verdict;
 use entry::pool::Pool;
 use entry::processes::Processes;
 use entry::settings::Retry;
@@ -71,22 +71,22 @@
     })
 }
 
-fn desk(now: Moment, cold: Duration) -> Balancer {
+fn balancer(now: Moment, cold: Duration) -> Balancer {
     let shared = Shared {
         retry: Retry::default(),
         probes: 42,
         entries: PROCESSES,
     };
     let domain = DomainName::new("a").expect("a name");
-    let mut desk = Balancer::new(domain, &shared, 1, now);
+    let mut balancer = Balancer::new(domain, &shared, 1, now);
     let upstream = upstream(cold);
     let listed = Listed {
         phase: Phase::Ready,
         silent: false,
         upstream: &upstream,
     };
-    desk.update(now, std::iter::once(listed));
-    desk
+    balancer.update(now, std::iter::once(listed));
+    balancer
 }
 
 /// Idle and quick, as an instance that gets little says.
@@ -98,15 +98,15 @@
 };
 
 /// Sends one request if the desk lets it, as if it were told that there is room.
-fn send(desk: &mut Balancer, now: Moment) -> bool {
-    for (pick, _) in desk.plan(now, &NEED, &[], 0) {
-        desk.probed(now, pick, Some(IDLE));
+fn send(balancer: &mut Balancer, now: Moment) -> bool {
+    for (pick, _) in balancer.plan(now, &NEED, &[], 0) {
+        balancer.probed(now, pick, Some(IDLE));
     }
-    let Verdict::Send(chosen) = desk.choose(now, &NEED, &[]) else {
+    let Verdict::Send(chosen) = balancer.choose(now, &NEED, &[]) else {
         return false;
     };
-    let ticket = desk.started(now, chosen.choice.pick);
-    desk.finished(now, ticket, Kind::Ok, Some(IDLE));
+    let ticket = balancer.started(now, chosen.choice.pick);
+    balancer.finished(now, ticket, Kind::Ok, Some(IDLE));
     true
 }
 
@@ -127,9 +127,9 @@
     let cold = Duration::from_mins(1);
     let mut first = 0;
     let new = |own: u32, first: u32, mark: u64, now: u64| {
-        let mut desk = desk(at(now), cold);
-        desk.set_warmup(Some(WARMUP), &processes(own, first..PROCESSES, mark));
-        desk
+        let mut balancer = balancer(at(now), cold);
+        balancer.set_warmup(Some(WARMUP), &processes(own, first..PROCESSES, mark));
+        balancer
     };
     let mut balancers: Vec<Balancer> = (0..PROCESSES).map(|own| new(own, 0, 1, 0)).collect();
     let mut due: Vec<u64> = vec![u64::MAX; balancers.len()];
@@ -173,22 +173,28 @@
 /// one that says that it is warm gets what it can do.
 #[test]
 fn test_cold_is_what_the_instance_says() {
-    let mut desk = desk(at(0), Duration::ZERO);
-    desk.set_warmup(Some(WARMUP), &processes(200, 0..PROCESSES, 1));
+    let mut balancer = balancer(at(0), Duration::ZERO);
+    balancer.set_warmup(Some(WARMUP), &processes(200, 0..PROCESSES, 1));
     let now = at(5 * SECOND);
-    assert!(send(&mut desk, now), "warm");
-    let pick = desk.picks(&["i-1".into()])[0];
-    desk.told_cold(now, pick, Duration::from_secs(3));
-    assert!(!send(&mut desk, now + Duration::from_secs(1)), "no keeper");
-    assert!(send(&mut desk, now + Duration::from_secs(3)), "warm again");
+    assert!(send(&mut balancer, now), "warm");
+    let pick = balancer.picks(&["i-1".into()])[0];
+    balancer.told_cold(now, pick, Duration::from_secs(3));
+    assert!(
+        !send(&mut balancer, now + Duration::from_secs(1)),
+        "no keeper"
+    );
+    assert!(
+        send(&mut balancer, now + Duration::from_secs(3)),
+        "warm again"
+    );
 }
 
 /// Where nothing says what cold instances take, they are slower and nothing else.
 #[test]
 fn test_cold_without_a_bound_is_sent_to() {
-    let mut desk = desk(at(0), Duration::from_mins(1));
-    desk.set_warmup(None, &processes(0, 0..PROCESSES, 1));
-    assert!(send(&mut desk, at(5 * SECOND)));
+    let mut balancer = balancer(at(0), Duration::from_mins(1));
+    balancer.set_warmup(None, &processes(0, 0..PROCESSES, 1));
+    assert!(send(&mut balancer, at(5 * SECOND)));
 }
 
 /// Seeds of one run of the tests; each plays ten seconds of 117 processes.
--- a/crates/entry/tests/test_desk.rs
+++ b/crates/entry/tests/test_desk.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use entry::desk::Balancer;
+use entry::balancer::Balancer;
 use entry::settings::Retry;
 use entry::settings::Shared;
 use quickcheck::quickcheck;
@@ -29,7 +29,7 @@
     }
 }
 
-fn desk(now: Moment) -> Balancer {
+fn balancer(now: Moment) -> Balancer {
     let domain = DomainName::new("a").expect("a name");
     Balancer::new(domain, &shared(), 1, now)
 }
@@ -45,7 +45,7 @@
 fn play(seed: u64) -> Day {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut now = Moment::from_millis(1_000);
-    let mut balancers: Vec<Balancer> = (0..PROCESSES).map(|_| desk(now)).collect();
+    let mut balancers: Vec<Balancer> = (0..PROCESSES).map(|_| balancer(now)).collect();
     let mut shares = [1.0_f64; PROCESSES];
     let (mut volume, mut failing) = (30.0, 0.5);
     let mut day = Day {
@@ -60,10 +60,10 @@
             shares = std::array::from_fn(|_| rng.random::<f64>().powi(4));
         }
         if rng.random_bool(0.004) {
-            balancers = (0..PROCESSES).map(|_| desk(now)).collect();
+            balancers = (0..PROCESSES).map(|_| balancer(now)).collect();
         }
         let total: f64 = shares.iter().sum();
-        for (desk, share) in balancers.iter_mut().zip(shares) {
+        for (balancer, share) in balancers.iter_mut().zip(shares) {
             let mean = volume * share / total;
             let extra = u32::from(rng.random_bool(mean.fract()));
             #[expect(
@@ -73,9 +73,9 @@
             )]
             let count = mean.trunc() as u32 + extra;
             for _ in 0..count {
-                desk.request(now);
+                balancer.request(now);
                 day.requests[step] += 1;
-                if rng.random_bool(failing) && desk.pay(now) {
+                if rng.random_bool(failing) && balancer.pay(now) {
                     day.retries[step] += 1;
                 }
             }
@@ -114,12 +114,12 @@
 #[test]
 fn test_desk_retries_use_most_of_what_is_allowed() {
     let now = Moment::from_millis(1_000);
-    let mut desk = desk(now);
+    let mut balancer = balancer(now);
     let mut paid = 0;
     for step in 0..1_000 {
         let now = now + STEP / 4 * step;
-        desk.request(now);
-        paid += u32::from(desk.pay(now));
+        balancer.request(now);
+        paid += u32::from(balancer.pay(now));
     }
     assert!((165..=200).contains(&paid), "{paid} of 1000");
 }
--- a/crates/entry/tests/test_evacuation.rs
+++ b/crates/entry/tests/test_evacuation.rs
@@ -106,7 +106,7 @@
     };
     let usable = |id: &str| {
         let core = entry.core();
-        let granted = core.desk(&service, |desk, now| desk.granted(now, &placed(id)));
+        let granted = core.balancer(&service, |balancer, now| balancer.granted(now, &placed(id)));
         granted.flatten().is_some()
     };
     assert!(usable("i-1") && usable("i-2"));
--- a/crates/entry/tests/test_placing.rs
+++ b/crates/entry/tests/test_placing.rs
@@ -11,7 +11,7 @@
 use entry::Dialect;
 use entry::Entry;
 use entry::Settings;
-use entry::desk::Balancer;
+use entry::balancer::Balancer;
 use fakes::HUB;
 use fakes::ONCE;
 use fakes::READ;
@@ -73,8 +73,8 @@
     }]);
 }
 
-fn desk<T>(entry: &Entry, ask: impl FnOnce(&mut Balancer, Moment) -> T) -> T {
-    entry.core().desk(&service(), ask).expect("a desk")
+fn balancer<T>(entry: &Entry, ask: impl FnOnce(&mut Balancer, Moment) -> T) -> T {
+    entry.core().balancer(&service(), ask).expect("a desk")
 }
 
 /// Tells the process that every instance has all slots taken.
@@ -85,19 +85,19 @@
         slots: 6,
         pace: 100,
     };
-    desk(entry, |desk, now| {
-        let picks = desk.picks(&["i-1".to_owned(), "i-2".to_owned()]);
+    balancer(entry, |balancer, now| {
+        let picks = balancer.picks(&["i-1".to_owned(), "i-2".to_owned()]);
         for pick in picks.iter().cycle().take(30) {
-            desk.probed(now, *pick, Some(full));
+            balancer.probed(now, *pick, Some(full));
         }
-        assert!(desk.is_busy());
+        assert!(balancer.is_busy());
     });
 }
 
 /// Waits until so many grants are open.
 async fn granted(entry: &Entry, count: usize) {
     let reached = async {
-        while desk(entry, |desk, _| desk.grants()) != count {
+        while balancer(entry, |balancer, _| balancer.grants()) != count {
             tokio::time::sleep(PAUSE).await;
         }
     };
