--- a/crates/entry/src/balancer.rs
+++ b/crates/entry/src/balancer.rs
@@ -87,7 +87,7 @@
 
 /// What to do with a request.
 #[derive(Debug)]
-pub enum Verdict {
+pub enum Selection {
     /// Send it.
     Send(Chosen),
     /// Send it only if there is no time to wait for a better one.
@@ -263,25 +263,25 @@
     }
 
     /// Chooses an instance, none of `exclude` if another is left.
-    pub fn choose(&mut self, now: Moment, need: &Need, exclude: &[Pick]) -> Verdict {
+    pub fn choose(&mut self, now: Moment, need: &Need, exclude: &[Pick]) -> Selection {
         self.share_cold(now);
         let decision = self.chooser.choose(now, need, exclude);
         self.verdict(decision)
     }
 
     /// Chooses an instance that has just got room.
-    pub fn choose_this(&mut self, now: Moment, need: &Need, pick: Pick) -> Verdict {
+    pub fn choose_this(&mut self, now: Moment, need: &Need, pick: Pick) -> Selection {
         self.share_cold(now);
         let decision = self.chooser.choose_this(now, need, pick);
         self.verdict(decision)
     }
 
-    fn verdict(&self, decision: Decision) -> Verdict {
+    fn verdict(&self, decision: Decision) -> Selection {
         match decision {
-            Decision::Send(choice) => self.chosen(choice).map_or(Verdict::None, Verdict::Send),
-            Decision::Slow(choice) => self.chosen(choice).map_or(Verdict::None, Verdict::Slow),
-            Decision::Wait => Verdict::Wait,
-            Decision::None => Verdict::None,
+            Decision::Send(choice) => self.chosen(choice).map_or(Selection::None, Selection::Send),
+            Decision::Slow(choice) => self.chosen(choice).map_or(Selection::None, Selection::Slow),
+            Decision::Wait => Selection::Wait,
+            Decision::None => Selection::None,
         }
     }
 
--- a/crates/entry/src/search.rs
+++ b/crates/entry/src/search.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::balancer::Chosen;
-use crate::balancer::Verdict;
+use crate::balancer::Selection;
 use crate::core::Core;
 use crate::probe;
 
@@ -58,10 +58,10 @@
         balancer.choose(now, &want.need, &want.exclude)
     });
     let slow = match verdict {
-        Some(Verdict::Send(chosen)) => return Found::Chosen(chosen),
-        Some(Verdict::Slow(chosen)) => Some(chosen),
-        Some(Verdict::Wait) => None,
-        Some(Verdict::None) | None => return Found::None,
+        Some(Selection::Send(chosen)) => return Found::Chosen(chosen),
+        Some(Selection::Slow(chosen)) => Some(chosen),
+        Some(Selection::Wait) => None,
+        Some(Selection::None) | None => return Found::None,
     };
     let spent = began.elapsed();
     let patience = want.patience.saturating_sub(spent);
@@ -96,8 +96,8 @@
     match core.balancer(service, |balancer, now| {
         balancer.choose_this(now, &want.need, pick)
     })? {
-        Verdict::Send(chosen) => Some(chosen),
+        Selection::Send(chosen) => Some(chosen),
         // The machine is slow now: there is time to wait for another one.
-        Verdict::Slow(_) | Verdict::Wait | Verdict::None => None,
+        Selection::Slow(_) | Selection::Wait | Selection::None => None,
     }
 }
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -16,7 +16,7 @@
 use dispatch::Dispatched;
 use entry::balancer::Balancer;
 use entry::balancer::Chosen;
-use entry::balancer::Verdict;
+use entry::balancer::Selection;
 use entry::pool::Pool;
 use entry::settings::Retry;
 use entry::settings::Shared;
@@ -277,9 +277,11 @@
         }
         let patience = self.patience(job);
         match self.balancers[process].choose(now, &need, &[]) {
-            Verdict::Send(chosen) => self.send(job, &chosen),
-            Verdict::Slow(chosen) if patience == 0 => self.send(job, &chosen),
-            Verdict::Slow(_) | Verdict::Wait if patience > 0 => self.wait(job, patience.min(LOOK)),
+            Selection::Send(chosen) => self.send(job, &chosen),
+            Selection::Slow(chosen) if patience == 0 => self.send(job, &chosen),
+            Selection::Slow(_) | Selection::Wait if patience > 0 => {
+                self.wait(job, patience.min(LOOK))
+            }
             _ => {
                 self.jobs[job].settled = true;
                 self.ends[2] += 1;
@@ -352,7 +354,7 @@
             let (process, need) = (self.jobs[job].process, self.need(job));
             let verdict = self.balancers[process].choose_this(at(self.now), &need, pick);
             match verdict {
-                Verdict::Send(chosen) if !self.jobs[job].settled => self.send(job, &chosen),
+                Selection::Send(chosen) if !self.jobs[job].settled => self.send(job, &chosen),
                 _ => {}
             }
         }
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -7,7 +7,7 @@
 use base::prelude::*;
 use dispatch::Warmup;
 use entry::balancer::Balancer;
-use entry::balancer::Verdict;
+use entry::balancer::Selection;
 use entry::pool::Pool;
 use entry::processes::Processes;
 use entry::settings::Retry;
@@ -102,7 +102,7 @@
     for (pick, _) in balancer.plan(now, &NEED, &[], 0) {
         balancer.probed(now, pick, Some(IDLE));
     }
-    let Verdict::Send(chosen) = balancer.choose(now, &NEED, &[]) else {
+    let Selection::Send(chosen) = balancer.choose(now, &NEED, &[]) else {
         return false;
     };
     let ticket = balancer.started(now, chosen.choice.pick);
