--- a/crates/entry/src/balancer.rs
+++ b/crates/entry/src/balancer.rs
@@ -89,9 +89,9 @@
 #[derive(Debug)]
 pub enum Selection {
     /// Send it.
-    Send(Chosen),
+    Send(SelectedInstance),
     /// Send it only if there is no time to wait for a better one.
-    Slow(Chosen),
+    Slow(SelectedInstance),
     /// Wait for room.
     Wait,
     /// No instance is ready.
@@ -100,7 +100,7 @@
 
 /// An instance that was chosen.
 #[derive(Debug)]
-pub struct Chosen {
+pub struct SelectedInstance {
     /// The instance.
     pub upstream: Arc<Upstream>,
     /// What the choice rests on.
@@ -109,7 +109,7 @@
     pub grant: Option<Grant>,
 }
 
-impl Chosen {
+impl SelectedInstance {
     /// The same as granted by a dispatcher.
     #[must_use]
     pub fn with(self, grant: Grant) -> Self {
@@ -285,10 +285,10 @@
         }
     }
 
-    fn chosen(&self, choice: FreshChoice) -> Option<Chosen> {
+    fn chosen(&self, choice: FreshChoice) -> Option<SelectedInstance> {
         let id = self.chooser.id(choice.pick)?;
         let upstream = Arc::clone(self.rows.get(id)?);
-        Some(Chosen {
+        Some(SelectedInstance {
             upstream,
             choice,
             grant: None,
--- a/crates/entry/src/balancer/dispatch.rs
+++ b/crates/entry/src/balancer/dispatch.rs
@@ -15,7 +15,7 @@
 use wire::place::Placed;
 
 use super::Balancer;
-use super::Chosen;
+use super::SelectedInstance;
 use crate::placing::micros;
 use crate::placing::report;
 use crate::placing::report_to_wire;
@@ -74,7 +74,7 @@
     }
 
     /// Grants what was chosen to another process, until its request is over.
-    pub fn grant(&mut self, now: Moment, chosen: &Chosen, until: Moment) -> Placed {
+    pub fn grant(&mut self, now: Moment, chosen: &SelectedInstance, until: Moment) -> Placed {
         let choice = &chosen.choice;
         let ticket = self.chooser.started(now, choice.pick);
         Placed {
@@ -100,7 +100,7 @@
 
     /// What the dispatcher granted; none where the instance takes no work as far as this
     /// process knows, or isn't known.
-    pub fn granted(&mut self, now: Moment, placed: &Placed) -> Option<Chosen> {
+    pub fn granted(&mut self, now: Moment, placed: &Placed) -> Option<SelectedInstance> {
         let pick = self.chooser.find(&placed.instance, placed.incarnation)?;
         let report = placed.report.as_ref().map(report);
         if let Some(report) = report {
--- a/crates/entry/src/flow/choice.rs
+++ b/crates/entry/src/flow/choice.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use super::Flow;
-use crate::balancer::Chosen;
+use crate::balancer::SelectedInstance;
 use crate::body::Outgoing;
 use crate::placing;
 use crate::refusal::Reason;
@@ -29,7 +29,7 @@
 
 impl Flow {
     /// An instance for the next attempt.
-    pub(super) async fn choose(&mut self) -> Result<Chosen, Reason> {
+    pub(super) async fn choose(&mut self) -> Result<SelectedInstance, Reason> {
         // While the service has little to do, the dispatcher is asked only where this
         // process finds nothing good at once: each question costs processor time and bytes
         // between failure domains.
@@ -39,7 +39,7 @@
         loop {
             let want = self.want();
             match self.look(&want, ask).await {
-                Found::Chosen(chosen) => return Ok(chosen),
+                Found::Selected(chosen) => return Ok(chosen),
                 Found::Wait => ask = true,
                 Found::Full(back) => {
                     self.back = back;
@@ -51,7 +51,10 @@
     }
 
     /// The same, while the body goes on coming.
-    pub(super) async fn choose_while(&mut self, body: &Outgoing) -> Result<Chosen, Reason> {
+    pub(super) async fn choose_while(
+        &mut self,
+        body: &Outgoing,
+    ) -> Result<SelectedInstance, Reason> {
         let Some(spool) = body.spool() else {
             return self.choose().await;
         };
--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/placing.rs
@@ -115,7 +115,7 @@
             let grant = Grant::new(&place, service, placed.grant);
             let chosen =
                 core.balancer(service, |balancer, now| balancer.granted(now, &placed))??;
-            Some(Found::Chosen(chosen.with(grant)))
+            Some(Found::Selected(chosen.with(grant)))
         }
         Outcome::Wait => Some(Found::Wait),
         Outcome::Full => Some(Found::Full(Some(span_of(placed.back_us)))),
--- a/crates/entry/src/placing/server.rs
+++ b/crates/entry/src/placing/server.rs
@@ -67,7 +67,7 @@
         let found = search::search(&self.core, service, &want, HOLD).await;
         let left = want.left.saturating_sub(began.elapsed());
         match found {
-            Found::Chosen(chosen) => self.core.balancer(service, |balancer, now| {
+            Found::Selected(chosen) => self.core.balancer(service, |balancer, now| {
                 balancer.grant(now, &chosen, now + left)
             }),
             Found::Wait => Some(outcome(Outcome::Wait)),
--- a/crates/entry/src/search.rs
+++ b/crates/entry/src/search.rs
@@ -8,7 +8,7 @@
 use route::Pick;
 use tokio::time::Instant;
 
-use crate::balancer::Chosen;
+use crate::balancer::SelectedInstance;
 use crate::balancer::Selection;
 use crate::core::Core;
 use crate::probe;
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub enum Found {
     /// Send it there.
-    Chosen(Chosen),
+    Selected(SelectedInstance),
     /// Nothing yet, and time to look again.
     Wait,
     /// It can't be answered in time; a dispatcher says when to come back.
@@ -58,7 +58,7 @@
         balancer.choose(now, &want.need, &want.exclude)
     });
     let slow = match verdict {
-        Some(Selection::Send(chosen)) => return Found::Chosen(chosen),
+        Some(Selection::Send(chosen)) => return Found::Selected(chosen),
         Some(Selection::Slow(chosen)) => Some(chosen),
         Some(Selection::Wait) => None,
         Some(Selection::None) | None => return Found::None,
@@ -70,14 +70,14 @@
         // nothing, and its caller isn't told to come back.
         let left = want.left.saturating_sub(spent);
         let ends = slow.filter(|slow| slow.choice.expected < left);
-        return ends.map_or(Found::Full(None), Found::Chosen);
+        return ends.map_or(Found::Full(None), Found::Selected);
     }
     let span = patience.min(span);
     if span.is_zero() {
         return Found::Wait;
     }
     let chosen = wait(core, service, want, span).await;
-    chosen.map_or(Found::Wait, Found::Chosen)
+    chosen.map_or(Found::Wait, Found::Selected)
 }
 
 /// Waits until an instance has room, or for `span`.
@@ -86,7 +86,7 @@
     service: &ServiceName,
     want: &Want,
     span: Duration,
-) -> Option<Chosen> {
+) -> Option<SelectedInstance> {
     let until = core.clock.now() + span;
     let told = core.balancer(service, |balancer, _| balancer.wait(want.rank, until))?;
     let began = Instant::now();
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -15,7 +15,7 @@
 use base::prelude::*;
 use dispatch::Dispatched;
 use entry::balancer::Balancer;
-use entry::balancer::Chosen;
+use entry::balancer::SelectedInstance;
 use entry::balancer::Selection;
 use entry::pool::Pool;
 use entry::settings::Retry;
@@ -296,7 +296,7 @@
         self.events.push(Reverse((until, Event::Look(job))));
     }
 
-    fn send(&mut self, job: usize, chosen: &Chosen) {
+    fn send(&mut self, job: usize, chosen: &SelectedInstance) {
         let process = self.jobs[job].process;
         let ticket = self.balancers[process].started(at(self.now), chosen.choice.pick);
         let instance = self.index(&chosen.upstream);
