--- a/crates/entry/tests/test_desk.rs
+++ b/crates/entry/tests/test_desk.rs
@@ -73,7 +73,7 @@
             )]
             let count = mean.trunc() as u32 + extra;
             for _ in 0..count {
-                balancer.request(now);
+                balancer.record_request(now);
                 day.requests[step] += 1;
                 if rng.random_bool(failing) && balancer.pay(now) {
                     day.retries[step] += 1;
@@ -118,7 +118,7 @@
     let mut paid = 0;
     for step in 0..1_000 {
         let now = now + STEP / 4 * step;
-        balancer.request(now);
+        balancer.record_request(now);
         paid += u32::from(balancer.pay(now));
     }
     assert!((165..=200).contains(&paid), "{paid} of 1000");
