--- a/crates/entry/src/balancer.rs
+++ b/crates/entry/src/balancer.rs
@@ -213,7 +213,7 @@
     }
 
     /// Pays for an attempt after the first.
-    pub fn pay(&mut self, now: Moment) -> bool {
+    pub fn try_spend_retry(&mut self, now: Moment) -> bool {
         self.budget.spend_or_borrow(now)
     }
 
--- a/crates/entry/tests/test_desk.rs
+++ b/crates/entry/tests/test_desk.rs
@@ -75,7 +75,7 @@
             for _ in 0..count {
                 balancer.record_request(now);
                 day.requests[step] += 1;
-                if rng.random_bool(failing) && balancer.pay(now) {
+                if rng.random_bool(failing) && balancer.try_spend_retry(now) {
                     day.retries[step] += 1;
                 }
             }
@@ -119,7 +119,7 @@
     for step in 0..1_000 {
         let now = now + STEP / 4 * step;
         balancer.record_request(now);
-        paid += u32::from(balancer.pay(now));
+        paid += u32::from(balancer.try_spend_retry(now));
     }
     assert!((165..=200).contains(&paid), "{paid} of 1000");
 }
