--- a/crates/entry/src/balancer.rs
+++ b/crates/entry/src/balancer.rs
@@ -218,7 +218,7 @@
     }
 
     /// Instances to ask before a choice, at the round `round` from 0.
-    pub fn plan(
+    pub fn plan_probes(
         &mut self,
         now: Moment,
         need: &Need,
@@ -228,7 +228,7 @@
         self.share_cold(now);
         let probes = &mut self.probes;
         let allow = |count| probes.take(now, count);
-        let picks = self.chooser.plan(now, need, exclude, round, allow);
+        let picks = self.chooser.plan_probes(now, need, exclude, round, allow);
         self.upstreams(picks)
     }
 
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -263,7 +263,7 @@
         }
         let (process, need, now) = (self.jobs[job].process, self.need(job), at(self.now));
         for round in 0.. {
-            let asked = self.balancers[process].plan(now, &need, &[], round);
+            let asked = self.balancers[process].plan_probes(now, &need, &[], round);
             if asked.is_empty() {
                 break;
             }
