--- a/crates/entry/src/balancer.rs
+++ b/crates/entry/src/balancer.rs
@@ -258,8 +258,8 @@
     }
 
     /// Notes the end of a probe.
-    pub fn probed(&mut self, now: Moment, pick: Pick, report: Option<LoadReport>) {
-        self.chooser.probed(now, pick, report);
+    pub fn record_probe(&mut self, now: Moment, pick: Pick, report: Option<LoadReport>) {
+        self.chooser.record_probe(now, pick, report);
     }
 
     /// Chooses an instance, none of `exclude` if another is left.
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -272,7 +272,7 @@
                 let instance = self.index(&upstream);
                 self.connect(process, instance);
                 let report = self.report(instance);
-                self.balancers[process].probed(now, pick, Some(report));
+                self.balancers[process].record_probe(now, pick, Some(report));
             }
         }
         let patience = self.patience(job);
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -100,7 +100,7 @@
 /// Sends one request if the desk lets it, as if it were told that there is room.
 fn send(balancer: &mut Balancer, now: Moment) -> bool {
     for (pick, _) in balancer.plan_probes(now, &NEED, &[], 0) {
-        balancer.probed(now, pick, Some(IDLE));
+        balancer.record_probe(now, pick, Some(IDLE));
     }
     let Selection::Send(chosen) = balancer.choose(now, &NEED, &[]) else {
         return false;
--- a/crates/entry/tests/test_placing.rs
+++ b/crates/entry/tests/test_placing.rs
@@ -88,7 +88,7 @@
     balancer(entry, |balancer, now| {
         let picks = balancer.picks(&["i-1".to_owned(), "i-2".to_owned()]);
         for pick in picks.iter().cycle().take(30) {
-            balancer.probed(now, *pick, Some(full));
+            balancer.record_probe(now, *pick, Some(full));
         }
         assert!(balancer.is_busy());
     });
