--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -280,7 +280,7 @@
             Selection::Send(chosen) => self.send(job, &chosen),
             Selection::Slow(chosen) if patience == 0 => self.send(job, &chosen),
             Selection::Slow(_) | Selection::Wait if patience > 0 => {
-                self.wait(job, patience.min(LOOK))
+                self.wait_for_capacity(job, patience.min(LOOK))
             }
             _ => {
                 self.jobs[job].settled = true;
@@ -289,10 +289,10 @@
         }
     }
 
-    fn wait(&mut self, job: usize, span: u64) {
+    fn wait_for_capacity(&mut self, job: usize, span: u64) {
         let until = self.now + span;
         let process = self.jobs[job].process;
-        self.jobs[job].told = Some(self.balancers[process].wait(0, at(until)));
+        self.jobs[job].told = Some(self.balancers[process].wait_for_capacity(0, at(until)));
         self.events.push(Reverse((until, Event::Look(job))));
     }
 
