--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -298,7 +298,7 @@
 
     fn send(&mut self, job: usize, chosen: &SelectedInstance) {
         let process = self.jobs[job].process;
-        let ticket = self.balancers[process].started(at(self.now), chosen.choice.pick);
+        let ticket = self.balancers[process].start_attempt(at(self.now), chosen.choice.pick);
         let instance = self.index(&chosen.upstream);
         self.connect(process, instance);
         self.jobs[job].ticket = Some(ticket);
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -105,7 +105,7 @@
     let Selection::Send(chosen) = balancer.choose(now, &NEED, &[]) else {
         return false;
     };
-    let ticket = balancer.started(now, chosen.choice.pick);
+    let ticket = balancer.start_attempt(now, chosen.choice.pick);
     balancer.finished(now, ticket, Kind::Ok, Some(IDLE));
     true
 }
