--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -337,7 +337,7 @@
         self.jobs[job].settled = true;
         let ticket = self.jobs[job].ticket.take().expect("it was sent");
         let report = self.report(instance);
-        self.balancers[process].finished(at(self.now), ticket, Kind::Ok, Some(report));
+        self.balancers[process].finish_attempt(at(self.now), ticket, Kind::Ok, Some(report));
         self.begin(instance);
         self.hand_on();
     }
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -106,7 +106,7 @@
         return false;
     };
     let ticket = balancer.start_attempt(now, chosen.choice.pick);
-    balancer.finished(now, ticket, Kind::Ok, Some(IDLE));
+    balancer.finish_attempt(now, ticket, Kind::Ok, Some(IDLE));
     true
 }
 
