--- a/crates/entry/tests/test_evacuation.rs
+++ b/crates/entry/tests/test_evacuation.rs
@@ -106,8 +106,10 @@
     };
     let usable = |id: &str| {
         let core = entry.core();
-        let granted = core.balancer(&service, |balancer, now| balancer.granted(now, &placed(id)));
-        granted.flatten().is_some()
+        let accept_grant = core.balancer(&service, |balancer, now| {
+            balancer.accept_grant(now, &placed(id))
+        });
+        accept_grant.flatten().is_some()
     };
     assert!(usable("i-1") && usable("i-2"));
     order(&entry, &mut Domains::default(), "a", true);
