--- a/crates/entry/tests/test_placing.rs
+++ b/crates/entry/tests/test_placing.rs
@@ -97,7 +97,7 @@
 /// Waits until so many grants are open.
 async fn granted(entry: &Entry, count: usize) {
     let reached = async {
-        while balancer(entry, |balancer, _| balancer.grants()) != count {
+        while balancer(entry, |balancer, _| balancer.open_grants()) != count {
             tokio::time::sleep(PAUSE).await;
         }
     };
