--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -178,7 +178,7 @@
     let now = at(5 * SECOND);
     assert!(send(&mut balancer, now), "warm");
     let pick = balancer.picks(&["i-1".into()])[0];
-    balancer.told_cold(now, pick, Duration::from_secs(3));
+    balancer.record_cold(now, pick, Duration::from_secs(3));
     assert!(
         !send(&mut balancer, now + Duration::from_secs(1)),
         "no keeper"
