--- a/crates/entry/src/balancer.rs
+++ b/crates/entry/src/balancer.rs
@@ -1,4 +1,5 @@
-//! The decisions for one service: which instance, and whether a retry is paid for.
+//! Load balancing for one service: instance selection, retry and probe budgets, and the
+//! queue of requests that wait for capacity.
 
 mod cold;
 mod dispatch;
@@ -36,83 +37,82 @@
 use crate::view::Listed;
 use crate::view::Upstream;
 
-/// Part of the retries allowed by requests that is spent on purpose. The rest covers
-/// requests that fall in number while retries of earlier ones are under way.
-const SPENT_SHARE: f64 = 0.85;
-/// Part of the retries allowed without requests that is spent on purpose. The rest
-/// covers what all processes have saved up, and what new ones may borrow.
-const SPENT_BASE: f64 = 0.6;
-/// Part of the measuring budget that is spent on purpose; the rest covers
-/// instances that leave while their probes are saved up.
-const SPENT_PROBES: f64 = 0.8;
-/// Part of these that a service's dispatcher spends; all processes share the rest, for
-/// calm times, for when it doesn't answer, and for instances that are to be brought back.
-const DISPATCHER_PROBES: f64 = 0.5;
-/// Retries that one process saves up at most; with the part above, a hundred
-/// processes stay within what they share.
-const BURST: u64 = 2;
-/// Weight of one end in the usual time between two.
-const ENDS_WEIGHT: f64 = 0.1;
-/// Soonest that a refused caller is asked back: about the time of one request.
-const LEAST_BACK: Duration = Duration::from_millis(100);
-/// Latest: callers wait no longer than a third of the time that they have left.
-const MOST_BACK: Duration = Duration::from_secs(2);
-
-/// The machines of one service.
+/// Fraction of the per-request retry allowance that is used. The rest covers requests that
+/// drop in number while retries of earlier ones are in flight.
+const RETRY_PERCENT_UTILIZATION: f64 = 0.85;
+/// Fraction of the retry allowance without requests that is used. The rest covers what all
+/// processes have saved and what new ones may borrow.
+const RETRY_BASE_UTILIZATION: f64 = 0.6;
+/// Fraction of the probe budget that is used. The rest covers instances that are removed
+/// while their probes are saved.
+const PROBE_UTILIZATION: f64 = 0.8;
+/// Fraction of the probe budget that a service's dispatcher uses. All processes share the
+/// rest, for low load, for an unresponsive dispatcher and for ejected instances.
+const DISPATCHER_PROBE_SHARE: f64 = 0.5;
+/// Maximum number of retries that one process saves. With the utilization above, a hundred
+/// processes stay within their shared allowance.
+const RETRY_BURST: u64 = 2;
+/// Weight of one sample in the moving average of the time between completions.
+const COMPLETION_INTERVAL_WEIGHT: f64 = 0.1;
+/// Lower bound of `Retry-After`.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Upper bound of `Retry-After`.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
+
+/// Load balancer of one service.
 #[derive(Debug)]
 pub struct Balancer {
     chooser: Fresh,
-    budget: Budget,
-    probes: Allowance,
+    retry_budget: Budget,
+    probe_allowance: Allowance,
     shared: Shared,
-    rows: HashMap<InstanceId, Arc<Upstream>>,
-    waiting: Waiting<oneshot::Sender<Pick>>,
-    /// When an attempt last ended, and the usual time between two ends.
-    ended: Moment,
-    ends: Duration,
-    /// Requests asked to come back, fading with the time that they were given.
-    refused: f64,
-    refused_at: Moment,
-    /// What was granted to other processes.
+    upstreams: HashMap<InstanceId, Arc<Upstream>>,
+    wait_queue: Waiting<oneshot::Sender<Pick>>,
+    /// When an attempt last finished.
+    last_completion: Moment,
+    /// Moving average of the time between finished attempts.
+    completion_interval: Duration,
+    /// Callers told to retry later, decaying with `MAX_RETRY_AFTER` as the time constant.
+    recent_refusals: f64,
+    last_refusal: Moment,
+    /// Open grants to other processes.
     grants: Grants<Ticket>,
-    /// Whether this process decides for all, or another does.
-    tenure: Tenure,
-    /// What cold instances bear; none where nothing bounds it.
+    /// Whether this process dispatches for the service, or another one does.
+    dispatcher_role: Tenure,
+    /// Rate limit of cold instances; `None` if unlimited.
     warmup: Option<Warmup>,
-    /// Who shares that.
+    /// The processes that share `warmup`.
     processes: Arc<Processes>,
-    /// When the desk began.
-    born: Moment,
+    created_at: Moment,
 }
 
-/// What to do with a request.
+/// Result of selecting an instance for a request.
 #[derive(Debug)]
 pub enum Selection {
-    /// Send it.
+    /// Send the request.
     Send(SelectedInstance),
-    /// Send it only if there is no time to wait for a better one.
+    /// The instance is likely to answer late: send only if there is no time left to wait for
+    /// a better one.
     Slow(SelectedInstance),
-    /// Wait for room.
+    /// Wait for capacity.
     Wait,
-    /// No instance is ready.
+    /// No instance is available.
     None,
 }
 
-/// An instance that was chosen.
+/// An instance selected for a request.
 #[derive(Debug)]
 pub struct SelectedInstance {
-    /// The instance.
     pub upstream: Arc<Upstream>,
-    /// What the choice rests on.
+    /// The data on which the choice is based.
     pub choice: FreshChoice,
-    /// The dispatcher's, where it chose.
+    /// The dispatcher's grant, if a dispatcher selected the instance.
     pub grant: Option<Grant>,
 }
 
 impl SelectedInstance {
-    /// The same as granted by a dispatcher.
     #[must_use]
-    pub fn with(self, grant: Grant) -> Self {
+    pub fn with_grant(self, grant: Grant) -> Self {
         Self {
             grant: Some(grant),
             ..self
@@ -121,103 +121,104 @@
 }
 
 impl Balancer {
-    /// A desk without instances.
+    /// Creates a balancer without instances.
     #[must_use]
     pub fn new(domain: DomainName, shared: &Shared, seed: u64, now: Moment) -> Self {
         let mut chooser = Fresh::new(domain, seed);
         chooser.set_processes(shared.entries);
         Self {
             chooser,
-            budget: Budget::new(share(shared), now),
-            probes: Allowance::new(now),
+            retry_budget: Budget::new(retry_share(shared), now),
+            probe_allowance: Allowance::new(now),
             shared: *shared,
-            rows: HashMap::new(),
-            waiting: Waiting::default(),
-            ended: now,
-            ends: LEAST_BACK,
-            refused: 0.0,
-            refused_at: now,
+            upstreams: HashMap::new(),
+            wait_queue: Waiting::default(),
+            last_completion: now,
+            completion_interval: MIN_RETRY_AFTER,
+            recent_refusals: 0.0,
+            last_refusal: now,
             grants: Grants::starting(seed),
-            tenure: Tenure::default(),
+            dispatcher_role: Tenure::default(),
             warmup: None,
             processes: Arc::default(),
-            born: now,
+            created_at: now,
         }
     }
 
-    /// Takes over how budgets are shared.
+    /// Sets the shared budgets and the number of processes that share them.
     pub fn set_shared(&mut self, shared: &Shared, now: Moment) {
         self.shared = *shared;
         self.chooser.set_processes(shared.entries);
-        self.budget.set_share(share(shared), now);
-        self.share_probes(now);
+        self.retry_budget.set_share(retry_share(shared), now);
+        self.update_probe_share(now);
     }
 
-    fn share_probes(&mut self, now: Moment) {
+    fn update_probe_share(&mut self, now: Moment) {
         let entries = self.shared.entries;
-        let (part, processes) = match self.tenure.dispatched() {
+        let (fraction, processes) = match self.dispatcher_role.dispatched() {
             Dispatched::Nobody => (1.0, entries),
-            Dispatched::Here if self.tenure.is_settled(now) => (DISPATCHER_PROBES, 1),
-            Dispatched::Here | Dispatched::Elsewhere => (1.0 - DISPATCHER_PROBES, entries),
+            Dispatched::Here if self.dispatcher_role.is_settled(now) => (DISPATCHER_PROBE_SHARE, 1),
+            Dispatched::Here | Dispatched::Elsewhere => (1.0 - DISPATCHER_PROBE_SHARE, entries),
         };
-        let budget = (f64::from(self.shared.probes) * SPENT_PROBES * part).floor();
+        let budget = (f64::from(self.shared.probes) * PROBE_UTILIZATION * fraction).floor();
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
-            reason = "below a u32"
+            reason = "fits in a u32"
         )]
         let budget = budget as u32;
-        let count = self.rows.len();
-        self.probes.set(now, budget, count, processes);
+        let count = self.upstreams.len();
+        self.probe_allowance.set(now, budget, count, processes);
     }
 
-    /// Takes the service's instances, whole.
-    pub fn update<'a>(&mut self, now: Moment, rows: impl Iterator<Item = Listed<'a>>) {
-        self.rows.clear();
+    /// Replaces the set of instances.
+    pub fn update<'a>(&mut self, now: Moment, instances: impl Iterator<Item = Listed<'a>>) {
+        self.upstreams.clear();
         let mut table = Vec::new();
-        for listed in rows {
+        for listed in instances {
             let upstream = listed.upstream;
             let instance = Instance {
                 id: upstream.id.clone(),
                 incarnation: upstream.incarnation,
                 domain: upstream.domain.clone(),
                 slots: upstream.slots,
-                phase: phase(listed.phase),
+                phase: phase_from_wire(listed.phase),
             };
             table.push(Told {
                 instance,
                 cold: upstream.cold,
                 silent: listed.silent,
             });
-            self.rows.insert(upstream.id.clone(), Arc::clone(upstream));
+            self.upstreams
+                .insert(upstream.id.clone(), Arc::clone(upstream));
         }
         self.chooser.update(now, &table);
-        self.share_probes(now);
+        self.update_probe_share(now);
     }
 
-    /// How many instances the service has.
+    /// Number of instances of the service.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.rows.len()
+        self.upstreams.len()
     }
 
-    /// Whether the service has no instance.
+    /// Whether the service has no instances.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.upstreams.is_empty()
     }
 
-    /// Counts a request, which earns its share of a retry.
-    pub fn request(&mut self, now: Moment) {
-        self.budget.earn(now);
+    /// Counts a request, which earns a fraction of a retry.
+    pub fn record_request(&mut self, now: Moment) {
+        self.retry_budget.earn(now);
     }
 
-    /// Pays for an attempt after the first.
+    /// Takes one retry from the budget; returns false if it is exhausted.
     pub fn try_spend_retry(&mut self, now: Moment) -> bool {
-        self.budget.spend_or_borrow(now)
+        self.retry_budget.spend_or_borrow(now)
     }
 
-    /// Instances to ask before a choice, at the round `round` from 0.
+    /// Returns the instances to probe before a selection, in the given `round`, counted from 0.
     pub fn plan_probes(
         &mut self,
         now: Moment,
@@ -225,69 +226,73 @@
         exclude: &[Pick],
         round: u32,
     ) -> Vec<(Pick, Arc<Upstream>)> {
-        self.share_cold(now);
-        let probes = &mut self.probes;
+        self.update_cold_shares(now);
+        let probes = &mut self.probe_allowance;
         let allow = |count| probes.take(now, count);
-        let picks = self.chooser.plan_probes(now, need, exclude, round, allow);
-        self.upstreams(picks)
+        let picks = self.chooser.plan(now, need, exclude, round, allow);
+        self.resolve(picks)
     }
 
-    /// Ejected instances that a probe may bring back.
-    pub fn ejected(&mut self, now: Moment) -> Vec<(Pick, Arc<Upstream>)> {
-        let probes = &mut self.probes;
+    /// Returns the ejected instances that are due for a probe.
+    pub fn plan_ejected_probes(&mut self, now: Moment) -> Vec<(Pick, Arc<Upstream>)> {
+        let probes = &mut self.probe_allowance;
         let picks = self.chooser.ejected(now, |count| probes.take(now, count));
-        self.upstreams(picks)
+        self.resolve(picks)
     }
 
-    fn upstreams(&self, picks: Vec<Pick>) -> Vec<(Pick, Arc<Upstream>)> {
+    fn resolve(&self, picks: Vec<Pick>) -> Vec<(Pick, Arc<Upstream>)> {
         let found = picks.into_iter().filter_map(|pick| {
-            let upstream = self.rows.get(self.chooser.id(pick)?)?;
+            let upstream = self.upstreams.get(self.chooser.id(pick)?)?;
             Some((pick, Arc::clone(upstream)))
         });
         found.collect()
     }
 
-    /// Notes that another instance has the address of this one.
-    pub fn displaced(&mut self, pick: Pick) {
+    /// Records that another instance now has this instance's address.
+    pub fn record_displaced(&mut self, pick: Pick) {
         self.chooser.displaced(pick);
     }
 
-    /// Notes that an answer of the instance broke off after its head.
-    pub fn broke_off(&mut self, now: Moment, pick: Pick) {
+    /// Records that a response body ended early after its head had been passed on.
+    pub fn record_broken_response(&mut self, now: Moment, pick: Pick) {
         self.chooser.broke_off(now, pick);
     }
 
-    /// Notes the end of a probe.
+    /// Records the result of a probe; `report` is `None` if it failed.
     pub fn record_probe(&mut self, now: Moment, pick: Pick, report: Option<LoadReport>) {
-        self.chooser.record_probe(now, pick, report);
+        self.chooser.probed(now, pick, report);
     }
 
-    /// Chooses an instance, none of `exclude` if another is left.
+    /// Selects an instance; one of `exclude` only if no other is left.
     pub fn choose(&mut self, now: Moment, need: &Need, exclude: &[Pick]) -> Selection {
-        self.share_cold(now);
+        self.update_cold_shares(now);
         let decision = self.chooser.choose(now, need, exclude);
-        self.verdict(decision)
+        self.selection(decision)
     }
 
-    /// Chooses an instance that has just got room.
-    pub fn choose_this(&mut self, now: Moment, need: &Need, pick: Pick) -> Selection {
-        self.share_cold(now);
+    /// Selects the given instance, which has just got free capacity.
+    pub fn choose_instance(&mut self, now: Moment, need: &Need, pick: Pick) -> Selection {
+        self.update_cold_shares(now);
         let decision = self.chooser.choose_this(now, need, pick);
-        self.verdict(decision)
+        self.selection(decision)
     }
 
-    fn verdict(&self, decision: Decision) -> Selection {
+    fn selection(&self, decision: Decision) -> Selection {
         match decision {
-            Decision::Send(choice) => self.chosen(choice).map_or(Selection::None, Selection::Send),
-            Decision::Slow(choice) => self.chosen(choice).map_or(Selection::None, Selection::Slow),
+            Decision::Send(choice) => self
+                .selected(choice)
+                .map_or(Selection::None, Selection::Send),
+            Decision::Slow(choice) => self
+                .selected(choice)
+                .map_or(Selection::None, Selection::Slow),
             Decision::Wait => Selection::Wait,
             Decision::None => Selection::None,
         }
     }
 
-    fn chosen(&self, choice: FreshChoice) -> Option<SelectedInstance> {
+    fn selected(&self, choice: FreshChoice) -> Option<SelectedInstance> {
         let id = self.chooser.id(choice.pick)?;
-        let upstream = Arc::clone(self.rows.get(id)?);
+        let upstream = Arc::clone(self.upstreams.get(id)?);
         Some(SelectedInstance {
             upstream,
             choice,
@@ -295,45 +300,44 @@
         })
     }
 
-    /// Waits for room; tells of an instance that got some.
-    pub fn wait(&mut self, priority: u32, until: Moment) -> oneshot::Receiver<Pick> {
-        let (tell, told) = oneshot::channel();
-        self.waiting.push(priority, until, tell);
-        told
+    /// Queues a request; the receiver gets an instance with free capacity.
+    pub fn wait_for_capacity(&mut self, priority: u32, until: Moment) -> oneshot::Receiver<Pick> {
+        let (sender, receiver) = oneshot::channel();
+        self.wait_queue.push(priority, until, sender);
+        receiver
     }
 
-    /// When one that is refused now may find room: the waiting ones, and those that
-    /// were asked back a moment ago, go first, one each time that an attempt ends here.
-    pub fn back(&mut self, now: Moment) -> Duration {
-        let gone = now.since(self.refused_at).as_secs_f64() / MOST_BACK.as_secs_f64();
-        self.refused = self.refused * (-gone).exp() + 1.0;
-        self.refused_at = now;
-        let waiting = u32::try_from(self.waiting.len(now)).unwrap_or(u32::MAX);
-        let ahead = self.refused + f64::from(waiting);
-        let span = self.ends.as_secs_f64() * ahead;
-        Duration::from_secs_f64(span).clamp(LEAST_BACK, MOST_BACK)
+    /// Estimates when a request refused now may find capacity: after the waiting requests and
+    /// the recently refused ones, assuming that each finished attempt frees one slot.
+    pub fn retry_after(&mut self, now: Moment) -> Duration {
+        let decay = now.since(self.last_refusal).as_secs_f64() / MAX_RETRY_AFTER.as_secs_f64();
+        self.recent_refusals = self.recent_refusals * (-decay).exp() + 1.0;
+        self.last_refusal = now;
+        let waiting = u32::try_from(self.wait_queue.len(now)).unwrap_or(u32::MAX);
+        let ahead = self.recent_refusals + f64::from(waiting);
+        let delay = self.completion_interval.as_secs_f64() * ahead;
+        Duration::from_secs_f64(delay).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// Hands room at an instance to one that waits for it.
-    fn hand_on(&mut self, now: Moment, pick: Pick) {
+    /// Offers free capacity of an instance to a waiting request.
+    fn wake_waiter(&mut self, now: Moment, pick: Pick) {
         while self.chooser.has_room(now, pick) {
-            let Some(waiter) = self.waiting.pop(now) else {
+            let Some(waiter) = self.wait_queue.pop(now) else {
                 return;
             };
-            // One whose caller has left lets the next one go.
+            // If the waiter's caller has disconnected, the next waiter gets the offer.
             if waiter.send(pick).is_ok() {
                 return;
             }
         }
     }
 
-    /// Notes that an attempt begins.
-    pub fn started(&mut self, now: Moment, pick: Pick) -> Ticket {
+    pub fn start_attempt(&mut self, now: Moment, pick: Pick) -> Ticket {
         self.chooser.started(now, pick)
     }
 
-    /// Notes the end of an attempt.
-    pub fn finished(
+    /// Records the result of an attempt.
+    pub fn finish_attempt(
         &mut self,
         now: Moment,
         ticket: Ticket,
@@ -342,20 +346,23 @@
     ) {
         let pick = ticket.pick();
         self.chooser.finished(now, ticket, kind, report);
-        let pause = now.since(self.ended).min(MOST_BACK);
-        self.ends = self.ends.mul_f64(1.0 - ENDS_WEIGHT) + pause.mul_f64(ENDS_WEIGHT);
-        self.ended = now;
-        if !self.waiting.is_empty() {
-            self.hand_on(now, pick);
+        let interval = now.since(self.last_completion).min(MAX_RETRY_AFTER);
+        self.completion_interval = self
+            .completion_interval
+            .mul_f64(1.0 - COMPLETION_INTERVAL_WEIGHT)
+            + interval.mul_f64(COMPLETION_INTERVAL_WEIGHT);
+        self.last_completion = now;
+        if !self.wait_queue.is_empty() {
+            self.wake_waiter(now, pick);
         }
     }
 }
 
-/// One process's share of the allowance.
-fn share(shared: &Shared) -> Share {
+/// This process's share of the retry allowance.
+fn retry_share(shared: &Shared) -> Share {
     let Shared { retry, entries, .. } = shared;
-    let percent = f64::from(retry.percent) * SPENT_SHARE;
-    let base = f64::from(retry.base) * SPENT_BASE / f64::from((*entries).max(1));
+    let percent = f64::from(retry.percent) * RETRY_PERCENT_UTILIZATION;
+    let base = f64::from(retry.base) * RETRY_BASE_UTILIZATION / f64::from((*entries).max(1));
     let floor = retry.window.as_secs_f64() / base.max(1e-3);
     Share {
         #[expect(
@@ -365,12 +372,12 @@
         )]
         percent: percent as u32,
         floor: Duration::from_secs_f64(floor),
-        burst: BURST,
+        burst: RETRY_BURST,
     }
 }
 
-fn phase(told: WirePhase) -> Phase {
-    match told {
+fn phase_from_wire(phase: WirePhase) -> Phase {
+    match phase {
         WirePhase::Ready => Phase::Ready,
         WirePhase::Draining | WirePhase::Unspecified => Phase::Draining,
         WirePhase::Gone => Phase::Gone,
--- a/crates/entry/src/balancer/cold.rs
+++ b/crates/entry/src/balancer/cold.rs
@@ -1,4 +1,4 @@
-//! Instances that are cold, and this process's share of what they take.
+//! Rate limiting of requests to cold instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,20 +12,20 @@
 use crate::processes::Processes;
 
 impl Balancer {
-    /// Takes over what cold instances bear, and who shares it.
+    /// Sets the rate limit of cold instances and the processes that share it.
     pub fn set_warmup(&mut self, warmup: Option<Warmup>, processes: &Arc<Processes>) {
         self.warmup = warmup;
         self.processes = Arc::clone(processes);
         self.chooser.share_cold(warmup.map(|_| processes.mark));
     }
 
-    /// Works out this process's share of instances that were found to be cold.
-    pub(super) fn share_cold(&mut self, now: Moment) {
+    /// Computes this process's share of the rate for instances that have become cold.
+    pub(super) fn update_cold_shares(&mut self, now: Moment) {
         let Some(warmup) = self.warmup else {
             return;
         };
-        // The process before this one may have used the share of this second.
-        if now.since(self.born) < COLD_WINDOW {
+        // A previous process at this address may have used its share within the same window.
+        if now.since(self.created_at) < COLD_WINDOW {
             return;
         }
         for pick in self.chooser.unshared(now) {
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Notes how much longer an instance says that it is cold.
-    pub fn told_cold(&mut self, now: Moment, pick: Pick, left: Duration) {
-        self.chooser.told_cold(now, pick, left);
+    /// Records how much longer an instance reports that it is cold.
+    pub fn record_cold(&mut self, now: Moment, pick: Pick, remaining: Duration) {
+        self.chooser.told_cold(now, pick, remaining);
     }
 }
--- a/crates/entry/src/balancer/dispatch.rs
+++ b/crates/entry/src/balancer/dispatch.rs
@@ -1,4 +1,5 @@
-//! Deciding for other processes, and what they decided for this one.
+//! The balancer's part in dispatching: grants to other processes, and grants received from
+//! the service's dispatcher.
 
 use std::time::Duration;
 
@@ -16,70 +17,70 @@
 
 use super::Balancer;
 use super::SelectedInstance;
+use crate::placing::duration_from_micros;
 use crate::placing::micros;
-use crate::placing::report;
+use crate::placing::report_from_wire;
 use crate::placing::report_to_wire;
-use crate::placing::span_of;
 
-/// After the end of a request the news of it may take so long.
-const GRANT_SLACK: Duration = Duration::from_millis(300);
-/// Requests a slot from which a service counts as busy. Below, a question costs processor
-/// time and bytes between failure domains and finds no better instance.
-const BUSY: f64 = 0.5;
+/// How long after a request's deadline the message that releases its grant may arrive.
+const GRANT_EXPIRY_MARGIN: Duration = Duration::from_millis(300);
+/// Requests per slot from which a service counts as busy. Below it, asking the dispatcher
+/// costs CPU time and bytes between failure domains without finding a better instance.
+const BUSY_LOAD: f64 = 0.5;
 
 impl Balancer {
-    /// Takes who decides for the service.
+    /// Sets which process dispatches for the service.
     pub fn set_dispatched(&mut self, now: Moment, dispatched: Dispatched) {
-        self.tenure.set(now, dispatched);
-        self.share_probes(now);
+        self.dispatcher_role.set(now, dispatched);
+        self.update_probe_share(now);
     }
 
-    /// Whether to ask the dispatcher: where instances have little to do, a few questions
-    /// of its own find a process as good a one.
+    /// Whether to ask the dispatcher. Under low load, this process finds an equally good
+    /// instance with a few probes of its own.
     #[must_use]
     pub fn is_busy(&self) -> bool {
-        self.chooser.load() >= BUSY
+        self.chooser.load() >= BUSY_LOAD
     }
 
-    /// Looks what time has brought: grants that are over, and a share that is due.
-    pub fn pass_time(&mut self, now: Moment) {
+    /// Expires overdue grants and updates the share of the probe budget.
+    pub fn tick(&mut self, now: Moment) {
         for ticket in self.grants.over(now) {
-            self.finished(now, ticket, Kind::Cancelled, None);
+            self.finish_attempt(now, ticket, Kind::Cancelled, None);
         }
-        self.share_probes(now);
+        self.update_probe_share(now);
     }
 
-    /// What a request of another process needs.
-    pub fn need(&mut self, ask: &Ask, domain: &DomainName) -> Need {
+    /// Returns the requirements of another process's request.
+    pub fn need_from_ask(&mut self, ask: &Ask, domain: &DomainName) -> Need {
         Need {
-            work: span_of(ask.work_us),
-            aim: span_of(ask.aim_us),
+            work: duration_from_micros(ask.work_us),
+            aim: duration_from_micros(ask.aim_us),
             crossing: ask.crossing,
             room: ask.room,
             home: self.chooser.home(domain),
         }
     }
 
-    /// Handles to the instances of these ids.
+    /// Returns the handles of the instances with these ids.
     #[must_use]
     pub fn picks(&self, ids: &[String]) -> Vec<Pick> {
         self.chooser.picks(ids)
     }
 
-    /// The ids of these instances.
+    /// Returns the ids of these instances.
     #[must_use]
     pub fn ids(&self, picks: &[Pick]) -> Vec<String> {
         let ids = picks.iter().filter_map(|pick| self.chooser.id(*pick));
         ids.map(ToString::to_string).collect()
     }
 
-    /// Grants what was chosen to another process, until its request is over.
+    /// Grants the selected instance to another process until `until`.
     pub fn grant(&mut self, now: Moment, chosen: &SelectedInstance, until: Moment) -> Placed {
         let choice = &chosen.choice;
         let ticket = self.chooser.started(now, choice.pick);
         Placed {
             outcome: Outcome::Granted.into(),
-            grant: self.grants.grant(until + GRANT_SLACK, ticket),
+            grant: self.grants.grant(until + GRANT_EXPIRY_MARGIN, ticket),
             instance: chosen.upstream.id.to_string(),
             incarnation: chosen.upstream.incarnation,
             report: choice.report.map(report_to_wire),
@@ -91,35 +92,41 @@
         }
     }
 
-    /// Takes back what was granted; what is over already changes nothing.
-    pub fn ended(&mut self, now: Moment, grant: u64, kind: Kind, report: Option<LoadReport>) {
+    /// Releases a grant; one that has expired or was released before is ignored.
+    pub fn release_grant(
+        &mut self,
+        now: Moment,
+        grant: u64,
+        kind: Kind,
+        report: Option<LoadReport>,
+    ) {
         if let Some(ticket) = self.grants.take(grant) {
-            self.finished(now, ticket, kind, report);
+            self.finish_attempt(now, ticket, kind, report);
         }
     }
 
-    /// What the dispatcher granted; none where the instance takes no work as far as this
-    /// process knows, or isn't known.
-    pub fn granted(&mut self, now: Moment, placed: &Placed) -> Option<SelectedInstance> {
+    /// Returns the instance that a dispatcher granted; `None` if this process doesn't know it
+    /// or knows that it takes no requests.
+    pub fn accept_grant(&mut self, now: Moment, placed: &Placed) -> Option<SelectedInstance> {
         let pick = self.chooser.find(&placed.instance, placed.incarnation)?;
-        let report = placed.report.as_ref().map(report);
+        let report = placed.report.as_ref().map(report_from_wire);
         if let Some(report) = report {
             self.chooser.told(now, pick, report);
         }
-        self.chosen(FreshChoice {
+        self.selected(FreshChoice {
             pick,
             reason: Reason::Placed,
-            age: (placed.age_us < u32::MAX).then(|| span_of(placed.age_us)),
+            age: (placed.age_us < u32::MAX).then(|| duration_from_micros(placed.age_us)),
             report,
             in_flight: placed.in_flight,
-            expected: span_of(placed.expected_us),
+            expected: duration_from_micros(placed.expected_us),
             cost: placed.cost,
         })
     }
 
-    /// How many grants to other processes are open.
+    /// Number of open grants to other processes.
     #[must_use]
-    pub fn grants(&self) -> usize {
+    pub fn open_grants(&self) -> usize {
         self.grants.len()
     }
 }
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -120,7 +120,7 @@
             grant.end(kind, report);
         }
         self.core.balancer(&self.service, |balancer, now| {
-            balancer.finished(now, ticket, kind, report);
+            balancer.finish_attempt(now, ticket, kind, report);
         });
     }
 }
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -193,7 +193,7 @@
         self.sent = body.known_length().unwrap_or_default();
         self.spool = body.spool();
         self.content = body.content();
-        self.balancer(Balancer::request);
+        self.balancer(Balancer::record_request);
         loop {
             let again = body.again();
             let end = self.attempt(body).await;
@@ -228,7 +228,7 @@
             }),
             "cost" => format!("{:.3}", chosen.choice.cost),
             "left_ms" => millis(left));
-        let ticket = self.balancer(|balancer, now| balancer.started(now, pick));
+        let ticket = self.balancer(|balancer, now| balancer.start_attempt(now, pick));
         let held = Held {
             ticket: ticket.ok_or(Reason::NoInstance)?,
             grant: chosen.grant,
@@ -252,7 +252,7 @@
         self.note(&end, sent.elapsed());
         self.learn(&end, upstream, sent).await;
         if matches!(end, End::Elsewhere) {
-            self.balancer(|balancer, _| balancer.displaced(pick));
+            self.balancer(|balancer, _| balancer.record_displaced(pick));
         }
         if let End::Answer(parts, Answered::Whole(bytes)) = &end
             && parts.status.is_success()
@@ -325,7 +325,7 @@
         }
         let back = match reason {
             Reason::Quarantined => self.back,
-            Reason::Full => self.back.or_else(|| self.balancer(Balancer::back)),
+            Reason::Full => self.back.or_else(|| self.balancer(Balancer::retry_after)),
             _ => Some(BACK_UNKNOWN),
         };
         Outcome::Own(reason, back)
@@ -337,7 +337,7 @@
         if !allowed {
             return false;
         }
-        let paid = self.balancer(Balancer::pay).unwrap_or(false);
+        let paid = self.balancer(Balancer::try_spend_retry).unwrap_or(false);
         if !paid {
             self.core.counters.unpaid(&self.service);
         }
--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/placing.rs
@@ -30,10 +30,10 @@
 
 pub use self::grant::Grant;
 
+pub(crate) use self::convert::duration_from_micros;
 pub(crate) use self::convert::micros;
-pub(crate) use self::convert::report;
+pub(crate) use self::convert::report_from_wire;
 pub(crate) use self::convert::report_to_wire;
-pub(crate) use self::convert::span_of;
 
 use crate::core::Core;
 use crate::search::Found;
@@ -114,11 +114,11 @@
         Outcome::Granted => {
             let grant = Grant::new(&place, service, placed.grant);
             let chosen =
-                core.balancer(service, |balancer, now| balancer.granted(now, &placed))??;
-            Some(Found::Selected(chosen.with(grant)))
+                core.balancer(service, |balancer, now| balancer.accept_grant(now, &placed))??;
+            Some(Found::Selected(chosen.with_grant(grant)))
         }
         Outcome::Wait => Some(Found::Wait),
-        Outcome::Full => Some(Found::Full(Some(span_of(placed.back_us)))),
+        Outcome::Full => Some(Found::Full(Some(duration_from_micros(placed.back_us)))),
         Outcome::Unspecified => None,
     }
 }
--- a/crates/entry/src/placing/convert.rs
+++ b/crates/entry/src/placing/convert.rs
@@ -11,7 +11,7 @@
     u32::try_from(span.as_micros()).unwrap_or(u32::MAX)
 }
 
-pub(crate) fn span_of(micros: u32) -> Duration {
+pub(crate) fn duration_from_micros(micros: u32) -> Duration {
     Duration::from_micros(micros.into())
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-pub(crate) fn report(report: &Report) -> LoadReport {
+pub(crate) fn report_from_wire(report: &Report) -> LoadReport {
     LoadReport {
         running: report.running,
         waiting: report.waiting,
@@ -44,7 +44,7 @@
     }
 }
 
-pub(super) fn kind(kind: WireKind) -> Kind {
+pub(super) fn kind_from_wire(kind: WireKind) -> Kind {
     match kind {
         WireKind::Ok => Kind::Ok,
         WireKind::Error => Kind::Error,
--- a/crates/entry/src/placing/server.rs
+++ b/crates/entry/src/placing/server.rs
@@ -22,10 +22,10 @@
 use wire::place::Outcome;
 use wire::place::Placed;
 
-use super::convert::kind;
+use super::convert::duration_from_micros;
+use super::convert::kind_from_wire;
 use super::convert::micros;
-use super::convert::report;
-use super::convert::span_of;
+use super::convert::report_from_wire;
 use super::word;
 use crate::balancer::Balancer;
 use crate::core::Core;
@@ -53,11 +53,11 @@
     fn want(&self, service: &ServiceName, ask: &Ask) -> Option<Want> {
         let domain = DomainName::new(&ask.domain).ok()?;
         self.core.balancer(service, |balancer, _| Want {
-            need: balancer.need(ask, &domain),
+            need: balancer.need_from_ask(ask, &domain),
             rank: ask.priority,
             exclude: balancer.picks(&ask.exclude),
-            patience: span_of(ask.patience_us),
-            left: span_of(ask.left_us),
+            patience: duration_from_micros(ask.patience_us),
+            left: duration_from_micros(ask.left_us),
         })
     }
 
@@ -72,7 +72,7 @@
             }),
             Found::Wait => Some(outcome(Outcome::Wait)),
             Found::Full(_) => {
-                let back = self.core.balancer(service, Balancer::back)?;
+                let back = self.core.balancer(service, Balancer::retry_after)?;
                 Some(Placed {
                     back_us: micros(back),
                     ..outcome(Outcome::Full)
@@ -119,10 +119,10 @@
             warn!(self.core.log, "bad end of an attempt"; "grant" => end.grant);
             return;
         };
-        let told = end.report.as_ref().map(report);
-        let kind = kind(end.kind());
+        let told = end.report.as_ref().map(report_from_wire);
+        let kind = kind_from_wire(end.kind());
         self.core.balancer(&service, |balancer, now| {
-            balancer.ended(now, end.grant, kind, told)
+            balancer.release_grant(now, end.grant, kind, told)
         });
     }
 }
--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -43,8 +43,8 @@
 pub async fn bring_back(core: Arc<Core>) {
     loop {
         tokio::time::sleep(LOOK).await;
-        core.balancers(Balancer::pass_time);
-        for (service, due) in core.balancers(Balancer::ejected) {
+        core.balancers(Balancer::tick);
+        for (service, due) in core.balancers(Balancer::plan_ejected_probes) {
             if !due.is_empty() {
                 ask(&core, &service, due).await;
             }
@@ -67,7 +67,7 @@
                 Ok(Found::Load(report, cold)) => {
                     if let Some(left) = cold {
                         core.balancer(&service, |balancer, now| {
-                            balancer.told_cold(now, pick, left)
+                            balancer.record_cold(now, pick, left)
                         });
                     }
                     Some(report)
@@ -75,13 +75,15 @@
                 Ok(Found::Another) => {
                     info!(core.log, "address taken over"; "instance" => %upstream.id,
                         "service" => %service, "address" => %upstream.address);
-                    core.balancer(&service, |balancer, _| balancer.displaced(pick));
+                    core.balancer(&service, |balancer, _| balancer.record_displaced(pick));
                     None
                 }
                 Ok(Found::Nothing) | Err(_) => None,
             };
             core.counters.probe(&service, report.is_some());
-            core.balancer(&service, |balancer, now| balancer.probed(now, pick, report));
+            core.balancer(&service, |balancer, now| {
+                balancer.record_probe(now, pick, report)
+            });
             // A choice that no longer waits has let go of its end.
             let _ = done.try_send(());
         });
--- a/crates/entry/src/search.rs
+++ b/crates/entry/src/search.rs
@@ -46,7 +46,7 @@
     let began = Instant::now();
     for round in 0.. {
         let plan = core.balancer(service, |balancer, now| {
-            balancer.plan(now, &want.need, &want.exclude, round)
+            balancer.plan_probes(now, &want.need, &want.exclude, round)
         });
         let asked = plan.unwrap_or_default();
         if asked.is_empty() {
@@ -88,13 +88,15 @@
     span: Duration,
 ) -> Option<SelectedInstance> {
     let until = core.clock.now() + span;
-    let told = core.balancer(service, |balancer, _| balancer.wait(want.rank, until))?;
+    let told = core.balancer(service, |balancer, _| {
+        balancer.wait_for_capacity(want.rank, until)
+    })?;
     let began = Instant::now();
     let told = tokio::time::timeout(span, told).await;
     core.counters.waited(service, began.elapsed());
     let pick = told.ok()?.ok()?;
     match core.balancer(service, |balancer, now| {
-        balancer.choose_this(now, &want.need, pick)
+        balancer.choose_instance(now, &want.need, pick)
     })? {
         Selection::Send(chosen) => Some(chosen),
         // The machine is slow now: there is time to wait for another one.
--- a/crates/entry/src/tail.rs
+++ b/crates/entry/src/tail.rs
@@ -129,9 +129,9 @@
             "error" => %err);
         asked.core.counters.broke_off(service);
         let pick = asked.choice.pick;
-        asked
-            .core
-            .balancer(service, |balancer, now| balancer.broke_off(now, pick));
+        asked.core.balancer(service, |balancer, now| {
+            balancer.record_broken_response(now, pick)
+        });
         let broken = Broken {
             subject: asked.subject.clone(),
             upstream: Arc::clone(&asked.upstream),
