--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -52,7 +52,7 @@
 
 /// An attempt that ended without a whole answer.
 #[derive(Clone, Debug)]
-pub struct Broken {
+pub struct BrokenAttempt {
     /// The request.
     pub subject: Subject,
     /// Where it was sent.
@@ -88,7 +88,7 @@
 }
 
 /// Looks what became of the instance, beside whatever the request does next.
-pub fn look(core: &Arc<Core>, broken: Broken) -> Look {
+pub fn look(core: &Arc<Core>, broken: BrokenAttempt) -> Look {
     let core = Arc::clone(core);
     let (tell, word) = oneshot::channel();
     let fate = tokio::spawn(async move { judge(&core, &broken, tell).await });
@@ -96,9 +96,9 @@
 }
 
 /// Drops `tell` as soon as there is nothing to wait for.
-async fn judge(core: &Core, broken: &Broken, tell: oneshot::Sender<()>) -> Fate {
+async fn judge(core: &Core, broken: &BrokenAttempt, tell: oneshot::Sender<()>) -> Fate {
     let mut tell = Some(tell);
-    let Broken {
+    let BrokenAttempt {
         subject, upstream, ..
     } = broken;
     let print = subject.content.fingerprint(subject.head);
@@ -117,7 +117,7 @@
 }
 
 /// Tells the hubs, and waits until one of them has said what it knows.
-async fn report(core: &Core, broken: &Broken, request: Fingerprint) {
+async fn report(core: &Core, broken: &BrokenAttempt, request: Fingerprint) {
     let upstream = &broken.upstream;
     let number = core.crashed(Crash {
         request,
--- a/crates/entry/src/flow/guard.rs
+++ b/crates/entry/src/flow/guard.rs
@@ -10,7 +10,7 @@
 use super::Flow;
 use super::millis;
 use crate::crash;
-use crate::crash::Broken;
+use crate::crash::BrokenAttempt;
 use crate::crash::Subject;
 use crate::exchange::Answered;
 use crate::exchange::End;
@@ -64,7 +64,7 @@
     /// Looks whether the attempt ended together with its instance. What may be sent again
     /// waits until the hubs say whether it is to be.
     async fn broke_off(&self, upstream: &Arc<Upstream>, sent: Instant) {
-        let broken = Broken {
+        let broken = BrokenAttempt {
             subject: self.subject(),
             upstream: Arc::clone(upstream),
             sent,
--- a/crates/entry/src/tail.rs
+++ b/crates/entry/src/tail.rs
@@ -19,7 +19,7 @@
 use crate::body::BodyError;
 use crate::core::Core;
 use crate::crash;
-use crate::crash::Broken;
+use crate::crash::BrokenAttempt;
 use crate::crash::Subject;
 use crate::habit::Habit;
 use crate::pool::Connection;
@@ -132,7 +132,7 @@
         asked.core.balancer(service, |balancer, now| {
             balancer.record_broken_response(now, pick)
         });
-        let broken = Broken {
+        let broken = BrokenAttempt {
             subject: asked.subject.clone(),
             upstream: Arc::clone(&asked.upstream),
             sent: asked.sent,
--- a/crates/entry/tests/test_crash.rs
+++ b/crates/entry/tests/test_crash.rs
@@ -8,7 +8,7 @@
 use entry::Entry;
 use entry::body::Content;
 use entry::crash;
-use entry::crash::Broken;
+use entry::crash::BrokenAttempt;
 use entry::crash::Fate;
 use entry::crash::Subject;
 use entry::pool::Pool;
@@ -25,9 +25,9 @@
 
 const CALLER: &str = "127.0.0.1";
 
-fn broken(upstream: &Upstream) -> Broken {
+fn broken(upstream: &Upstream) -> BrokenAttempt {
     let head = Head::new(CALLER, "GET", "example.org", "/read/a");
-    Broken {
+    BrokenAttempt {
         subject: Subject {
             id: "r-1".parse().expect("a header"),
             caller: CALLER.into(),
@@ -49,7 +49,7 @@
     }
 }
 
-async fn fate(entry: &Entry, broken: Broken) -> Fate {
+async fn fate(entry: &Entry, broken: BrokenAttempt) -> Fate {
     crash::look(entry.core(), broken).fate.await.expect("looks")
 }
 
