--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -30,7 +30,7 @@
 
 /// A request, as it is told from others.
 #[derive(Clone, Debug)]
-pub struct Subject {
+pub struct RequestIdentity {
     /// The caller's name for it.
     pub id: HeaderValue,
     /// Who sent it: a name or an address.
@@ -41,7 +41,7 @@
     pub content: Content,
 }
 
-impl Subject {
+impl RequestIdentity {
     /// Notes that an instance has answered it.
     pub fn succeeded(&self, core: &Core) {
         if let Some(request) = self.content.known_fingerprint(self.head) {
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug)]
 pub struct BrokenAttempt {
     /// The request.
-    pub subject: Subject,
+    pub subject: RequestIdentity,
     /// Where it was sent.
     pub upstream: Arc<Upstream>,
     /// When.
--- a/crates/entry/src/flow/guard.rs
+++ b/crates/entry/src/flow/guard.rs
@@ -11,7 +11,7 @@
 use super::millis;
 use crate::crash;
 use crate::crash::BrokenAttempt;
-use crate::crash::Subject;
+use crate::crash::RequestIdentity;
 use crate::exchange::Answered;
 use crate::exchange::End;
 use crate::refusal::Reason;
@@ -52,8 +52,8 @@
     }
 
     /// What the request is told by in an attempt that breaks off.
-    pub(super) fn subject(&self) -> Subject {
-        Subject {
+    pub(super) fn subject(&self) -> RequestIdentity {
+        RequestIdentity {
             id: self.call.id.clone(),
             caller: Arc::clone(&self.call.caller),
             head: self.call.head,
--- a/crates/entry/src/tail.rs
+++ b/crates/entry/src/tail.rs
@@ -20,7 +20,7 @@
 use crate::core::Core;
 use crate::crash;
 use crate::crash::BrokenAttempt;
-use crate::crash::Subject;
+use crate::crash::RequestIdentity;
 use crate::habit::Habit;
 use crate::pool::Connection;
 use crate::view::Upstream;
@@ -46,7 +46,7 @@
     /// The process.
     pub core: Arc<Core>,
     /// The request.
-    pub subject: Subject,
+    pub subject: RequestIdentity,
     /// The request's route.
     pub route: Arc<Route>,
     /// The instance.
--- a/crates/entry/tests/test_crash.rs
+++ b/crates/entry/tests/test_crash.rs
@@ -10,7 +10,7 @@
 use entry::crash;
 use entry::crash::BrokenAttempt;
 use entry::crash::Fate;
-use entry::crash::Subject;
+use entry::crash::RequestIdentity;
 use entry::pool::Pool;
 use fakes::HUB;
 use fakes::entry;
@@ -28,7 +28,7 @@
 fn broken(upstream: &Upstream) -> BrokenAttempt {
     let head = Head::new(CALLER, "GET", "example.org", "/read/a");
     BrokenAttempt {
-        subject: Subject {
+        subject: RequestIdentity {
             id: "r-1".parse().expect("a header"),
             caller: CALLER.into(),
             head,
