--- a/crates/entry/tests/test_crash.rs
+++ b/crates/entry/tests/test_crash.rs
@@ -28,7 +28,7 @@
 fn broken(upstream: &Upstream) -> BrokenAttempt {
     let head = Head::new(CALLER, "GET", "example.org", "/read/a");
     BrokenAttempt {
-        subject: RequestIdentity {
+        request: RequestIdentity {
             id: "r-1".parse().expect("a header"),
             caller: CALLER.into(),
             head,
