--- a/crates/entry/tests/test_crash.rs
+++ b/crates/entry/tests/test_crash.rs
@@ -44,7 +44,7 @@
             cold: std::time::Duration::ZERO,
             pool: Pool::new(upstream.address),
         }),
-        sent: Instant::now(),
+        sent_at: Instant::now(),
         at: Instant::now(),
     }
 }
