--- a/crates/entry/tests/test_crash.rs
+++ b/crates/entry/tests/test_crash.rs
@@ -45,7 +45,7 @@
             pool: Pool::new(upstream.address),
         }),
         sent_at: Instant::now(),
-        at: Instant::now(),
+        broken_at: Instant::now(),
     }
 }
 
