--- a/crates/entry/tests/test_crash.rs
+++ b/crates/entry/tests/test_crash.rs
@@ -50,7 +50,10 @@
 }
 
 async fn fate(entry: &Entry, broken: BrokenAttempt) -> Fate {
-    crash::look(entry.core(), broken).fate.await.expect("looks")
+    crash::check(entry.core(), broken)
+        .fate
+        .await
+        .expect("looks")
 }
 
 #[tokio::test]
