--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -18,7 +18,7 @@
 use quarantine::Head;
 use quick_error::quick_error;
 
-use crate::tail::Tail;
+use crate::tail::StreamTracker;
 
 use self::spool::Reader;
 pub use self::spool::Spool;
@@ -208,7 +208,7 @@
 /// ends.
 pub struct Returned {
     body: Outgoing,
-    tail: Option<Tail>,
+    tail: Option<StreamTracker>,
 }
 
 impl Returned {
@@ -224,7 +224,7 @@
 
     /// A body of which `first` was read.
     #[must_use]
-    pub fn stream(first: Bytes, rest: Incoming, tail: Tail) -> Self {
+    pub fn stream(first: Bytes, rest: Incoming, tail: StreamTracker) -> Self {
         let first = Some(first).filter(|first| !first.is_empty());
         Self {
             body: Outgoing::Stream(first, rest),
--- a/crates/entry/src/flow/answer.rs
+++ b/crates/entry/src/flow/answer.rs
@@ -16,7 +16,7 @@
 use crate::refusal;
 use crate::tail::Asked;
 use crate::tail::Origin;
-use crate::tail::Tail;
+use crate::tail::StreamTracker;
 
 impl Flow {
     /// An answer whose body is passed on as it comes.
@@ -34,7 +34,7 @@
             bytes: self.sent,
             end: self.end,
         };
-        Returned::stream(first, rest, Tail::new(asked, origin))
+        Returned::stream(first, rest, StreamTracker::new(asked, origin))
     }
 
     pub(super) fn respond(&self, outcome: Outcome) -> Response<Returned> {
--- a/crates/entry/src/tail.rs
+++ b/crates/entry/src/tail.rs
@@ -62,7 +62,7 @@
 }
 
 /// An answer under way. One that is dropped before its end was left by its caller.
-pub struct Tail {
+pub struct StreamTracker {
     asked: Asked,
     origin: Origin,
     /// Bytes of the answer's body that have come.
@@ -71,7 +71,7 @@
     timer: Pin<Box<Sleep>>,
 }
 
-impl Tail {
+impl StreamTracker {
     /// An answer whose head has come.
     #[must_use]
     pub fn new(asked: Asked, origin: Origin) -> Self {
