--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -18,7 +18,7 @@
 use quarantine::Head;
 use quick_error::quick_error;
 
-use crate::tail::StreamTracker;
+use crate::stream_tracker::StreamTracker;
 
 use self::spool::Reader;
 pub use self::spool::Spool;
@@ -208,7 +208,7 @@
 /// ends.
 pub struct Returned {
     body: Outgoing,
-    tail: Option<StreamTracker>,
+    stream_tracker: Option<StreamTracker>,
 }
 
 impl Returned {
@@ -218,17 +218,17 @@
         let bytes = Some(bytes).filter(|bytes| !bytes.is_empty());
         Self {
             body: Outgoing::Whole(bytes),
-            tail: None,
+            stream_tracker: None,
         }
     }
 
     /// A body of which `first` was read.
     #[must_use]
-    pub fn stream(first: Bytes, rest: Incoming, tail: StreamTracker) -> Self {
+    pub fn stream(first: Bytes, rest: Incoming, stream_tracker: StreamTracker) -> Self {
         let first = Some(first).filter(|first| !first.is_empty());
         Self {
             body: Outgoing::Stream(first, rest),
-            tail: Some(tail),
+            stream_tracker: Some(stream_tracker),
         }
     }
 
@@ -237,8 +237,8 @@
         match step {
             Some(Ok(frame)) => {
                 let bytes = frame.data_ref().map_or(0, Bytes::len);
-                if let Some(tail) = &mut self.tail {
-                    tail.came(bytes);
+                if let Some(stream_tracker) = &mut self.stream_tracker {
+                    stream_tracker.came(bytes);
                 }
                 // The last part of a body whose length was told; nobody asks for more.
                 if self.body.is_over() {
@@ -247,16 +247,16 @@
             }
             None => self.end(),
             Some(Err(err)) => {
-                if let Some(tail) = self.tail.take() {
-                    tail.broke_off(err);
+                if let Some(stream_tracker) = self.stream_tracker.take() {
+                    stream_tracker.broke_off(err);
                 }
             }
         }
     }
 
     fn end(&mut self) {
-        if let Some(tail) = self.tail.take() {
-            tail.whole();
+        if let Some(stream_tracker) = self.stream_tracker.take() {
+            stream_tracker.whole();
         }
     }
 }
@@ -272,7 +272,10 @@
         let step = match self.body.step(cx) {
             Poll::Ready(step) => step,
             Poll::Pending => {
-                let stalled = self.tail.as_mut().map(|tail| tail.poll_stalled(cx));
+                let stalled = self
+                    .stream_tracker
+                    .as_mut()
+                    .map(|stream_tracker| stream_tracker.poll_stalled(cx));
                 if stalled != Some(Poll::Ready(())) {
                     return Poll::Pending;
                 }
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -30,7 +30,7 @@
 use crate::headers;
 use crate::placing::Grant;
 use crate::pool::Connection;
-use crate::tail::Origin;
+use crate::stream_tracker::Origin;
 use crate::view::Upstream;
 
 /// Bytes of an answer that come in one packet beside its head. One that is no longer is read
--- a/crates/entry/src/flow/answer.rs
+++ b/crates/entry/src/flow/answer.rs
@@ -14,9 +14,9 @@
 use crate::exchange::Answered;
 use crate::headers;
 use crate::refusal;
-use crate::tail::Asked;
-use crate::tail::Origin;
-use crate::tail::StreamTracker;
+use crate::stream_tracker::Asked;
+use crate::stream_tracker::Origin;
+use crate::stream_tracker::StreamTracker;
 
 impl Flow {
     /// An answer whose body is passed on as it comes.
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -30,8 +30,8 @@
 pub mod search;
 pub mod serve;
 pub mod settings;
+pub mod stream_tracker;
 pub mod sync;
-pub mod tail;
 pub mod view;
 
 pub use dialect::Dialect;
