--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -238,7 +238,7 @@
             Some(Ok(frame)) => {
                 let bytes = frame.data_ref().map_or(0, Bytes::len);
                 if let Some(stream_tracker) = &mut self.stream_tracker {
-                    stream_tracker.came(bytes);
+                    stream_tracker.record_received(bytes);
                 }
                 // The last part of a body whose length was told; nobody asks for more.
                 if self.body.is_over() {
