--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -33,7 +33,7 @@
 use crate::balancer::Balancer;
 use crate::counters::Counters;
 use crate::dialect::Dialect;
-use crate::habit::Habit;
+use crate::habit::RouteStats;
 use crate::placing::Places;
 use crate::processes::Processes;
 use crate::settings::Settings;
@@ -62,7 +62,7 @@
     instances: Instances,
     balancers: HashMap<ServiceName, Balancer>,
     splits: HashMap<Arc<str>, Split>,
-    habits: HashMap<Arc<str>, Habit>,
+    habits: HashMap<Arc<str>, RouteStats>,
     hosts: Vec<EntryHost>,
     entries: u32,
     /// The failure domains to which nothing is sent.
@@ -323,10 +323,10 @@
     }
 
     /// Reads or changes what is usual for a route.
-    pub fn habit<T>(&self, route: &table::Route, ask: impl FnOnce(&mut Habit) -> T) -> T {
+    pub fn habit<T>(&self, route: &table::Route, ask: impl FnOnce(&mut RouteStats) -> T) -> T {
         let mut known = self.known();
         let habit = known.habits.entry(Arc::clone(&route.name));
-        ask(habit.or_insert_with(|| Habit::guess(route.aim, route.timeout)))
+        ask(habit.or_insert_with(|| RouteStats::guess(route.aim, route.timeout)))
     }
 
     /// Asks every service's desk.
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -36,7 +36,7 @@
 use crate::exchange::End;
 use crate::exchange::Held;
 use crate::exchange::Patience;
-use crate::habit::Habit;
+use crate::habit::RouteStats;
 use crate::headers;
 use crate::refusal::Reason;
 use crate::view::Upstream;
@@ -259,7 +259,7 @@
         {
             let moved = bytes.len() as u64 + self.sent;
             let latency = sent.elapsed();
-            let learn = |habit: &mut Habit| habit.learn(latency, &chosen.choice, moved);
+            let learn = |habit: &mut RouteStats| habit.learn(latency, &chosen.choice, moved);
             self.core.habit(&self.route, learn);
         }
         Ok(end)
--- a/crates/entry/src/habit.rs
+++ b/crates/entry/src/habit.rs
@@ -26,14 +26,14 @@
 
 /// What is usual for one route.
 #[derive(Clone, Debug)]
-pub struct Habit {
+pub struct RouteStats {
     work: f64,
     bytes: f64,
     timeout: Option<Duration>,
     left: Left,
 }
 
-impl Habit {
+impl RouteStats {
     /// A guess from the route's aim and timeout.
     #[must_use]
     pub fn guess(aim: Option<Duration>, timeout: Option<Duration>) -> Self {
--- a/crates/entry/src/stream_tracker.rs
+++ b/crates/entry/src/stream_tracker.rs
@@ -21,7 +21,7 @@
 use crate::crash;
 use crate::crash::BrokenAttempt;
 use crate::crash::RequestIdentity;
-use crate::habit::Habit;
+use crate::habit::RouteStats;
 use crate::pool::Connection;
 use crate::view::Upstream;
 
@@ -108,7 +108,7 @@
         asked.subject.succeeded(&asked.core);
         let latency = asked.sent.elapsed();
         let bytes = asked.bytes + self.came;
-        let learn = |habit: &mut Habit| habit.learn(latency, &asked.choice, bytes);
+        let learn = |habit: &mut RouteStats| habit.learn(latency, &asked.choice, bytes);
         asked.core.habit(&asked.route, learn);
         if self.origin.reusable {
             let Origin {
--- a/crates/entry/tests/test_habit.rs
+++ b/crates/entry/tests/test_habit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use entry::habit::Habit;
+use entry::habit::RouteStats;
 
 fn millis(count: u64) -> Duration {
     Duration::from_millis(count)
@@ -11,14 +11,14 @@
 
 /// A route, and the time of its next caller, 100 ms after the one before.
 struct Route {
-    habit: Habit,
+    habit: RouteStats,
     now: Moment,
 }
 
 impl Route {
     fn new() -> Self {
         Self {
-            habit: Habit::guess(Some(millis(300)), None),
+            habit: RouteStats::guess(Some(millis(300)), None),
             now: Moment::from_millis(1_000),
         }
     }
@@ -97,7 +97,7 @@
 #[test]
 fn test_habit_first_callers_after_a_restart_are_not_measured_by_the_most_patient() {
     let timeout = Some(millis(500));
-    let mut habit = Habit::guess(Some(millis(200)), timeout);
+    let mut habit = RouteStats::guess(Some(millis(200)), timeout);
     let mut now = Moment::from_millis(1_000);
     for step in 0..50 {
         now = now + millis(20);
