--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -62,7 +62,7 @@
     instances: Instances,
     balancers: HashMap<ServiceName, Balancer>,
     splits: HashMap<Arc<str>, Split>,
-    habits: HashMap<Arc<str>, RouteStats>,
+    route_stats_by_name: HashMap<Arc<str>, RouteStats>,
     hosts: Vec<EntryHost>,
     entries: u32,
     /// The failure domains to which nothing is sent.
@@ -187,7 +187,9 @@
         let hosts = routes.table.hosts.iter();
         let names: HashSet<&Arc<str>> = hosts.flat_map(|h| &h.routes).map(|r| &r.name).collect();
         let mut known = self.known();
-        known.habits.retain(|name, _| names.contains(name));
+        known
+            .route_stats_by_name
+            .retain(|name, _| names.contains(name));
         known.splits.retain(|name, _| names.contains(name));
     }
 
@@ -325,7 +327,7 @@
     /// Reads or changes what is usual for a route.
     pub fn habit<T>(&self, route: &table::Route, ask: impl FnOnce(&mut RouteStats) -> T) -> T {
         let mut known = self.known();
-        let habit = known.habits.entry(Arc::clone(&route.name));
+        let habit = known.route_stats_by_name.entry(Arc::clone(&route.name));
         ask(habit.or_insert_with(|| RouteStats::guess(route.aim, route.timeout)))
     }
 
