--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -33,9 +33,9 @@
 use crate::balancer::Balancer;
 use crate::counters::Counters;
 use crate::dialect::Dialect;
-use crate::habit::RouteStats;
 use crate::placing::Places;
 use crate::processes::Processes;
+use crate::route_stats::RouteStats;
 use crate::settings::Settings;
 use crate::view::Instances;
 use crate::view::Routes;
@@ -325,10 +325,14 @@
     }
 
     /// Reads or changes what is usual for a route.
-    pub fn habit<T>(&self, route: &table::Route, ask: impl FnOnce(&mut RouteStats) -> T) -> T {
+    pub fn route_stats<T>(
+        &self,
+        route: &table::Route,
+        ask: impl FnOnce(&mut RouteStats) -> T,
+    ) -> T {
         let mut known = self.known();
-        let habit = known.route_stats_by_name.entry(Arc::clone(&route.name));
-        ask(habit.or_insert_with(|| RouteStats::guess(route.aim, route.timeout)))
+        let route_stats = known.route_stats_by_name.entry(Arc::clone(&route.name));
+        ask(route_stats.or_insert_with(|| RouteStats::guess(route.aim, route.timeout)))
     }
 
     /// Asks every service's desk.
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -36,9 +36,9 @@
 use crate::exchange::End;
 use crate::exchange::Held;
 use crate::exchange::Patience;
-use crate::habit::RouteStats;
 use crate::headers;
 use crate::refusal::Reason;
+use crate::route_stats::RouteStats;
 use crate::view::Upstream;
 
 /// Time for a request that names none.
@@ -136,7 +136,9 @@
         return head::refuse(&core, &id, &routes, Reason::TooLarge, None);
     }
     let spent = named.map_or(Duration::ZERO, |_| {
-        core.habit(route, |habit| habit.spent(core.clock.now(), deadline))
+        core.route_stats(route, |route_stats| {
+            route_stats.spent(core.clock.now(), deadline)
+        })
     });
     let aim = route.aim.unwrap_or(deadline / 2).saturating_sub(spent);
     let (call, incoming) = head::call(&core, caller, &host, id, request);
@@ -259,8 +261,9 @@
         {
             let moved = bytes.len() as u64 + self.sent;
             let latency = sent.elapsed();
-            let learn = |habit: &mut RouteStats| habit.learn(latency, &chosen.choice, moved);
-            self.core.habit(&self.route, learn);
+            let learn =
+                |route_stats: &mut RouteStats| route_stats.learn(latency, &chosen.choice, moved);
+            self.core.route_stats(&self.route, learn);
         }
         Ok(end)
     }
--- a/crates/entry/src/flow/choice.rs
+++ b/crates/entry/src/flow/choice.rs
@@ -110,7 +110,8 @@
 
     /// Usual time of work.
     fn work(&self) -> Duration {
-        self.core.habit(&self.route, |habit| habit.work())
+        self.core
+            .route_stats(&self.route, |route_stats| route_stats.work())
     }
 
     /// What the request needs of an instance now.
@@ -123,7 +124,9 @@
         Need {
             work: self.work(),
             aim,
-            crossing: self.core.habit(&self.route, |habit| habit.crossing(price)),
+            crossing: self
+                .core
+                .route_stats(&self.route, |route_stats| route_stats.crossing(price)),
             room: if self.is_late() { LATE_ROOM } else { 1.0 },
             home: Home::OWN,
         }
--- a/crates/entry/src/stream_tracker.rs
+++ b/crates/entry/src/stream_tracker.rs
@@ -21,8 +21,8 @@
 use crate::crash;
 use crate::crash::BrokenAttempt;
 use crate::crash::RequestIdentity;
-use crate::habit::RouteStats;
 use crate::pool::Connection;
+use crate::route_stats::RouteStats;
 use crate::view::Upstream;
 
 /// An answer that has come no further for so long after its request's time was up has ended
@@ -108,8 +108,8 @@
         asked.subject.succeeded(&asked.core);
         let latency = asked.sent.elapsed();
         let bytes = asked.bytes + self.came;
-        let learn = |habit: &mut RouteStats| habit.learn(latency, &asked.choice, bytes);
-        asked.core.habit(&asked.route, learn);
+        let learn = |route_stats: &mut RouteStats| route_stats.learn(latency, &asked.choice, bytes);
+        asked.core.route_stats(&asked.route, learn);
         if self.origin.reusable {
             let Origin {
                 connection, kept, ..
--- a/crates/entry/tests/test_habit.rs
+++ b/crates/entry/tests/test_habit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use entry::habit::RouteStats;
+use entry::route_stats::RouteStats;
 
 fn millis(count: u64) -> Duration {
     Duration::from_millis(count)
@@ -11,14 +11,14 @@
 
 /// A route, and the time of its next caller, 100 ms after the one before.
 struct Route {
-    habit: RouteStats,
+    route_stats: RouteStats,
     now: Moment,
 }
 
 impl Route {
     fn new() -> Self {
         Self {
-            habit: RouteStats::guess(Some(millis(300)), None),
+            route_stats: RouteStats::guess(Some(millis(300)), None),
             now: Moment::from_millis(1_000),
         }
     }
@@ -34,7 +34,7 @@
 
     fn spent(&mut self, left: u64) -> Duration {
         self.now = self.now + millis(100);
-        self.habit.spent(self.now, millis(left))
+        self.route_stats.spent(self.now, millis(left))
     }
 }
 
@@ -97,7 +97,7 @@
 #[test]
 fn test_habit_first_callers_after_a_restart_are_not_measured_by_the_most_patient() {
     let timeout = Some(millis(500));
-    let mut habit = RouteStats::guess(Some(millis(200)), timeout);
+    let mut route_stats = RouteStats::guess(Some(millis(200)), timeout);
     let mut now = Moment::from_millis(1_000);
     for step in 0..50 {
         now = now + millis(20);
@@ -106,9 +106,9 @@
         } else {
             425 + step * 7 % 75
         };
-        let spent = habit.spent(now, millis(left));
+        let spent = route_stats.spent(now, millis(left));
         assert!(spent.is_zero(), "{spent:?} at {step}");
     }
     // One that was refused and has come back.
-    assert!(habit.spent(now, millis(300)) >= millis(190));
+    assert!(route_stats.spent(now, millis(300)) >= millis(190));
 }
