--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -332,7 +332,7 @@
     ) -> T {
         let mut known = self.known();
         let route_stats = known.route_stats_by_name.entry(Arc::clone(&route.name));
-        ask(route_stats.or_insert_with(|| RouteStats::guess(route.aim, route.timeout)))
+        ask(route_stats.or_insert_with(|| RouteStats::initial(route.aim, route.timeout)))
     }
 
     /// Asks every service's desk.
--- a/crates/entry/src/route_stats.rs
+++ b/crates/entry/src/route_stats.rs
@@ -36,7 +36,7 @@
 impl RouteStats {
     /// A guess from the route's aim and timeout.
     #[must_use]
-    pub fn guess(aim: Option<Duration>, timeout: Option<Duration>) -> Self {
+    pub fn initial(aim: Option<Duration>, timeout: Option<Duration>) -> Self {
         Self {
             work: aim.map_or(FIRST_WORK, |aim| aim.as_secs_f64() / AIM_WORKS),
             bytes: FIRST_BYTES,
--- a/crates/entry/tests/test_habit.rs
+++ b/crates/entry/tests/test_habit.rs
@@ -18,7 +18,7 @@
 impl Route {
     fn new() -> Self {
         Self {
-            route_stats: RouteStats::guess(Some(millis(300)), None),
+            route_stats: RouteStats::initial(Some(millis(300)), None),
             now: Moment::from_millis(1_000),
         }
     }
@@ -97,7 +97,7 @@
 #[test]
 fn test_habit_first_callers_after_a_restart_are_not_measured_by_the_most_patient() {
     let timeout = Some(millis(500));
-    let mut route_stats = RouteStats::guess(Some(millis(200)), timeout);
+    let mut route_stats = RouteStats::initial(Some(millis(200)), timeout);
     let mut now = Moment::from_millis(1_000);
     for step in 0..50 {
         now = now + millis(20);
