--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -248,7 +248,7 @@
             None => self.end(),
             Some(Err(err)) => {
                 if let Some(stream_tracker) = self.stream_tracker.take() {
-                    stream_tracker.broke_off(err);
+                    stream_tracker.record_error(err);
                 }
             }
         }
