--- a/crates/entry/src/route_stats.rs
+++ b/crates/entry/src/route_stats.rs
@@ -54,7 +54,7 @@
     /// What a request's bytes between failure domains cost where a megabyte costs
     /// `price`, in the worth of a request.
     #[must_use]
-    pub fn crossing(&self, price: f64) -> f64 {
+    pub fn crossing_cost(&self, price: f64) -> f64 {
         (self.bytes + HEAD_BYTES) / MEGABYTE * price
     }
 
