--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -30,7 +30,7 @@
 use crate::headers;
 use crate::placing::Grant;
 use crate::pool::Connection;
-use crate::stream_tracker::Origin;
+use crate::stream_tracker::ResponseSource;
 use crate::view::Upstream;
 
 /// Bytes of an answer that come in one packet beside its head. One that is no longer is read
@@ -40,7 +40,7 @@
 
 /// A request as it is passed on.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct ForwardedRequest {
     /// The caller's name for it.
     pub id: HeaderValue,
     /// As it came.
@@ -57,16 +57,16 @@
 
 /// How long an attempt may take.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct AttemptTimeouts {
     /// What the request has left.
     pub left: Duration,
     /// When an instance that is well has answered.
-    pub silence: Duration,
+    pub unresponsive_after: Duration,
 }
 
 /// What an attempt holds until it ends.
 #[derive(Debug)]
-pub struct Held {
+pub struct Reservation {
     /// Of this process's desk.
     pub ticket: Ticket,
     /// Of the service's dispatcher, where that chose the instance.
@@ -75,19 +75,19 @@
 
 /// The body of an answer.
 #[derive(Debug)]
-pub enum Answered {
+pub enum ResponseBody {
     /// All of it.
     Whole(Bytes),
     /// Its beginning, the rest, and where that comes from.
-    Stream(Bytes, Incoming, Origin),
+    Stream(Bytes, Incoming, ResponseSource),
 }
 
 /// How an attempt ended.
 #[derive(Debug, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
-pub enum End {
+pub enum AttemptEnd {
     /// An answer to this request.
-    Answer(Box<Parts>, Answered),
+    Answer(Box<Parts>, ResponseBody),
     /// No byte of the request has left.
     Unsent,
     /// The instance says that it didn't run the request.
@@ -107,7 +107,7 @@
     ticket: Option<Ticket>,
     grant: Option<Grant>,
     began: Instant,
-    silence: Duration,
+    unresponsive_after: Duration,
 }
 
 impl Running {
@@ -127,7 +127,7 @@
 
 impl Drop for Running {
     fn drop(&mut self) {
-        let kind = if self.began.elapsed() < self.silence {
+        let kind = if self.began.elapsed() < self.unresponsive_after {
             Kind::Cancelled
         } else {
             Kind::Timeout
@@ -140,27 +140,27 @@
 pub async fn attempt(
     core: &Arc<Core>,
     upstream: &Upstream,
-    held: Held,
-    call: &Call,
+    reservation: Reservation,
+    call: &ForwardedRequest,
     body: Outgoing,
-    patience: Patience,
-) -> End {
+    patience: AttemptTimeouts,
+) -> AttemptEnd {
     let mut running = Running {
         core: Arc::clone(core),
         service: upstream.service.clone(),
-        ticket: Some(held.ticket),
-        grant: held.grant,
+        ticket: Some(reservation.ticket),
+        grant: reservation.grant,
         began: Instant::now(),
-        silence: patience.silence,
+        unresponsive_after: patience.unresponsive_after,
     };
     let spool = body.spool();
     let Some((response, connection)) = send(core, upstream, call, body, patience.left).await else {
         running.end(Kind::ConnectFailed, None);
-        return End::Unsent;
+        return AttemptEnd::Unsent;
     };
     let Some(response) = response else {
         running.end(Kind::Error, None);
-        return End::Unknown;
+        return AttemptEnd::Unknown;
     };
     let report = load(core, response.headers());
     // An instance may answer before the body has ended; what follows on that connection
@@ -168,9 +168,9 @@
     let reusable = spool.is_none_or(|spool| spool.is_whole());
     if response.headers().contains_key(&core.dialect.refused) {
         let end = if response.status() == StatusCode::MISDIRECTED_REQUEST {
-            End::Elsewhere
+            AttemptEnd::Elsewhere
         } else {
-            End::Refused
+            AttemptEnd::Refused
         };
         finish(upstream, response, connection, reusable).await;
         running.end(Kind::Shed, report);
@@ -178,20 +178,20 @@
     }
     if response.status() == StatusCode::MISDIRECTED_REQUEST {
         running.end(Kind::Error, None);
-        return End::Elsewhere;
+        return AttemptEnd::Elsewhere;
     }
     // A late or second answer to another request belongs to nobody here.
     if response.headers().get(&core.dialect.request) != Some(&call.id) {
         running.end(Kind::Error, None);
-        return End::Unknown;
+        return AttemptEnd::Unknown;
     }
     let failed = response.status().is_server_error();
     if let Some((parts, answered)) = finish(upstream, response, connection, reusable).await {
         running.end(if failed { Kind::Error } else { Kind::Ok }, report);
-        End::Answer(Box::new(parts), answered)
+        AttemptEnd::Answer(Box::new(parts), answered)
     } else {
         running.end(Kind::Error, report);
-        End::Unknown
+        AttemptEnd::Unknown
     }
 }
 
@@ -205,7 +205,7 @@
 async fn send(
     core: &Core,
     upstream: &Upstream,
-    call: &Call,
+    call: &ForwardedRequest,
     body: Outgoing,
     left: Duration,
 ) -> Option<(Option<Response<Incoming>>, Connection)> {
@@ -250,7 +250,7 @@
 fn request(
     core: &Core,
     upstream: &Upstream,
-    call: &Call,
+    call: &ForwardedRequest,
     body: Outgoing,
     left: Duration,
 ) -> Option<Request<Outgoing>> {
@@ -272,7 +272,7 @@
     response: Response<Incoming>,
     connection: Connection,
     reusable: bool,
-) -> Option<(Parts, Answered)> {
+) -> Option<(Parts, ResponseBody)> {
     let (parts, incoming) = response.into_parts();
     // A failure may give way to another attempt's answer. One without a length tells only
     // by its end whether it is whole.
@@ -291,15 +291,15 @@
             if reusable {
                 keep(upstream, connection, &parts.headers);
             }
-            Some((parts, Answered::Whole(bytes)))
+            Some((parts, ResponseBody::Whole(bytes)))
         }
         Read::Part(first, rest) => {
-            let origin = Origin {
+            let origin = ResponseSource {
                 connection,
                 reusable: reusable && !headers::closes(&parts.headers),
                 kept: headers::kept_for(&parts.headers),
             };
-            Some((parts, Answered::Stream(first, rest, origin)))
+            Some((parts, ResponseBody::Stream(first, rest, origin)))
         }
     }
 }
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -1,9 +1,9 @@
-//! The way of one request, from its head to the final answer.
+//! Handling of one request, from its head to the final response.
 
-mod answer;
 mod choice;
 mod guard;
 mod head;
+mod response;
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -31,175 +31,188 @@
 use crate::body::Spool;
 use crate::core::Core;
 use crate::exchange;
-use crate::exchange::Answered;
-use crate::exchange::Call;
-use crate::exchange::End;
-use crate::exchange::Held;
-use crate::exchange::Patience;
+use crate::exchange::AttemptEnd;
+use crate::exchange::AttemptTimeouts;
+use crate::exchange::ForwardedRequest;
+use crate::exchange::Reservation;
+use crate::exchange::ResponseBody;
 use crate::headers;
 use crate::refusal::Reason;
 use crate::route_stats::RouteStats;
 use crate::view::Upstream;
 
-/// Time for a request that names none.
+/// Timeout of a request without a deadline header.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
-/// When a caller may come back after a refusal for lack of knowledge: the hubs
-/// tell of tables and instances within it.
-const BACK_UNKNOWN: Duration = Duration::from_millis(300);
-/// Part of a caller's time for which a request waits for the first table and instances:
-/// after a restart of everything these come within 700 ms.
-const START_PART: f64 = 0.25;
-/// Attempts whose connection failed, beyond what the route allows: nothing
-/// reached an instance.
-const UNSENT_TRIES: u32 = 4;
+/// `Retry-After` if no table or no instance is known; the hubs usually send both in time.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Fraction of the caller's timeout for which a request waits for the first table and
+/// instances. After a restart of all processes, these arrive within 700 ms.
+const STARTUP_WAIT_FRACTION: f64 = 0.25;
+/// Maximum number of attempts that sent nothing. They don't count as attempts of the route.
+const MAX_UNSENT_ATTEMPTS: u32 = 4;
 
-/// Expected times of an answer after which an attempt that is given up tells against
-/// its instance: work at the pace that was told takes three times as long as usual once
-/// in thousands. Without it instances that swallowed half of their requests were never
-/// taken for ill, as each of these ended by the route's timeout.
-const SILENT_WORKS: f64 = 3.0;
+/// Multiple of the expected response time after which an abandoned attempt counts as a
+/// timeout of its instance. Without it, an instance that never answers would not be
+/// ejected where the route's timeout ends each attempt first.
+const UNRESPONSIVE_FACTOR: f64 = 3.0;
 
-/// One request on its way.
+/// State of one request.
 struct Flow {
     core: Arc<Core>,
-    began: Instant,
-    call: Call,
+    started_at: Instant,
+    request: ForwardedRequest,
     route: Arc<Route>,
     service: ServiceName,
-    version: u64,
-    deadline: Duration,
-    /// Time within which the answer has its full worth, less what the caller had
-    /// spent on earlier tries.
+    table_version: u64,
+    caller_timeout: Duration,
+    /// Latency target, less the time that the caller has spent on earlier tries.
     aim: Duration,
-    end: Instant,
+    deadline: Instant,
     attempts: u32,
     unsent: u32,
     exclude: Vec<Pick>,
-    /// The request may have run.
-    exposed: bool,
-    last: Option<Attempt>,
-    /// When to come back, as a dispatcher says.
-    back: Option<Duration>,
-    /// Bytes of the request's body, where they are known.
-    sent: u64,
-    /// Where the request's body is kept, while more of it may come.
+    /// Whether an instance may have processed the request.
+    may_have_run: bool,
+    last_attempt: Option<Attempt>,
+    /// When the caller may retry, as reported by a dispatcher or by the quarantine.
+    retry_after: Option<Duration>,
+    /// Size of the request body, 0 if unknown.
+    request_bytes: u64,
+    /// Buffer of the request body, as long as more of it may arrive.
     spool: Option<Spool>,
-    /// The body, as far as it tells the request from others.
+    /// The part of the body that enters the request's fingerprint.
     content: Content,
-    /// An instance's own failure, for the caller if no other attempt does better.
-    failed: Option<(Box<http::response::Parts>, Answered)>,
+    /// Server error of an instance, passed on if no later attempt succeeds.
+    failed_response: Option<(Box<http::response::Parts>, ResponseBody)>,
 }
 
-/// The newest attempt.
+/// The most recent attempt.
 struct Attempt {
     upstream: Arc<Upstream>,
     choice: FreshChoice,
-    sent: Instant,
+    sent_at: Instant,
 }
 
-/// What a request led to.
+/// Final outcome of a request.
 enum Outcome {
-    Answer(Box<http::response::Parts>, Answered),
-    Own(Reason, Option<Duration>),
+    Response(Box<http::response::Parts>, ResponseBody),
+    Refusal(Reason, Option<Duration>),
 }
 
-/// Answers one request of `caller`.
+/// Handles one request of `caller`.
 pub async fn handle(
     core: Arc<Core>,
     caller: IpAddr,
     request: Request<Incoming>,
 ) -> Response<Returned> {
-    let began = Instant::now();
-    let named = headers::number(request.headers(), &core.dialect.deadline);
-    let deadline = named.map_or(DEFAULT_DEADLINE, Duration::from_millis);
-    let until = began + deadline.mul_f64(START_PART);
-    let routes = head::routes(&core, until).await;
+    let started_at = Instant::now();
+    let header_timeout = headers::number(request.headers(), &core.dialect.deadline);
+    let caller_timeout = header_timeout.map_or(DEFAULT_DEADLINE, Duration::from_millis);
+    let startup_deadline = started_at + caller_timeout.mul_f64(STARTUP_WAIT_FRACTION);
+    let routes = head::wait_for_routes(&core, startup_deadline).await;
     let id = request.headers().get(&core.dialect.request).cloned();
     let id = id.unwrap_or_else(head::new_id);
     if routes.table.version == 0 {
-        return head::refuse(&core, &id, &routes, Reason::NoTable, Some(BACK_UNKNOWN));
+        return head::refuse(
+            &core,
+            &id,
+            &routes,
+            Reason::NoTable,
+            Some(UNAVAILABLE_RETRY_AFTER),
+        );
     }
     let host = head::host(&request).unwrap_or_default();
     let Some(route) = routes.index.select(&host, request.uri().path()) else {
         return head::refuse(&core, &id, &routes, Reason::NoRoute, None);
     };
-    head::stocked(&core, until).await;
+    head::wait_for_instances(&core, startup_deadline).await;
     let service = match &route.target {
         Target::Service(name) => Some(name.clone()),
         Target::Split(parts) => core.turn(route, parts),
     };
     let Some(service) = service else {
-        return head::refuse(&core, &id, &routes, Reason::NoInstance, Some(BACK_UNKNOWN));
+        return head::refuse(
+            &core,
+            &id,
+            &routes,
+            Reason::NoInstance,
+            Some(UNAVAILABLE_RETRY_AFTER),
+        );
     };
     let limit = routes.table.limits.body_bytes;
     if request.body().size_hint().lower() > limit {
         return head::refuse(&core, &id, &routes, Reason::TooLarge, None);
     }
-    let spent = named.map_or(Duration::ZERO, |_| {
+    let spent = header_timeout.map_or(Duration::ZERO, |_| {
         core.route_stats(route, |route_stats| {
-            route_stats.spent(core.clock.now(), deadline)
+            route_stats.spent(core.clock.now(), caller_timeout)
         })
     });
-    let aim = route.aim.unwrap_or(deadline / 2).saturating_sub(spent);
-    let (call, incoming) = head::call(&core, caller, &host, id, request);
+    let aim = route
+        .aim
+        .unwrap_or(caller_timeout / 2)
+        .saturating_sub(spent);
+    let (request, incoming) = head::forwarded_request(&core, caller, &host, id, request);
     let mut flow = Flow {
-        end: began + deadline.min(route.timeout.unwrap_or(deadline)),
+        deadline: started_at + caller_timeout.min(route.timeout.unwrap_or(caller_timeout)),
         core,
-        began,
-        call,
+        started_at,
+        request,
         route: Arc::clone(route),
         service,
-        version: routes.table.version,
-        deadline,
+        table_version: routes.table.version,
+        caller_timeout,
         aim,
         attempts: 0,
-        unsent: 0,
+        unrequest_bytes: 0,
         exclude: Vec::new(),
-        exposed: false,
-        last: None,
-        back: None,
-        sent: 0,
+        may_have_run: false,
+        last_attempt: None,
+        retry_after: None,
+        request_bytes: 0,
         spool: None,
         content: Content::Whole(None),
-        failed: None,
+        failed_response: None,
     };
     flow.run(incoming).await
 }
 
 impl Flow {
     async fn run(&mut self, incoming: Incoming) -> Response<Returned> {
-        let end = self.end;
-        let outcome = match tokio::time::timeout_at(end, self.serve(incoming)).await {
+        let deadline = self.deadline;
+        let outcome = match tokio::time::timeout_at(deadline, self.process(incoming)).await {
             Ok(outcome) => outcome,
-            Err(_) if self.exposed && self.failed.is_none() => Outcome::Own(Reason::Timeout, None),
-            Err(_) => self.own(Reason::Late),
+            Err(_) if self.may_have_run && self.failed_response.is_none() => {
+                Outcome::Refusal(Reason::Timeout, None)
+            }
+            Err(_) => self.fallback(Reason::Late),
         };
         self.drain().await;
         self.respond(outcome)
     }
 
-    /// Takes the rest of a body that the answer doesn't wait for. An answer before it closes
-    /// the connection while the caller still writes, which may reset it unread.
+    /// Reads the rest of the request body. Responding earlier would close the connection while
+    /// the caller still writes; the resulting reset may discard the response.
     async fn drain(&self) {
         if let Some(spool) = &self.spool {
-            // A caller that is slower than its own deadline is told all the same.
-            let _ = tokio::time::timeout_at(self.end, spool.fill()).await;
+            // A caller slower than its own deadline gets the response all the same.
+            let _ = tokio::time::timeout_at(self.deadline, spool.fill()).await;
         }
     }
 
-    async fn serve(&mut self, incoming: Incoming) -> Outcome {
-        // A caller that breaks off its body has left; there is nobody to answer.
+    async fn process(&mut self, incoming: Incoming) -> Outcome {
+        // The caller disconnected while sending the body; the response reaches nobody.
         let Ok(mut body) = body::outgoing(incoming).await else {
-            return Outcome::Own(Reason::Late, None);
+            return Outcome::Refusal(Reason::Late, None);
         };
-        self.sent = body.known_length().unwrap_or_default();
+        self.request_bytes = body.known_length().unwrap_or_default();
         self.spool = body.spool();
         self.content = body.content();
         self.balancer(Balancer::record_request);
         loop {
-            let again = body.again();
+            let retry_body = body.again();
             let end = self.attempt(body).await;
-            match self.judge(end, again) {
+            match self.next_step(end, retry_body) {
                 Ok(outcome) => return outcome,
                 Err(next) => body = next,
             }
@@ -210,17 +223,19 @@
         self.core.balancer(&self.service, ask)
     }
 
-    /// One attempt.
-    async fn attempt(&mut self, body: Outgoing) -> Result<End, Reason> {
-        self.check().await?;
-        let chosen = self.choose_while(&body).await?;
-        // It may have waited for room.
-        self.check().await?;
+    /// Makes one attempt.
+    async fn attempt(&mut self, body: Outgoing) -> Result<AttemptEnd, Reason> {
+        self.check_quarantine().await?;
+        let chosen = self.choose_while_buffering(&body).await?;
+        // The request may have been quarantined while it waited for capacity.
+        self.check_quarantine().await?;
         let pick = chosen.choice.pick;
         self.attempts += 1;
         self.exclude.push(pick);
-        let left = self.deadline.saturating_sub(self.began.elapsed());
-        info!(self.core.log, "choice"; "request" => self.call.id.to_str().unwrap_or("-"),
+        let remaining = self
+            .caller_timeout
+            .saturating_sub(self.started_at.elapsed());
+        info!(self.core.log, "choice"; "request" => self.request.id.to_str().unwrap_or("-"),
             "attempt" => self.attempts, "instance" => %chosen.upstream.id,
             "reason" => %chosen.choice.reason, "in_flight" => chosen.choice.in_flight,
             "expected_ms" => millis(chosen.choice.expected),
@@ -229,137 +244,142 @@
                 format!("{}+{}/{}@{}", r.running, r.waiting, r.slots, r.pace)
             }),
             "cost" => format!("{:.3}", chosen.choice.cost),
-            "left_ms" => millis(left));
+            "left_ms" => millis(remaining));
         let ticket = self.balancer(|balancer, now| balancer.start_attempt(now, pick));
-        let held = Held {
+        let reservation = Reservation {
             ticket: ticket.ok_or(Reason::NoInstance)?,
             grant: chosen.grant,
         };
         let core = Arc::clone(&self.core);
-        // Until the end says otherwise, the request may be running.
-        let before = std::mem::replace(&mut self.exposed, true);
-        let sent = Instant::now();
-        self.last = Some(Attempt {
+        // Until the attempt has ended, the instance may be processing the request.
+        let may_have_run_before = std::mem::replace(&mut self.may_have_run, true);
+        let sent_at = Instant::now();
+        self.last_attempt = Some(Attempt {
             upstream: Arc::clone(&chosen.upstream),
             choice: chosen.choice,
-            sent,
+            sent_at,
         });
-        let patience = Patience {
-            left,
-            silence: chosen.choice.expected.mul_f64(SILENT_WORKS),
+        let timeouts = AttemptTimeouts {
+            remaining,
+            unresponsive_after: chosen.choice.expected.mul_f64(UNRESPONSIVE_FACTOR),
         };
         let upstream = &chosen.upstream;
-        let end = exchange::attempt(&core, upstream, held, &self.call, body, patience).await;
-        self.exposed = before || matches!(end, End::Answer(..) | End::Unknown);
-        self.note(&end, sent.elapsed());
-        self.learn(&end, upstream, sent).await;
-        if matches!(end, End::Elsewhere) {
+        let end =
+            exchange::attempt(&core, upstream, reservation, &self.request, body, timeouts).await;
+        self.may_have_run =
+            may_have_run_before || matches!(end, AttemptEnd::Answer(..) | AttemptEnd::Unknown);
+        self.log_attempt(&end, sent_at.elapsed());
+        self.record_end(&end, upstream, sent_at).await;
+        if matches!(end, AttemptEnd::Elsewhere) {
             self.balancer(|balancer, _| balancer.record_displaced(pick));
         }
-        if let End::Answer(parts, Answered::Whole(bytes)) = &end
+        if let AttemptEnd::Answer(parts, ResponseBody::Whole(bytes)) = &end
             && parts.status.is_success()
         {
-            let moved = bytes.len() as u64 + self.sent;
-            let latency = sent.elapsed();
-            let learn =
-                |route_stats: &mut RouteStats| route_stats.learn(latency, &chosen.choice, moved);
-            self.core.route_stats(&self.route, learn);
+            let bytes_transferred = bytes.len() as u64 + self.request_bytes;
+            let latency = sent_at.elapsed();
+            let record = |route_stats: &mut RouteStats| {
+                route_stats.record_response(latency, &chosen.choice, bytes_transferred)
+            };
+            self.core.route_stats(&self.route, record);
         }
         Ok(end)
     }
 
-    /// One line for each attempt that gave no good answer; a good one is told by the
-    /// request's own line.
-    fn note(&self, end: &End, span: Duration) {
+    /// Logs an attempt that failed; a successful one appears in the request's own line.
+    fn log_attempt(&self, end: &AttemptEnd, elapsed: Duration) {
         let status = match end {
-            End::Answer(parts, _) if parts.status.is_server_error() => parts.status.as_u16(),
-            End::Answer(..) => return,
+            AttemptEnd::Answer(parts, _) if parts.status.is_server_error() => parts.status.as_u16(),
+            AttemptEnd::Answer(..) => return,
             _ => 0,
         };
-        let word: &'static str = end.into();
-        info!(self.core.log, "attempt"; "request" => self.call.id.to_str().unwrap_or("-"),
-            "attempt" => self.attempts, "end" => word, "status" => status,
-            "instance" => self.instance(),
-            "service" => %self.service, "ms" => millis(span));
+        let label: &'static str = end.into();
+        info!(self.core.log, "attempt"; "request" => self.request.id.to_str().unwrap_or("-"),
+            "attempt" => self.attempts, "end" => label, "status" => status,
+            "instance" => self.last_instance(),
+            "service" => %self.service, "ms" => millis(elapsed));
     }
 
-    /// The final outcome, or the body for another attempt.
-    fn judge(
+    /// Returns the final outcome, or the body for another attempt.
+    fn next_step(
         &mut self,
-        end: Result<End, Reason>,
-        again: Option<Outgoing>,
+        end: Result<AttemptEnd, Reason>,
+        retry_body: Option<Outgoing>,
     ) -> Result<Outcome, Outgoing> {
         let once = self.route.kind == Kind::Once;
         let reason = match &end {
             Err(reason) => *reason,
             Ok(_) => Reason::Full,
         };
-        let retried = match end {
+        let retry = match end {
             Err(_) => false,
-            Ok(End::Answer(parts, answered)) => {
+            Ok(AttemptEnd::Answer(parts, body)) => {
                 let failed = parts.status.is_server_error();
-                if !failed || once || !self.may_retry(again.is_some()) {
-                    return Ok(Outcome::Answer(parts, answered));
+                if !failed || once || !self.may_retry(retry_body.is_some()) {
+                    return Ok(Outcome::Response(parts, body));
                 }
-                self.failed = Some((parts, answered));
+                self.failed_response = Some((parts, body));
                 true
             }
-            Ok(End::Unknown) => !once && self.may_retry(again.is_some()),
-            Ok(End::Unsent) => {
+            Ok(AttemptEnd::Unknown) => !once && self.may_retry(retry_body.is_some()),
+            Ok(AttemptEnd::Unsent) => {
                 self.attempts -= 1;
                 self.unsent += 1;
-                self.unsent < UNSENT_TRIES
+                self.unsent < MAX_UNSENT_ATTEMPTS
             }
-            Ok(End::Refused | End::Elsewhere) => self.may_retry(again.is_some()),
+            Ok(AttemptEnd::Refused | AttemptEnd::Elsewhere) => self.may_retry(retry_body.is_some()),
         };
-        match again {
-            Some(body) if retried => Err(body),
-            _ => Ok(self.own(reason)),
+        match retry_body {
+            Some(body) if retry => Err(body),
+            _ => Ok(self.fallback(reason)),
         }
     }
 
-    /// The system's own answer; `reason` counts where the request has not run.
-    fn own(&mut self, reason: Reason) -> Outcome {
-        if let Some((parts, answered)) = self.failed.take() {
-            return Outcome::Answer(parts, answered);
+    /// Outcome without a successful response: an instance's server error if there is one,
+    /// otherwise a refusal, with `reason` if no instance can have processed the request.
+    fn fallback(&mut self, reason: Reason) -> Outcome {
+        if let Some((parts, body)) = self.failed_response.take() {
+            return Outcome::Response(parts, body);
         }
-        if self.exposed {
-            return Outcome::Own(Reason::Broken, None);
+        if self.may_have_run {
+            return Outcome::Refusal(Reason::Broken, None);
         }
-        let back = match reason {
-            Reason::Quarantined => self.back,
-            Reason::Full => self.back.or_else(|| self.balancer(Balancer::retry_after)),
-            _ => Some(BACK_UNKNOWN),
+        let retry_after = match reason {
+            Reason::Quarantined => self.retry_after,
+            Reason::Full => self
+                .retry_after
+                .or_else(|| self.balancer(Balancer::retry_after)),
+            _ => Some(UNAVAILABLE_RETRY_AFTER),
         };
-        Outcome::Own(reason, back)
+        Outcome::Refusal(reason, retry_after)
     }
 
-    /// Whether another attempt is allowed and paid for.
-    fn may_retry(&self, whole: bool) -> bool {
-        let allowed = whole && self.attempts < self.route.attempts;
+    /// Whether another attempt is possible, allowed by the route and within the retry budget.
+    fn may_retry(&self, has_body: bool) -> bool {
+        let allowed = has_body && self.attempts < self.route.attempts;
         if !allowed {
             return false;
         }
-        let paid = self.balancer(Balancer::try_spend_retry).unwrap_or(false);
-        if !paid {
+        let within_budget = self.balancer(Balancer::try_spend_retry).unwrap_or(false);
+        if !within_budget {
             self.core.counters.unpaid(&self.service);
         }
-        paid
+        within_budget
     }
 
-    /// The instance of the newest attempt.
-    fn instance(&self) -> &str {
-        let last = self.last.as_ref();
-        last.map_or("-", |attempt| attempt.upstream.id.as_str())
+    /// Instance of the most recent attempt, for the log.
+    fn last_instance(&self) -> &str {
+        let attempt = self.last_attempt.as_ref();
+        attempt.map_or("-", |attempt| attempt.upstream.id.as_str())
     }
 }
 
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// An empty body, for pages of the process itself.
+/// An empty response body.
 #[must_use]
-pub fn empty() -> Returned {
+pub fn empty_body() -> Returned {
     Returned::whole(Bytes::new())
 }
--- a/crates/entry/src/flow/choice.rs
+++ b/crates/entry/src/flow/choice.rs
@@ -1,4 +1,4 @@
-//! Finds an instance for an attempt, by way of the service's dispatcher where it has one.
+//! Finds an instance for an attempt, through the service's dispatcher if it has one.
 
 use std::time::Duration;
 
@@ -12,46 +12,45 @@
 use crate::placing;
 use crate::refusal::Reason;
 use crate::search;
-use crate::search::Found;
-use crate::search::Want;
+use crate::search::SearchRequest;
+use crate::search::SearchResult;
 
-/// A request that waits for room looks itself after so long, as room may come
-/// from other entry hosts' requests, which end unseen.
-const LOOK: Duration = Duration::from_millis(40);
-/// Usual times of work that must be left of the aim for a request to be worth
-/// waiting for: work times spread, and a quarter of them is slowed down.
+/// Interval at which a waiting request searches again: capacity that other processes'
+/// requests free up isn't noticed otherwise.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(40);
+/// Multiple of the usual work time that must remain before the latency target for a request
+/// to wait. The margin covers the spread of work times and slow instances.
 const WORK_MARGIN: f64 = 1.3;
-/// Added to the rank of a request that can't be answered in time any more.
-const LATE_RANK: u32 = 1_000;
-/// Part of an instance's slots up to which a late request is sent: its worth is mostly
-/// lost, and after an outage those that waited would keep the new ones waiting.
-const LATE_ROOM: f64 = 0.5;
+/// Added to the priority value of a request that can't meet its latency target any more.
+const LATE_PRIORITY_OFFSET: u32 = 1_000;
+/// Maximum share of an instance's slots that may be taken when a late request is sent.
+/// After an outage, late requests would otherwise delay the new ones.
+const LATE_MAX_OCCUPANCY: f64 = 0.5;
 
 impl Flow {
-    /// An instance for the next attempt.
+    /// Selects an instance for the next attempt.
     pub(super) async fn choose(&mut self) -> Result<SelectedInstance, Reason> {
-        // While the service has little to do, the dispatcher is asked only where this
-        // process finds nothing good at once: each question costs processor time and bytes
-        // between failure domains.
-        let mut ask = self
+        // Under low load the dispatcher is asked only if this process finds no good instance at
+        // once: each question costs CPU time and bytes between failure domains.
+        let mut ask_dispatcher = self
             .balancer(|balancer, _| balancer.is_busy())
             .unwrap_or(false);
         loop {
-            let want = self.want();
-            match self.look(&want, ask).await {
-                Found::Selected(chosen) => return Ok(chosen),
-                Found::Wait => ask = true,
-                Found::Full(back) => {
-                    self.back = back;
+            let request = self.search_request();
+            match self.find_instance(&request, ask_dispatcher).await {
+                SearchResult::Selected(chosen) => return Ok(chosen),
+                SearchResult::Wait => ask_dispatcher = true,
+                SearchResult::Full(retry_after) => {
+                    self.retry_after = retry_after;
                     return Err(Reason::Full);
                 }
-                Found::None => return Err(Reason::NoInstance),
+                SearchResult::None => return Err(Reason::NoInstance),
             }
         }
     }
 
-    /// The same, while the body goes on coming.
-    pub(super) async fn choose_while(
+    /// Like `choose`, and buffers the request body meanwhile.
+    pub(super) async fn choose_while_buffering(
         &mut self,
         body: &Outgoing,
     ) -> Result<SelectedInstance, Reason> {
@@ -66,68 +65,77 @@
         }
     }
 
-    /// One look, by way of the dispatcher if there is one and `ask` says so.
-    async fn look(&self, want: &Want, ask: bool) -> Found {
+    /// Searches once, through the dispatcher if there is one and `ask_dispatcher` is set.
+    async fn find_instance(&self, request: &SearchRequest, ask_dispatcher: bool) -> SearchResult {
         let dispatcher = self.core.dispatcher(&self.service);
-        if let Some(address) = dispatcher.filter(|_| ask) {
-            let request = self.call.id.to_str().unwrap_or("-");
-            let placed = placing::ask(&self.core, address, &self.service, request, want).await;
-            if let Some(found) = placed {
-                return found;
+        if let Some(address) = dispatcher.filter(|_| ask_dispatcher) {
+            let request_id = self.request.id.to_str().unwrap_or("-");
+            let result =
+                placing::ask(&self.core, address, &self.service, request_id, request).await;
+            if let Some(result) = result {
+                return result;
             }
         }
-        let span = if ask || dispatcher.is_none() {
-            LOOK
+        let max_wait = if ask_dispatcher || dispatcher.is_none() {
+            SEARCH_INTERVAL
         } else {
             Duration::ZERO
         };
-        search::search(&self.core, &self.service, want, span).await
+        search::search(&self.core, &self.service, request, max_wait).await
     }
 
-    /// What the next attempt wants now. One that can't be answered in time any more lets
-    /// all others go first.
-    fn want(&self) -> Want {
-        Want {
+    /// The current requirements of the next attempt. A late request yields to all others.
+    fn search_request(&self) -> SearchRequest {
+        SearchRequest {
             need: self.need(),
-            rank: self.route.priority + if self.is_late() { LATE_RANK } else { 0 },
+            priority: self.route.priority
+                + if self.is_late() {
+                    LATE_PRIORITY_OFFSET
+                } else {
+                    0
+                },
             exclude: self.exclude.clone(),
-            patience: self.patience().saturating_sub(self.began.elapsed()),
-            left: self.end.saturating_duration_since(Instant::now()),
+            max_wait: self.max_wait().saturating_sub(self.started_at.elapsed()),
+            remaining: self.deadline.saturating_duration_since(Instant::now()),
         }
     }
 
-    /// How long after its start a request still waits for room: as long as it can be
-    /// answered in time. One that is late already and is refused at once can try
-    /// elsewhere.
-    fn patience(&self) -> Duration {
-        self.aim.saturating_sub(self.work().mul_f64(WORK_MARGIN))
+    /// How long after its start the request may wait for capacity and still meet its latency
+    /// target. A late request is refused at once so that its caller can try elsewhere.
+    fn max_wait(&self) -> Duration {
+        self.aim
+            .saturating_sub(self.usual_work().mul_f64(WORK_MARGIN))
     }
 
-    /// Whether the usual work would end after the aim.
+    /// Whether the usual work time ends after the latency target.
     fn is_late(&self) -> bool {
-        self.began.elapsed() + self.work() > self.aim
+        self.started_at.elapsed() + self.usual_work() > self.aim
     }
 
-    /// Usual time of work.
-    fn work(&self) -> Duration {
+    /// Usual work time of the route.
+    fn usual_work(&self) -> Duration {
         self.core
-            .route_stats(&self.route, |route_stats| route_stats.work())
+            .route_stats(&self.route, |route_stats| route_stats.work_time())
     }
 
-    /// What the request needs of an instance now.
+    /// What the request currently needs of an instance.
     fn need(&self) -> Need {
-        let aim = self.route.aim.unwrap_or(self.deadline / 2);
-        let left = self.aim.saturating_sub(self.began.elapsed());
+        let aim = self.route.aim.unwrap_or(self.caller_timeout / 2);
+        let remaining = self.aim.saturating_sub(self.started_at.elapsed());
         let price = self.core.settings().crossing();
-        // One that is late already needs the soonest answer all the same.
-        let aim = left.max(aim / 4);
+        // A late request still needs the fastest response.
+        let aim = remaining.max(aim / 4);
         Need {
-            work: self.work(),
+            work: self.usual_work(),
             aim,
             crossing: self
                 .core
-                .route_stats(&self.route, |route_stats| route_stats.crossing(price)),
-            room: if self.is_late() { LATE_ROOM } else { 1.0 },
+                .route_stats(&self.route, |route_stats| route_stats.crossing_cost(price)),
+            room: if self.is_late() {
+                LATE_MAX_OCCUPANCY
+            } else {
+                1.0
+            },
             home: Home::OWN,
         }
     }
--- a/crates/entry/src/flow/guard.rs
+++ b/crates/entry/src/flow/guard.rs
@@ -1,4 +1,4 @@
-//! Keeps requests that crash instances from being sent, and learns which these are.
+//! Refuses requests that crash instances, and detects such requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,68 +12,75 @@
 use crate::crash;
 use crate::crash::BrokenAttempt;
 use crate::crash::RequestIdentity;
-use crate::exchange::Answered;
-use crate::exchange::End;
+use crate::exchange::AttemptEnd;
+use crate::exchange::ResponseBody;
 use crate::refusal::Reason;
 use crate::view::Upstream;
 
-/// Longest wait for the hubs' word on a request under which an instance has crashed: a
-/// connection to the instance's host and one question, some times over.
-const VERDICT: Duration = Duration::from_millis(40);
+/// Maximum wait for the hubs' decision on a request that may have crashed an instance.
+/// Covers a connection to the instance's host and one query with a margin.
+const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(40);
 
 impl Flow {
-    /// Refuses a request that crashes what runs it.
-    pub(super) async fn check(&mut self) -> Result<(), Reason> {
-        let head = self.call.head;
+    /// Refuses the request if it is quarantined.
+    pub(super) async fn check_quarantine(&mut self) -> Result<(), Reason> {
+        let head = self.request.head;
         if !self.core.concerns(head) {
             return Ok(());
         }
-        let Some(request) = self.content.fingerprint(head).await else {
+        let Some(fingerprint) = self.content.fingerprint(head).await else {
             return Ok(());
         };
-        let Some(left) = self.core.refused(request) else {
+        let Some(remaining) = self.core.refused(fingerprint) else {
             return Ok(());
         };
-        info!(self.core.log, "quarantined"; "request" => self.call.id.to_str().unwrap_or("-"),
-            "fingerprint" => %request, "left_ms" => millis(left));
-        self.back = Some(left);
+        info!(self.core.log, "quarantined"; "request" => self.request.id.to_str().unwrap_or("-"),
+            "fingerprint" => %fingerprint, "left_ms" => millis(remaining));
+        self.retry_after = Some(remaining);
         Err(Reason::Quarantined)
     }
 
-    /// Learns from the end of an attempt what the request does to instances.
-    pub(super) async fn learn(&self, end: &End, upstream: &Arc<Upstream>, sent: Instant) {
+    /// Records whether the request succeeded or may have crashed the instance.
+    pub(super) async fn record_end(
+        &self,
+        end: &AttemptEnd,
+        upstream: &Arc<Upstream>,
+        sent_at: Instant,
+    ) {
         match end {
-            End::Unknown => self.broke_off(upstream, sent).await,
-            End::Answer(parts, Answered::Whole(_)) if !parts.status.is_server_error() => {
-                self.subject().succeeded(&self.core);
+            AttemptEnd::Unknown => self.check_crash(upstream, sent_at).await,
+            AttemptEnd::Answer(parts, ResponseBody::Whole(_))
+                if !parts.status.is_server_error() =>
+            {
+                self.identity().record_success(&self.core);
             }
             _ => {}
         }
     }
 
-    /// What the request is told by in an attempt that breaks off.
-    pub(super) fn subject(&self) -> RequestIdentity {
+    /// Identifies this request in crash reports.
+    pub(super) fn identity(&self) -> RequestIdentity {
         RequestIdentity {
-            id: self.call.id.clone(),
-            caller: Arc::clone(&self.call.caller),
-            head: self.call.head,
+            id: self.request.id.clone(),
+            caller: Arc::clone(&self.request.caller),
+            head: self.request.head,
             content: self.content.clone(),
         }
     }
 
-    /// Looks whether the attempt ended together with its instance. What may be sent again
-    /// waits until the hubs say whether it is to be.
-    async fn broke_off(&self, upstream: &Arc<Upstream>, sent: Instant) {
+    /// Checks whether the attempt broke off because its instance crashed. If the request may be
+    /// retried, waits for the hubs' decision.
+    async fn check_crash(&self, upstream: &Arc<Upstream>, sent_at: Instant) {
         let broken = BrokenAttempt {
-            subject: self.subject(),
+            request: self.identity(),
             upstream: Arc::clone(upstream),
-            sent,
-            at: Instant::now(),
+            sent_at,
+            broken_at: Instant::now(),
         };
-        let looking = crash::look(&self.core, broken);
+        let check = crash::check(&self.core, broken);
         if self.route.kind == Kind::Idempotent && self.attempts < self.route.attempts {
-            // Without their word it is sent again, as far as this process knows.
-            let _ = tokio::time::timeout(VERDICT, looking.word).await;
+            // On timeout the request is retried, based on this process's own knowledge.
+            let _ = tokio::time::timeout(CRASH_CHECK_TIMEOUT, check.settled).await;
         }
     }
 }
--- a/crates/entry/src/flow/head.rs
+++ b/crates/entry/src/flow/head.rs
@@ -1,4 +1,4 @@
-//! The beginning of a request: which table, host and route count, and what is passed on.
+//! The start of a request: route table, host and route, and what is forwarded.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -17,66 +17,65 @@
 
 use crate::body::Returned;
 use crate::core::Core;
-use crate::exchange::Call;
+use crate::exchange::ForwardedRequest;
 use crate::headers;
 use crate::refusal;
 use crate::refusal::Reason;
 use crate::view::Routes;
 
-/// The table in force; a process that has just started waits for it up to `until`.
-pub(super) async fn routes(core: &Core, until: Instant) -> Arc<Routes> {
+/// Returns the current route table; waits until `deadline` for the first one.
+pub(super) async fn wait_for_routes(core: &Core, deadline: Instant) -> Arc<Routes> {
     let mut routed = core.routed.subscribe();
     if !*routed.borrow_and_update() {
-        // Without one by then, the request is refused.
-        let _ = tokio::time::timeout_at(until, routed.wait_for(|routed| *routed)).await;
+        // The caller handles a missing table.
+        let _ = tokio::time::timeout_at(deadline, routed.wait_for(|routed| *routed)).await;
     }
     core.routes()
 }
 
-/// Waits until any instance is known, up to `until`. After a restart of everything the
-/// table is there first, and hundreds of processes take lists of instances over thin links.
-pub(super) async fn stocked(core: &Core, until: Instant) {
-    let mut stocked = core.stocked.subscribe();
-    if !*stocked.borrow_and_update() {
-        // Without one by then, the request is refused.
-        let _ = tokio::time::timeout_at(until, stocked.wait_for(|stocked| *stocked)).await;
+/// Waits until `deadline` for the first known instance. After a restart of all processes, the
+/// table arrives first, and the instance lists of many processes share narrow links.
+pub(super) async fn wait_for_instances(core: &Core, deadline: Instant) {
+    let mut has_instances = core.stocked.subscribe();
+    if !*has_instances.borrow_and_update() {
+        // The caller handles missing instances.
+        let _ = tokio::time::timeout_at(deadline, has_instances.wait_for(|known| *known)).await;
     }
 }
 
-/// A name for a request whose caller gave none: its answer is told by it from
-/// another's, and its log lines are found by it.
+/// Generates an id for a request without one, used to match the response and in the log.
 pub(super) fn new_id() -> HeaderValue {
     let id = Uuid::new_v4().simple().to_string();
     HeaderValue::from_str(&id).unwrap_or_else(|_| unreachable!("hexadecimal digits"))
 }
 
-/// The host that the request names, without its port.
+/// Host name of the request, without the port.
 pub(super) fn host(request: &Request<Incoming>) -> Option<String> {
-    let named = request.headers().get(header::HOST);
-    let named = named.and_then(|value| value.to_str().ok());
-    let host = request.uri().host().or(named)?;
-    let bare = host.rsplit_once(':').map_or(host, |(bare, port)| {
+    let header = request.headers().get(header::HOST);
+    let header = header.and_then(|value| value.to_str().ok());
+    let host = request.uri().host().or(header)?;
+    let name = host.rsplit_once(':').map_or(host, |(name, port)| {
         if port.bytes().all(|b| b.is_ascii_digit()) {
-            bare
+            name
         } else {
             host
         }
     });
-    Some(bare.to_ascii_lowercase())
+    Some(name.to_ascii_lowercase())
 }
 
-/// Splits a request of `caller` for `host` into what is passed on and its body.
-pub(super) fn call(
+/// Splits a request of `caller` for `host` into the forwarded part and the body.
+pub(super) fn forwarded_request(
     core: &Core,
     caller: IpAddr,
     host: &str,
     id: HeaderValue,
     request: Request<Incoming>,
-) -> (Call, Incoming) {
+) -> (ForwardedRequest, Incoming) {
     let (mut parts, incoming) = request.into_parts();
-    let named = core.dialect.caller.as_ref();
-    let named = named.and_then(|name| parts.headers.get(name)?.to_str().ok());
-    let caller: Arc<str> = match named {
+    let header = core.dialect.caller.as_ref();
+    let name = header.and_then(|header| parts.headers.get(header)?.to_str().ok());
+    let caller: Arc<str> = match name {
         Some(name) => name.into(),
         None => caller.to_canonical().to_string().into(),
     };
@@ -88,7 +87,7 @@
         None => parts.uri,
     };
     let target = uri.path_and_query().map_or("", |target| target.as_str());
-    let call = Call {
+    let request = ForwardedRequest {
         id,
         head: Head::new(&caller, parts.method.as_str(), host, target),
         method: parts.method,
@@ -96,21 +95,21 @@
         headers: parts.headers,
         caller,
     };
-    (call, incoming)
+    (request, incoming)
 }
 
-/// Answers without a route.
+/// Responds to a request that has no route.
 pub(super) fn refuse(
     core: &Core,
     id: &HeaderValue,
     routes: &Routes,
     reason: Reason,
-    back: Option<Duration>,
+    retry_after: Option<Duration>,
 ) -> Response<Returned> {
-    let response = refusal::answer(reason, back);
-    let word: &'static str = reason.into();
-    core.counters.request("-", word, Duration::ZERO);
-    info!(core.log, "request"; "request" => id.to_str().unwrap_or("-"), "outcome" => word,
+    let response = refusal::response(reason, retry_after);
+    let label: &'static str = reason.into();
+    core.counters.request("-", label, Duration::ZERO);
+    info!(core.log, "request"; "request" => id.to_str().unwrap_or("-"), "outcome" => label,
         "status" => response.status().as_u16(), "table" => routes.table.version);
     response
 }
--- /dev/null
+++ b/crates/entry/src/flow/response.rs
@@ -0,0 +1,70 @@
+//! The final response to the caller, and its log line.
+
+use std::sync::Arc;
+
+use bytes::Bytes;
+use http::Response;
+use hyper::body::Incoming;
+use slog::info;
+
+use super::Flow;
+use super::Outcome;
+use super::millis;
+use crate::body::Returned;
+use crate::exchange::ResponseBody;
+use crate::headers;
+use crate::refusal;
+use crate::stream_tracker::ResponseContext;
+use crate::stream_tracker::ResponseSource;
+use crate::stream_tracker::StreamTracker;
+
+impl Flow {
+    /// Returns a body that is passed on as it arrives; `first` has been read already.
+    fn stream(&self, first: Bytes, rest: Incoming, source: ResponseSource) -> Returned {
+        let Some(attempt) = &self.last_attempt else {
+            unreachable!("a response belongs to an attempt");
+        };
+        let context = ResponseContext {
+            core: Arc::clone(&self.core),
+            request: self.identity(),
+            route: Arc::clone(&self.route),
+            upstream: Arc::clone(&attempt.upstream),
+            choice: attempt.choice,
+            sent_at: attempt.sent_at,
+            request_bytes: self.request_bytes,
+            deadline: self.deadline,
+        };
+        Returned::stream(first, rest, StreamTracker::new(context, source))
+    }
+
+    pub(super) fn respond(&self, outcome: Outcome) -> Response<Returned> {
+        let elapsed = self.started_at.elapsed();
+        let (response, label, retry_after) = match outcome {
+            Outcome::Response(mut parts, body) => {
+                headers::strip(&mut parts.headers);
+                let body = match body {
+                    ResponseBody::Whole(bytes) => Returned::whole(bytes),
+                    ResponseBody::Stream(first, rest, source) => self.stream(first, rest, source),
+                };
+                let response = Response::from_parts(*parts, body);
+                (response, "answered", None)
+            }
+            Outcome::Refusal(reason, retry_after) => (
+                refusal::response(reason, retry_after),
+                reason.into(),
+                retry_after,
+            ),
+        };
+        info!(self.core.log, "request"; "request" => self.request.id.to_str().unwrap_or("-"),
+            "outcome" => label, "status" => response.status().as_u16(),
+            "route" => &*self.route.name, "service" => %self.service,
+            "table" => self.table_version, "attempts" => self.attempts, "unsent" => self.unsent,
+            "instance" => self.last_instance(),
+            "aim_ms" => millis(self.aim), "back_ms" => retry_after.map_or(0, millis),
+            "ms" => millis(elapsed));
+        self.core
+            .counters
+            .request(self.service.as_str(), label, elapsed);
+        response
+    }
+}
--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/placing.rs
@@ -36,8 +36,8 @@
 pub(crate) use self::convert::report_to_wire;
 
 use crate::core::Core;
-use crate::search::Found;
-use crate::search::Want;
+use crate::search::SearchRequest;
+use crate::search::SearchResult;
 
 /// Longest wait for a dispatcher's answer: it holds the question for 30 ms, and looks for
 /// an instance before, with up to three rounds of probes of a few milliseconds each.
@@ -84,8 +84,8 @@
     address: SocketAddr,
     service: &ServiceName,
     request: &str,
-    want: &Want,
-) -> Option<Found> {
+    want: &SearchRequest,
+) -> Option<SearchResult> {
     let place = core.places.at(address, core);
     let settings = core.settings();
     let ask = Ask {
@@ -115,10 +115,12 @@
             let grant = Grant::new(&place, service, placed.grant);
             let chosen =
                 core.balancer(service, |balancer, now| balancer.accept_grant(now, &placed))??;
-            Some(Found::Selected(chosen.with_grant(grant)))
+            Some(SearchResult::Selected(chosen.with_grant(grant)))
         }
-        Outcome::Wait => Some(Found::Wait),
-        Outcome::Full => Some(Found::Full(Some(duration_from_micros(placed.back_us)))),
+        Outcome::Wait => Some(SearchResult::Wait),
+        Outcome::Full => Some(SearchResult::Full(Some(duration_from_micros(
+            placed.back_us,
+        )))),
         Outcome::Unspecified => None,
     }
 }
--- a/crates/entry/src/placing/server.rs
+++ b/crates/entry/src/placing/server.rs
@@ -30,8 +30,8 @@
 use crate::balancer::Balancer;
 use crate::core::Core;
 use crate::search;
-use crate::search::Found;
-use crate::search::Want;
+use crate::search::SearchRequest;
+use crate::search::SearchResult;
 
 /// How long a question is held while there is no room. The asker asks again, so that it
 /// learns soon whether the dispatcher lives; each time costs both a question.
@@ -50,9 +50,9 @@
         Self { core }
     }
 
-    fn want(&self, service: &ServiceName, ask: &Ask) -> Option<Want> {
+    fn want(&self, service: &ServiceName, ask: &Ask) -> Option<SearchRequest> {
         let domain = DomainName::new(&ask.domain).ok()?;
-        self.core.balancer(service, |balancer, _| Want {
+        self.core.balancer(service, |balancer, _| SearchRequest {
             need: balancer.need_from_ask(ask, &domain),
             rank: ask.priority,
             exclude: balancer.picks(&ask.exclude),
@@ -67,18 +67,18 @@
         let found = search::search(&self.core, service, &want, HOLD).await;
         let left = want.left.saturating_sub(began.elapsed());
         match found {
-            Found::Selected(chosen) => self.core.balancer(service, |balancer, now| {
+            SearchResult::Selected(chosen) => self.core.balancer(service, |balancer, now| {
                 balancer.grant(now, &chosen, now + left)
             }),
-            Found::Wait => Some(outcome(Outcome::Wait)),
-            Found::Full(_) => {
+            SearchResult::Wait => Some(outcome(Outcome::Wait)),
+            SearchResult::Full(_) => {
                 let back = self.core.balancer(service, Balancer::retry_after)?;
                 Some(Placed {
                     back_us: micros(back),
                     ..outcome(Outcome::Full)
                 })
             }
-            Found::None => None,
+            SearchResult::None => None,
         }
     }
 
--- a/crates/entry/src/search.rs
+++ b/crates/entry/src/search.rs
@@ -15,7 +15,7 @@
 
 /// What an attempt wants.
 #[derive(Clone, Debug)]
-pub struct Want {
+pub struct SearchRequest {
     /// What the request needs of an instance.
     pub need: Need,
     /// Its rank among those that wait, 0 the most urgent.
@@ -30,7 +30,7 @@
 
 /// What a look came to.
 #[derive(Debug)]
-pub enum Found {
+pub enum SearchResult {
     /// Send it there.
     Selected(SelectedInstance),
     /// Nothing yet, and time to look again.
@@ -42,7 +42,12 @@
 }
 
 /// Looks once, and waits for room for `span` at most.
-pub async fn search(core: &Arc<Core>, service: &ServiceName, want: &Want, span: Duration) -> Found {
+pub async fn search(
+    core: &Arc<Core>,
+    service: &ServiceName,
+    want: &SearchRequest,
+    span: Duration,
+) -> SearchResult {
     let began = Instant::now();
     for round in 0.. {
         let plan = core.balancer(service, |balancer, now| {
@@ -58,10 +63,10 @@
         balancer.choose(now, &want.need, &want.exclude)
     });
     let slow = match verdict {
-        Some(Selection::Send(chosen)) => return Found::Selected(chosen),
+        Some(Selection::Send(chosen)) => return SearchResult::Selected(chosen),
         Some(Selection::Slow(chosen)) => Some(chosen),
         Some(Selection::Wait) => None,
-        Some(Selection::None) | None => return Found::None,
+        Some(Selection::None) | None => return SearchResult::None,
     };
     let spent = began.elapsed();
     let patience = want.patience.saturating_sub(spent);
@@ -70,21 +75,21 @@
         // nothing, and its caller isn't told to come back.
         let left = want.left.saturating_sub(spent);
         let ends = slow.filter(|slow| slow.choice.expected < left);
-        return ends.map_or(Found::Full(None), Found::Selected);
+        return ends.map_or(SearchResult::Full(None), SearchResult::Selected);
     }
     let span = patience.min(span);
     if span.is_zero() {
-        return Found::Wait;
+        return SearchResult::Wait;
     }
     let chosen = wait(core, service, want, span).await;
-    chosen.map_or(Found::Wait, Found::Selected)
+    chosen.map_or(SearchResult::Wait, SearchResult::Selected)
 }
 
 /// Waits until an instance has room, or for `span`.
 async fn wait(
     core: &Arc<Core>,
     service: &ServiceName,
-    want: &Want,
+    want: &SearchRequest,
     span: Duration,
 ) -> Option<SelectedInstance> {
     let until = core.clock.now() + span;
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -123,7 +123,7 @@
 }
 
 fn page(core: &Core, path: &str) -> Response<Returned> {
-    let mut response = Response::new(flow::empty());
+    let mut response = Response::new(flow::empty_body());
     *response.status_mut() = if path != &*core.settings().ready_path {
         StatusCode::NOT_FOUND
     } else if core.is_ready() {
--- a/crates/entry/src/stream_tracker.rs
+++ b/crates/entry/src/stream_tracker.rs
@@ -32,7 +32,7 @@
 
 /// Where the answer comes from.
 #[derive(Debug)]
-pub struct Origin {
+pub struct ResponseSource {
     /// The connection on which it comes.
     pub connection: Connection,
     /// Whether that may take another request after it.
@@ -42,7 +42,7 @@
 }
 
 /// What it answers.
-pub struct Asked {
+pub struct ResponseContext {
     /// The process.
     pub core: Arc<Core>,
     /// The request.
@@ -63,8 +63,8 @@
 
 /// An answer under way. One that is dropped before its end was left by its caller.
 pub struct StreamTracker {
-    asked: Asked,
-    origin: Origin,
+    context: ResponseContext,
+    origin: ResponseSource,
     /// Bytes of the answer's body that have come.
     came: u64,
     at: Instant,
@@ -74,10 +74,10 @@
 impl StreamTracker {
     /// An answer whose head has come.
     #[must_use]
-    pub fn new(asked: Asked, origin: Origin) -> Self {
+    pub fn new(context: ResponseContext, origin: ResponseSource) -> Self {
         Self {
-            timer: Box::pin(tokio::time::sleep_until(asked.end + STALL)),
-            asked,
+            timer: Box::pin(tokio::time::sleep_until(context.end + STALL)),
+            context,
             origin,
             came: 0,
             at: Instant::now(),
@@ -104,40 +104,41 @@
 
     /// The answer has ended whole.
     pub fn whole(self) {
-        let asked = self.asked;
-        asked.subject.succeeded(&asked.core);
-        let latency = asked.sent.elapsed();
-        let bytes = asked.bytes + self.came;
-        let learn = |route_stats: &mut RouteStats| route_stats.learn(latency, &asked.choice, bytes);
-        asked.core.route_stats(&asked.route, learn);
+        let context = self.context;
+        context.subject.succeeded(&context.core);
+        let latency = context.sent.elapsed();
+        let bytes = context.bytes + self.came;
+        let learn =
+            |route_stats: &mut RouteStats| route_stats.learn(latency, &context.choice, bytes);
+        context.core.route_stats(&context.route, learn);
         if self.origin.reusable {
-            let Origin {
+            let ResponseSource {
                 connection, kept, ..
             } = self.origin;
-            asked.upstream.pool.keep(connection, kept);
+            context.upstream.pool.keep(connection, kept);
         }
     }
 
     /// The answer ended before it was whole.
     pub fn broke_off(self, err: &BodyError) {
-        let asked = &self.asked;
-        let service = &asked.upstream.service;
-        warn!(asked.core.log, "answer broke off";
-            "request" => asked.subject.id.to_str().unwrap_or("-"), "instance" => %asked.upstream.id,
+        let context = &self.context;
+        let service = &context.upstream.service;
+        warn!(context.core.log, "answer broke off";
+            "request" => context.subject.id.to_str().unwrap_or("-"), "instance" => %context.upstream.id,
             "service" => %service, "bytes" => self.came,
-            "ms" => u64::try_from(asked.sent.elapsed().as_millis()).unwrap_or(u64::MAX),
+            "ms" => u64::try_from(context.sent.elapsed().as_millis()).unwrap_or(u64::MAX),
             "error" => %err);
-        asked.core.counters.broke_off(service);
-        let pick = asked.choice.pick;
-        asked.core.balancer(service, |balancer, now| {
+        context.core.counters.broke_off(service);
+        let pick = context.choice.pick;
+        context.core.balancer(service, |balancer, now| {
             balancer.record_broken_response(now, pick)
         });
         let broken = BrokenAttempt {
-            subject: asked.subject.clone(),
-            upstream: Arc::clone(&asked.upstream),
-            sent: asked.sent,
+            subject: context.subject.clone(),
+            upstream: Arc::clone(&context.upstream),
+            sent: context.sent,
             at: Instant::now(),
         };
-        crash::look(&asked.core, broken);
+        crash::look(&context.core, broken);
     }
 }
