--- a/crates/entry/src/search.rs
+++ b/crates/entry/src/search.rs
@@ -1,4 +1,4 @@
-//! Looks for an instance for one attempt: asks a few, decides, and waits a little for room.
+//! Search for an instance for one attempt: probes, selects, and waits briefly for capacity.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,98 +13,99 @@
 use crate::core::Core;
 use crate::probe;
 
-/// What an attempt wants.
+/// Requirements of an attempt.
 #[derive(Clone, Debug)]
 pub struct SearchRequest {
     /// What the request needs of an instance.
     pub need: Need,
-    /// Its rank among those that wait, 0 the most urgent.
-    pub rank: u32,
-    /// Instances at which it has failed.
+    /// Position in the wait queue; 0 is the most urgent.
+    pub priority: u32,
+    /// Instances at which the request has failed.
     pub exclude: Vec<Pick>,
-    /// How long it can wait and still be answered in time.
-    pub patience: Duration,
-    /// How long until it is given up.
-    pub left: Duration,
+    /// How long the request can wait and still meet its latency target.
+    pub max_wait: Duration,
+    /// Time until the request's deadline.
+    pub remaining: Duration,
 }
 
-/// What a look came to.
+/// Result of a search.
 #[derive(Debug)]
 pub enum SearchResult {
-    /// Send it there.
+    /// Send the request to this instance.
     Selected(SelectedInstance),
-    /// Nothing yet, and time to look again.
+    /// No instance has capacity yet; search again.
     Wait,
-    /// It can't be answered in time; a dispatcher says when to come back.
+    /// The request can't be answered in time. Contains the time after which to retry, if a
+    /// dispatcher reported one.
     Full(Option<Duration>),
-    /// No instance is ready.
+    /// No instance is available.
     None,
 }
 
-/// Looks once, and waits for room for `span` at most.
+/// Searches once, and waits for capacity for at most `max_wait`.
 pub async fn search(
     core: &Arc<Core>,
     service: &ServiceName,
-    want: &SearchRequest,
-    span: Duration,
+    request: &SearchRequest,
+    max_wait: Duration,
 ) -> SearchResult {
-    let began = Instant::now();
+    let started_at = Instant::now();
     for round in 0.. {
-        let plan = core.balancer(service, |balancer, now| {
-            balancer.plan_probes(now, &want.need, &want.exclude, round)
+        let probes = core.balancer(service, |balancer, now| {
+            balancer.plan_probes(now, &request.need, &request.exclude, round)
         });
-        let asked = plan.unwrap_or_default();
-        if asked.is_empty() {
+        let probes = probes.unwrap_or_default();
+        if probes.is_empty() {
             break;
         }
-        probe::ask(core, service, asked).await;
+        probe::probe_instances(core, service, probes).await;
     }
-    let verdict = core.balancer(service, |balancer, now| {
-        balancer.choose(now, &want.need, &want.exclude)
+    let selection = core.balancer(service, |balancer, now| {
+        balancer.choose(now, &request.need, &request.exclude)
     });
-    let slow = match verdict {
+    let slow = match selection {
         Some(Selection::Send(chosen)) => return SearchResult::Selected(chosen),
         Some(Selection::Slow(chosen)) => Some(chosen),
         Some(Selection::Wait) => None,
         Some(Selection::None) | None => return SearchResult::None,
     };
-    let spent = began.elapsed();
-    let patience = want.patience.saturating_sub(spent);
-    if patience.is_zero() {
-        // One that is sent all the same, and cut, holds a slot of a slow machine for
-        // nothing, and its caller isn't told to come back.
-        let left = want.left.saturating_sub(spent);
-        let ends = slow.filter(|slow| slow.choice.expected < left);
-        return ends.map_or(SearchResult::Full(None), SearchResult::Selected);
+    let elapsed = started_at.elapsed();
+    let remaining_wait = request.max_wait.saturating_sub(elapsed);
+    if remaining_wait.is_zero() {
+        // A request that would be cut off at its deadline would waste a slot of a slow instance,
+        // and its caller would get no `Retry-After`.
+        let remaining = request.remaining.saturating_sub(elapsed);
+        let in_time = slow.filter(|slow| slow.choice.expected < remaining);
+        return in_time.map_or(SearchResult::Full(None), SearchResult::Selected);
     }
-    let span = patience.min(span);
-    if span.is_zero() {
+    let max_wait = remaining_wait.min(max_wait);
+    if max_wait.is_zero() {
         return SearchResult::Wait;
     }
-    let chosen = wait(core, service, want, span).await;
+    let chosen = wait_for_capacity(core, service, request, max_wait).await;
     chosen.map_or(SearchResult::Wait, SearchResult::Selected)
 }
 
-/// Waits until an instance has room, or for `span`.
-async fn wait(
+/// Waits at most `max_wait` until an instance has capacity.
+async fn wait_for_capacity(
     core: &Arc<Core>,
     service: &ServiceName,
-    want: &SearchRequest,
-    span: Duration,
+    request: &SearchRequest,
+    max_wait: Duration,
 ) -> Option<SelectedInstance> {
-    let until = core.clock.now() + span;
-    let told = core.balancer(service, |balancer, _| {
-        balancer.wait_for_capacity(want.rank, until)
+    let deadline = core.clock.now() + max_wait;
+    let receiver = core.balancer(service, |balancer, _| {
+        balancer.wait_for_capacity(request.priority, deadline)
     })?;
-    let began = Instant::now();
-    let told = tokio::time::timeout(span, told).await;
-    core.counters.waited(service, began.elapsed());
-    let pick = told.ok()?.ok()?;
+    let started_at = Instant::now();
+    let received = tokio::time::timeout(max_wait, receiver).await;
+    core.counters.waited(service, started_at.elapsed());
+    let pick = received.ok()?.ok()?;
     match core.balancer(service, |balancer, now| {
-        balancer.choose_instance(now, &want.need, pick)
+        balancer.choose_instance(now, &request.need, pick)
     })? {
         Selection::Send(chosen) => Some(chosen),
-        // The machine is slow now: there is time to wait for another one.
+        // The instance has become slow, and there is time to wait for another one.
         Selection::Slow(_) | Selection::Wait | Selection::None => None,
     }
 }
