--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/placing.rs
@@ -51,16 +51,16 @@
 /// The dispatchers that were ever asked.
 #[derive(Default)]
 pub struct Places {
-    known: Mutex<HashMap<SocketAddr, Arc<Place>>>,
+    known: Mutex<HashMap<SocketAddr, Arc<DispatcherClient>>>,
 }
 
 impl Places {
     /// The one at `address`.
-    fn at(&self, address: SocketAddr, core: &Core) -> Arc<Place> {
+    fn at(&self, address: SocketAddr, core: &Core) -> Arc<DispatcherClient> {
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         let place = known.entry(address);
         Arc::clone(place.or_insert_with(|| {
-            Arc::new(Place {
+            Arc::new(DispatcherClient {
                 link: peer::place(address),
                 trust: Mutex::default(),
                 clock: core.clock,
@@ -71,7 +71,7 @@
 }
 
 /// One dispatcher.
-pub struct Place {
+pub struct DispatcherClient {
     link: PlaceLink,
     trust: Mutex<Trust>,
     clock: Clock,
@@ -134,7 +134,7 @@
     }
 }
 
-impl Place {
+impl DispatcherClient {
     /// Asks; none where it doesn't answer in time or isn't worth asking.
     async fn ask(&self, ask: Ask) -> Option<Placed> {
         if !self.judge(Trust::ask) {
@@ -186,7 +186,7 @@
 
 /// A question on its way; one whose asker has left tells nothing.
 struct Question<'a> {
-    place: &'a Place,
+    place: &'a DispatcherClient,
     open: bool,
 }
 
--- a/crates/entry/src/placing/grant.rs
+++ b/crates/entry/src/placing/grant.rs
@@ -12,7 +12,7 @@
 use wire::place::Ended;
 
 use super::CONNECT;
-use super::Place;
+use super::DispatcherClient;
 use super::convert::kind_to_wire;
 use super::convert::report_to_wire;
 
@@ -22,7 +22,7 @@
 
 /// What a dispatcher granted. It learns of the end, also where the attempt is dropped.
 pub struct Grant {
-    place: Arc<Place>,
+    place: Arc<DispatcherClient>,
     service: ServiceName,
     number: u64,
     kind: Kind,
@@ -30,7 +30,7 @@
 }
 
 impl Grant {
-    pub(super) fn new(place: &Arc<Place>, service: &ServiceName, number: u64) -> Self {
+    pub(super) fn new(place: &Arc<DispatcherClient>, service: &ServiceName, number: u64) -> Self {
         Self {
             place: Arc::clone(place),
             service: service.clone(),
