--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -33,7 +33,7 @@
 use crate::balancer::Balancer;
 use crate::counters::Counters;
 use crate::dialect::Dialect;
-use crate::placing::Places;
+use crate::placing::DispatcherClients;
 use crate::processes::Processes;
 use crate::route_stats::RouteStats;
 use crate::settings::Settings;
@@ -89,7 +89,7 @@
     /// How far the stop has come.
     pub stage: watch::Sender<Stage>,
     /// Dispatchers of services.
-    pub places: Places,
+    pub places: DispatcherClients,
     /// Whether the table is known.
     pub routed: watch::Sender<bool>,
     /// Whether any instance was ever known.
@@ -113,7 +113,7 @@
             counters,
             clock: Clock::start(),
             stage: watch::Sender::new(Stage::Serving),
-            places: Places::default(),
+            places: DispatcherClients::default(),
             routed: watch::Sender::new(false),
             stocked: watch::Sender::new(false),
             events: watch::Sender::default(),
--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/placing.rs
@@ -50,11 +50,11 @@
 
 /// The dispatchers that were ever asked.
 #[derive(Default)]
-pub struct Places {
+pub struct DispatcherClients {
     known: Mutex<HashMap<SocketAddr, Arc<DispatcherClient>>>,
 }
 
-impl Places {
+impl DispatcherClients {
     /// The one at `address`.
     fn at(&self, address: SocketAddr, core: &Core) -> Arc<DispatcherClient> {
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
