--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -89,7 +89,7 @@
     /// How far the stop has come.
     pub stage: watch::Sender<Stage>,
     /// Dispatchers of services.
-    pub places: DispatcherClients,
+    pub dispatcher_clients: DispatcherClients,
     /// Whether the table is known.
     pub routed: watch::Sender<bool>,
     /// Whether any instance was ever known.
@@ -113,7 +113,7 @@
             counters,
             clock: Clock::start(),
             stage: watch::Sender::new(Stage::Serving),
-            places: DispatcherClients::default(),
+            dispatcher_clients: DispatcherClients::default(),
             routed: watch::Sender::new(false),
             stocked: watch::Sender::new(false),
             events: watch::Sender::default(),
--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/placing.rs
@@ -86,7 +86,7 @@
     request: &str,
     want: &SearchRequest,
 ) -> Option<SearchResult> {
-    let place = core.places.at(address, core);
+    let place = core.dispatcher_clients.at(address, core);
     let settings = core.settings();
     let ask = Ask {
         service: service.to_string(),
