--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -28,7 +28,7 @@
 use crate::counters::Counters;
 use crate::dialect::Dialect;
 use crate::placing::server;
-use crate::placing::server::PlaceServer;
+use crate::placing::server::PlacementServer;
 use crate::probe;
 use crate::serve;
 use crate::settings::Settings;
@@ -173,7 +173,7 @@
         stop: CancellationToken::new(),
         log: core.log.clone(),
     };
-    let server = PlaceServer::new(core);
+    let server = PlacementServer::new(core);
     let serve = move |channel| server::serve(channel, server.clone());
     acceptor.run(incoming, serve).await;
 }
--- a/crates/entry/src/placing/server.rs
+++ b/crates/entry/src/placing/server.rs
@@ -39,11 +39,11 @@
 
 /// The service, one clone a question.
 #[derive(Clone)]
-pub struct PlaceServer {
+pub struct PlacementServer {
     core: Arc<Core>,
 }
 
-impl PlaceServer {
+impl PlacementServer {
     /// Grants what the desks of `core` choose.
     #[must_use]
     pub fn new(core: Arc<Core>) -> Self {
@@ -102,7 +102,7 @@
     }
 }
 
-impl PlaceApi for PlaceServer {
+impl PlaceApi for PlacementServer {
     async fn place(self, _: Context, ask: Ask) -> Placed {
         let began = Instant::now();
         let Ok(service) = ServiceName::new(&ask.service) else {
@@ -130,7 +130,7 @@
 /// Serves one connection to its end.
 pub async fn serve(
     channel: Transport<ClientMessage<PlaceApiRequest>, Response<PlaceApiResponse>>,
-    server: PlaceServer,
+    server: PlacementServer,
 ) {
     BaseChannel::with_defaults(channel)
         .execute(server.serve())
