--- a/crates/entry/src/balancer.rs
+++ b/crates/entry/src/balancer.rs
@@ -31,7 +31,7 @@
 use tokio::sync::oneshot;
 use wire::hub::Phase as WirePhase;
 
-use crate::placing::Grant;
+use crate::placement::Grant;
 use crate::processes::Processes;
 use crate::settings::Shared;
 use crate::view::Listed;
--- a/crates/entry/src/balancer/dispatch.rs
+++ b/crates/entry/src/balancer/dispatch.rs
@@ -17,10 +17,10 @@
 
 use super::Balancer;
 use super::SelectedInstance;
-use crate::placing::duration_from_micros;
-use crate::placing::micros;
-use crate::placing::report_from_wire;
-use crate::placing::report_to_wire;
+use crate::placement::duration_from_micros;
+use crate::placement::micros;
+use crate::placement::report_from_wire;
+use crate::placement::report_to_wire;
 
 /// How long after a request's deadline the message that releases its grant may arrive.
 const GRANT_EXPIRY_MARGIN: Duration = Duration::from_millis(300);
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -33,7 +33,7 @@
 use crate::balancer::Balancer;
 use crate::counters::Counters;
 use crate::dialect::Dialect;
-use crate::placing::DispatcherClients;
+use crate::placement::DispatcherClients;
 use crate::processes::Processes;
 use crate::route_stats::RouteStats;
 use crate::settings::Settings;
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -27,8 +27,8 @@
 use crate::core::Stage;
 use crate::counters::Counters;
 use crate::dialect::Dialect;
-use crate::placing::server;
-use crate::placing::server::PlacementServer;
+use crate::placement::server;
+use crate::placement::server::PlacementServer;
 use crate::probe;
 use crate::serve;
 use crate::settings::Settings;
@@ -84,11 +84,11 @@
         settings.front = front_address;
         settings.ready = ready_address;
         let client = telemetry::metrics::start(settings.telemetry.sink, settings.host.as_str())?;
-        let placing = match settings.place {
+        let placement = match settings.place {
             Some(place) => Some(listen(place).await?),
             None => None,
         };
-        settings.place = placing.as_ref().map(Questions::local_addr);
+        settings.place = placement.as_ref().map(Questions::local_addr);
         let beacons = match settings.place {
             Some(place) => {
                 let bound = UdpSocket::bind(place).await;
@@ -104,7 +104,7 @@
             spawn(sync::run(Arc::clone(&core), beacons)),
             spawn(probe::bring_back(Arc::clone(&core))),
         ];
-        tasks.extend(placing.map(|incoming| spawn(place(Arc::clone(&core), incoming))));
+        tasks.extend(placement.map(|incoming| spawn(place(Arc::clone(&core), incoming))));
         let shown = core.settings().place;
         info!(core.log, "entry serves"; "front" => %front_address, "ready" => %ready_address,
             "place" => shown.map_or_else(|| "-".to_owned(), |place| place.to_string()));
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -28,7 +28,7 @@
 use crate::body::Read;
 use crate::core::Core;
 use crate::headers;
-use crate::placing::Grant;
+use crate::placement::Grant;
 use crate::pool::Connection;
 use crate::stream_tracker::ResponseSource;
 use crate::view::Upstream;
--- a/crates/entry/src/flow/choice.rs
+++ b/crates/entry/src/flow/choice.rs
@@ -9,7 +9,7 @@
 use super::Flow;
 use crate::balancer::SelectedInstance;
 use crate::body::Outgoing;
-use crate::placing;
+use crate::placement;
 use crate::refusal::Reason;
 use crate::search;
 use crate::search::SearchRequest;
@@ -71,7 +71,7 @@
         if let Some(address) = dispatcher.filter(|_| ask_dispatcher) {
             let request_id = self.request.id.to_str().unwrap_or("-");
             let result =
-                placing::ask(&self.core, address, &self.service, request_id, request).await;
+                placement::ask(&self.core, address, &self.service, request_id, request).await;
             if let Some(result) = result {
                 return result;
             }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod flow;
 pub mod headers;
 pub mod left;
-pub mod placing;
+pub mod placement;
 pub mod pool;
 pub mod probe;
 pub mod processes;
