--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -117,7 +117,7 @@
         };
         self.core.counters.attempt(&self.service, kind.into());
         if let Some(grant) = self.grant.take() {
-            grant.end(kind, report);
+            grant.release(kind, report);
         }
         self.core.balancer(&self.service, |balancer, now| {
             balancer.finish_attempt(now, ticket, kind, report);
--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -1,8 +1,8 @@
-//! Asks a service's dispatcher for an instance, and gives back what it granted.
+//! Requests placements from a service's dispatcher, and releases the grants.
 //!
-//! A dispatcher that doesn't answer in time is left alone for a while, and the process
-//! decides for itself meanwhile. What it grants is checked against what this process
-//! knows: an instance that leaves here gets nothing, whoever says otherwise.
+//! A dispatcher that doesn't answer in time isn't asked for a while; meanwhile the process
+//! selects instances itself. A grant is checked against this process's own knowledge: an
+//! instance that is draining here gets no request, whoever granted it.
 
 mod convert;
 mod grant;
@@ -39,27 +39,27 @@
 use crate::search::SearchRequest;
 use crate::search::SearchResult;
 
-/// Longest wait for a dispatcher's answer: it holds the question for 30 ms, and looks for
-/// an instance before, with up to three rounds of probes of a few milliseconds each.
-const TIMEOUT: Duration = Duration::from_millis(60);
-/// Connections tried for one question: one of before a restart of the dispatcher, which
-/// fails at once, and a new one.
-const CONNECTIONS: usize = 2;
-/// Longest wait for a connection to it, in one region.
-const CONNECT: Duration = Duration::from_millis(20);
+/// Maximum wait for a dispatcher's answer. The dispatcher holds a request for 30 ms, after up to
+/// three rounds of probes that take a few milliseconds each.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(60);
+/// Maximum number of connections tried for one request: a cached one, which fails at once
+/// if the dispatcher has restarted, and a new one.
+const MAX_CONNECTIONS: usize = 2;
+/// Maximum wait for a connection to a dispatcher in the same region.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// The dispatchers that were ever asked.
+/// Clients of all dispatchers that were ever asked.
 #[derive(Default)]
 pub struct DispatcherClients {
-    known: Mutex<HashMap<SocketAddr, Arc<DispatcherClient>>>,
+    clients: Mutex<HashMap<SocketAddr, Arc<DispatcherClient>>>,
 }
 
 impl DispatcherClients {
-    /// The one at `address`.
+    /// Returns the client for the dispatcher at `address`.
     fn at(&self, address: SocketAddr, core: &Core) -> Arc<DispatcherClient> {
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        let place = known.entry(address);
-        Arc::clone(place.or_insert_with(|| {
+        let mut clients = self.clients.lock().unwrap_or_else(PoisonError::into_inner);
+        let entry = clients.entry(address);
+        Arc::clone(entry.or_insert_with(|| {
             Arc::new(DispatcherClient {
                 link: peer::place(address),
                 trust: Mutex::default(),
@@ -70,7 +70,7 @@
     }
 }
 
-/// One dispatcher.
+/// Client of one dispatcher.
 pub struct DispatcherClient {
     link: PlaceLink,
     trust: Mutex<Trust>,
@@ -78,41 +78,43 @@
     log: Logger,
 }
 
-/// Asks the dispatcher of `service` at `address`; none where it gives no answer.
+/// Asks the dispatcher of `service` at `address`; returns `None` if it doesn't answer.
 pub async fn ask(
     core: &Arc<Core>,
     address: SocketAddr,
     service: &ServiceName,
-    request: &str,
-    want: &SearchRequest,
+    request_id: &str,
+    search: &SearchRequest,
 ) -> Option<SearchResult> {
-    let place = core.dispatcher_clients.at(address, core);
+    let dispatcher = core.dispatcher_clients.at(address, core);
     let settings = core.settings();
     let ask = Ask {
         service: service.to_string(),
-        request: request.to_owned(),
+        request: request_id.to_owned(),
         host: settings.host.to_string(),
         domain: settings.domain.to_string(),
-        work_us: micros(want.need.work),
-        aim_us: micros(want.need.aim),
-        crossing: want.need.crossing,
-        room: want.need.room,
-        priority: want.rank,
-        patience_us: micros(want.patience),
-        left_us: micros(want.left),
+        work_us: micros(search.need.work),
+        aim_us: micros(search.need.aim),
+        crossing: search.need.crossing,
+        room: search.need.room,
+        priority: search.priority,
+        patience_us: micros(search.max_wait),
+        left_us: micros(search.remaining),
         exclude: core
-            .balancer(service, |balancer, _| balancer.ids(&want.exclude))
+            .balancer(service, |balancer, _| balancer.ids(&search.exclude))
             .unwrap_or_default(),
     };
-    let began = core.clock.now();
-    let placed = place.ask(ask).await;
-    let outcome = placed.as_ref().map_or("lost", |placed| word(placed));
-    let span = core.clock.now().since(began);
-    core.counters.placed(service, outcome, span);
+    let started_at = core.clock.now();
+    let placed = dispatcher.ask(ask).await;
+    let outcome = placed
+        .as_ref()
+        .map_or("lost", |placed| outcome_label(placed));
+    let elapsed = core.clock.now().since(started_at);
+    core.counters.placed(service, outcome, elapsed);
     let placed = placed?;
     match placed.outcome() {
         Outcome::Granted => {
-            let grant = Grant::new(&place, service, placed.grant);
+            let grant = Grant::new(&dispatcher, service, placed.grant);
             let chosen =
                 core.balancer(service, |balancer, now| balancer.accept_grant(now, &placed))??;
             Some(SearchResult::Selected(chosen.with_grant(grant)))
@@ -125,7 +127,7 @@
     }
 }
 
-fn word(placed: &Placed) -> &'static str {
+fn outcome_label(placed: &Placed) -> &'static str {
     match placed.outcome() {
         Outcome::Granted => "granted",
         Outcome::Wait => "wait",
@@ -135,30 +137,30 @@
 }
 
 impl DispatcherClient {
-    /// Asks; none where it doesn't answer in time or isn't worth asking.
+    /// Asks the dispatcher; returns `None` if it doesn't answer in time or is considered lost.
     async fn ask(&self, ask: Ask) -> Option<Placed> {
-        if !self.judge(Trust::ask) {
+        if !self.update_trust(Trust::ask) {
             return None;
         }
-        let mut question = Question {
-            place: self,
-            open: true,
+        let mut in_flight = InFlightRequest {
+            client: self,
+            pending: true,
         };
-        let placed = tokio::time::timeout(TIMEOUT, self.call(ask)).await;
+        let placed = tokio::time::timeout(REQUEST_TIMEOUT, self.send(ask)).await;
         let placed = placed.ok().flatten();
-        question.open = false;
-        self.judge(|trust, now| match &placed {
+        in_flight.pending = false;
+        self.update_trust(|trust, now| match &placed {
             Some(_) => trust.answered(now),
             None => trust.failed(now),
         });
         placed
     }
 
-    /// One question, on a new connection where the one that was there has ended.
-    async fn call(&self, ask: Ask) -> Option<Placed> {
-        for _ in 0..CONNECTIONS {
-            let client = self.link.client_within(CONNECT).await.ok()?;
-            match client.place(within(TIMEOUT), ask.clone()).await {
+    /// Sends one request, on a new connection if the cached one is closed.
+    async fn send(&self, ask: Ask) -> Option<Placed> {
+        for _ in 0..MAX_CONNECTIONS {
+            let client = self.link.client_within(CONNECT_TIMEOUT).await.ok()?;
+            match client.place(within(REQUEST_TIMEOUT), ask.clone()).await {
                 Err(RpcError::Shutdown | RpcError::Channel(_)) => self.link.drop_client(),
                 result => return self.link.judge(result).ok(),
             }
@@ -166,14 +168,14 @@
         None
     }
 
-    /// Changes what is thought of it; one line where it is lost or regained.
-    fn judge<T>(&self, change: impl FnOnce(&mut Trust, Moment) -> T) -> T {
+    /// Changes the trust in the dispatcher, and logs when it is lost or regained.
+    fn update_trust<T>(&self, change: impl FnOnce(&mut Trust, Moment) -> T) -> T {
         let now = self.clock.now();
         let mut trust = self.trust();
-        let before = trust.is_lost();
+        let was_lost = trust.is_lost();
         let result = change(&mut trust, now);
-        if trust.is_lost() != before {
-            let outcome = if before { "regained" } else { "lost" };
+        if trust.is_lost() != was_lost {
+            let outcome = if was_lost { "regained" } else { "lost" };
             info!(self.log, "dispatcher"; "address" => %self.link.address(), "outcome" => outcome);
         }
         result
@@ -184,16 +186,16 @@
     }
 }
 
-/// A question on its way; one whose asker has left tells nothing.
-struct Question<'a> {
-    place: &'a DispatcherClient,
-    open: bool,
+/// A request in flight. If its future is dropped, it counts neither as answered nor as failed.
+struct InFlightRequest<'a> {
+    client: &'a DispatcherClient,
+    pending: bool,
 }
 
-impl Drop for Question<'_> {
+impl Drop for InFlightRequest<'_> {
     fn drop(&mut self) {
-        if self.open {
-            self.place.trust().dropped();
+        if self.pending {
+            self.client.trust().dropped();
         }
     }
 }
--- a/crates/entry/src/placement/convert.rs
+++ b/crates/entry/src/placement/convert.rs
@@ -1,4 +1,4 @@
-//! Between the process's own types and those of questions to dispatchers.
+//! Conversions between internal types and those of the placement protocol.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 use wire::place::Kind as WireKind;
 use wire::place::Report;
 
-pub(crate) fn micros(span: Duration) -> u32 {
-    u32::try_from(span.as_micros()).unwrap_or(u32::MAX)
+pub(crate) fn micros(duration: Duration) -> u32 {
+    u32::try_from(duration.as_micros()).unwrap_or(u32::MAX)
 }
 
 pub(crate) fn duration_from_micros(micros: u32) -> Duration {
--- a/crates/entry/src/placement/grant.rs
+++ b/crates/entry/src/placement/grant.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher granted.
+//! A grant of a dispatcher.
 
 use std::fmt;
 use std::sync::Arc;
@@ -11,18 +11,18 @@
 use wire::link::within;
 use wire::place::Ended;
 
-use super::CONNECT;
+use super::CONNECT_TIMEOUT;
 use super::DispatcherClient;
 use super::convert::kind_to_wire;
 use super::convert::report_to_wire;
 
-/// How long the end of an attempt may take to arrive. One that doesn't is known to be
-/// over when the request's time is.
-const ENDED_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of the message that releases a grant. If the message is lost, the grant expires
+/// soon after the request's deadline.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a dispatcher granted. It learns of the end, also where the attempt is dropped.
+/// A grant of a dispatcher, released when dropped.
 pub struct Grant {
-    place: Arc<DispatcherClient>,
+    dispatcher: Arc<DispatcherClient>,
     service: ServiceName,
     number: u64,
     kind: Kind,
@@ -30,9 +30,13 @@
 }
 
 impl Grant {
-    pub(super) fn new(place: &Arc<DispatcherClient>, service: &ServiceName, number: u64) -> Self {
+    pub(super) fn new(
+        dispatcher: &Arc<DispatcherClient>,
+        service: &ServiceName,
+        number: u64,
+    ) -> Self {
         Self {
-            place: Arc::clone(place),
+            dispatcher: Arc::clone(dispatcher),
             service: service.clone(),
             number,
             kind: Kind::Cancelled,
@@ -40,8 +44,8 @@
         }
     }
 
-    /// Gives it back.
-    pub fn end(mut self, kind: Kind, report: Option<LoadReport>) {
+    /// Releases the grant with the result of the attempt.
+    pub fn release(mut self, kind: Kind, report: Option<LoadReport>) {
         self.kind = kind;
         self.report = report;
     }
@@ -57,25 +61,25 @@
 
 impl Drop for Grant {
     fn drop(&mut self) {
-        let ended = Ended {
+        let release = Ended {
             service: self.service.to_string(),
             grant: self.number,
             kind: kind_to_wire(self.kind).into(),
             report: self.report.map(report_to_wire),
         };
-        let place = Arc::clone(&self.place);
-        // Outside of the runtime the process ends, and the grant ends with its time.
+        let dispatcher = Arc::clone(&self.dispatcher);
+        // Without a runtime the process is exiting; the grant expires by itself.
         let Ok(runtime) = Handle::try_current() else {
             return;
         };
         runtime.spawn(async move {
-            let Ok(client) = place.link.client_within(CONNECT).await else {
+            let Ok(client) = dispatcher.link.client_within(CONNECT_TIMEOUT).await else {
                 return;
             };
-            // What gets lost ends with its time.
-            let _ = place
+            // If the message is lost, the grant expires by itself.
+            let _ = dispatcher
                 .link
-                .judge(client.ended(within(ENDED_TIMEOUT), ended).await);
+                .judge(client.ended(within(RELEASE_TIMEOUT), release).await);
         });
     }
 }
--- a/crates/entry/src/placement/server.rs
+++ b/crates/entry/src/placement/server.rs
@@ -1,4 +1,4 @@
-//! Grants instances to other entry processes.
+//! Server that grants instances to other entry processes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,76 +26,76 @@
 use super::convert::kind_from_wire;
 use super::convert::micros;
 use super::convert::report_from_wire;
-use super::word;
+use super::outcome_label;
 use crate::balancer::Balancer;
 use crate::core::Core;
 use crate::search;
 use crate::search::SearchRequest;
 use crate::search::SearchResult;
 
-/// How long a question is held while there is no room. The asker asks again, so that it
-/// learns soon whether the dispatcher lives; each time costs both a question.
-const HOLD: Duration = Duration::from_millis(30);
+/// How long a request is held while no instance has capacity. The short hold tells the
+/// client quickly whether the dispatcher is alive, at the cost of repeated requests.
+const MAX_HOLD: Duration = Duration::from_millis(30);
 
-/// The service, one clone a question.
+/// The placement service; each request is served by a clone.
 #[derive(Clone)]
 pub struct PlacementServer {
     core: Arc<Core>,
 }
 
 impl PlacementServer {
-    /// Grants what the desks of `core` choose.
+    /// Creates a server that grants the instances selected by the balancers of `core`.
     #[must_use]
     pub fn new(core: Arc<Core>) -> Self {
         Self { core }
     }
 
-    fn want(&self, service: &ServiceName, ask: &Ask) -> Option<SearchRequest> {
+    fn search_request(&self, service: &ServiceName, ask: &Ask) -> Option<SearchRequest> {
         let domain = DomainName::new(&ask.domain).ok()?;
         self.core.balancer(service, |balancer, _| SearchRequest {
             need: balancer.need_from_ask(ask, &domain),
-            rank: ask.priority,
+            priority: ask.priority,
             exclude: balancer.picks(&ask.exclude),
-            patience: duration_from_micros(ask.patience_us),
-            left: duration_from_micros(ask.left_us),
+            max_wait: duration_from_micros(ask.patience_us),
+            remaining: duration_from_micros(ask.left_us),
         })
     }
 
     async fn find(&self, service: &ServiceName, ask: &Ask) -> Option<Placed> {
-        let want = self.want(service, ask)?;
-        let began = Instant::now();
-        let found = search::search(&self.core, service, &want, HOLD).await;
-        let left = want.left.saturating_sub(began.elapsed());
-        match found {
+        let request = self.search_request(service, ask)?;
+        let started_at = Instant::now();
+        let result = search::search(&self.core, service, &request, MAX_HOLD).await;
+        let remaining = request.remaining.saturating_sub(started_at.elapsed());
+        match result {
             SearchResult::Selected(chosen) => self.core.balancer(service, |balancer, now| {
-                balancer.grant(now, &chosen, now + left)
+                balancer.grant(now, &chosen, now + remaining)
             }),
-            SearchResult::Wait => Some(outcome(Outcome::Wait)),
+            SearchResult::Wait => Some(placed_with(Outcome::Wait)),
             SearchResult::Full(_) => {
-                let back = self.core.balancer(service, Balancer::retry_after)?;
+                let retry_after = self.core.balancer(service, Balancer::retry_after)?;
                 Some(Placed {
-                    back_us: micros(back),
-                    ..outcome(Outcome::Full)
+                    back_us: micros(retry_after),
+                    ..placed_with(Outcome::Full)
                 })
             }
             SearchResult::None => None,
         }
     }
 
-    fn note(&self, ask: &Ask, placed: &Placed, span: Duration) {
+    fn log_placement(&self, ask: &Ask, placed: &Placed, elapsed: Duration) {
         if placed.outcome() == Outcome::Wait {
-            // The asker asks again at once; its last answer is told.
+            // The client asks again at once; only the final answer is logged.
             return;
         }
         info!(self.core.log, "placed"; "request" => &ask.request, "from" => &ask.host,
-            "service" => &ask.service, "outcome" => word(placed), "instance" => &placed.instance,
+            "service" => &ask.service, "outcome" => outcome_label(placed), "instance" => &placed.instance,
             "grant" => placed.grant, "in_flight" => placed.in_flight,
             "age_us" => placed.age_us, "expected_us" => placed.expected_us,
-            "back_us" => placed.back_us, "us" => micros(span));
+            "back_us" => placed.back_us, "us" => micros(elapsed));
     }
 }
 
-fn outcome(outcome: Outcome) -> Placed {
+fn placed_with(outcome: Outcome) -> Placed {
     Placed {
         outcome: outcome.into(),
         ..Placed::default()
@@ -104,38 +104,38 @@
 
 impl PlaceApi for PlacementServer {
     async fn place(self, _: Context, ask: Ask) -> Placed {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let Ok(service) = ServiceName::new(&ask.service) else {
-            warn!(self.core.log, "bad question for an instance"; "from" => &ask.host);
+            warn!(self.core.log, "invalid placement request"; "from" => &ask.host);
             return Placed::default();
         };
         let placed = self.find(&service, &ask).await.unwrap_or_default();
-        self.note(&ask, &placed, began.elapsed());
+        self.log_placement(&ask, &placed, started_at.elapsed());
         placed
     }
 
     async fn ended(self, _: Context, end: Ended) {
         let Ok(service) = ServiceName::new(&end.service) else {
-            warn!(self.core.log, "bad end of an attempt"; "grant" => end.grant);
+            warn!(self.core.log, "invalid release of a grant"; "grant" => end.grant);
             return;
         };
-        let told = end.report.as_ref().map(report_from_wire);
+        let report = end.report.as_ref().map(report_from_wire);
         let kind = kind_from_wire(end.kind());
         self.core.balancer(&service, |balancer, now| {
-            balancer.release_grant(now, end.grant, kind, told)
+            balancer.release_grant(now, end.grant, kind, report)
         });
     }
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it closes.
 pub async fn serve(
     channel: Transport<ClientMessage<PlaceApiRequest>, Response<PlaceApiResponse>>,
     server: PlacementServer,
 ) {
     BaseChannel::with_defaults(channel)
         .execute(server.serve())
-        .for_each(|question| {
-            tokio::spawn(question);
+        .for_each(|request| {
+            tokio::spawn(request);
             std::future::ready(())
         })
         .await;
