--- a/crates/entry/src/balancer.rs
+++ b/crates/entry/src/balancer.rs
@@ -103,6 +103,7 @@
 /// An instance selected for a request.
 #[derive(Debug)]
 pub struct SelectedInstance {
+    /// The instance and its connections.
     pub upstream: Arc<Upstream>,
     /// The data on which the choice is based.
     pub choice: FreshChoice,
@@ -111,6 +112,7 @@
 }
 
 impl SelectedInstance {
+    /// Attaches a dispatcher's grant.
     #[must_use]
     pub fn with_grant(self, grant: Grant) -> Self {
         Self {
@@ -332,6 +334,7 @@
         }
     }
 
+    /// Records the start of an attempt; the ticket is due at its end.
     pub fn start_attempt(&mut self, now: Moment, pick: Pick) -> Ticket {
         self.chooser.started(now, pick)
     }
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -1,7 +1,8 @@
-//! Whether an attempt that broke off ended together with its instance.
+//! Detects whether an attempt broke off because its instance crashed.
 //!
-//! A connection ends for many reasons: the path resets it, the instance is full or leaves.
-//! Only an instance that takes no new connection right after it has crashed.
+//! A connection can end for other reasons: a reset on the network path, an overloaded
+//! instance, an instance that shuts down. An instance counts as crashed only if its host
+//! refuses a new connection right afterwards.
 
 use std::io;
 use std::sync::Arc;
@@ -23,140 +24,150 @@
 use crate::pool::ConnectError;
 use crate::view::Upstream;
 
-/// How long an instance that takes a connection may still be ending.
-const SETTLE: Duration = Duration::from_millis(100);
-/// Longest wait for a hub's answer.
-const TOLD: Duration = Duration::from_secs(1);
+/// How long an exiting instance may still accept connections.
+const EXIT_GRACE: Duration = Duration::from_millis(100);
+/// Maximum wait for a hub to take a crash report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A request, as it is told from others.
+/// What identifies a request in crash reports.
 #[derive(Clone, Debug)]
 pub struct RequestIdentity {
-    /// The caller's name for it.
+    /// Request id.
     pub id: HeaderValue,
-    /// Who sent it: a name or an address.
+    /// The caller's name or address.
     pub caller: Arc<str>,
-    /// All but its body.
+    /// Digest of everything but the body.
     pub head: Head,
-    /// Its body.
+    /// The body, as far as it counts.
     pub content: Content,
 }
 
 impl RequestIdentity {
-    /// Notes that an instance has answered it.
-    pub fn succeeded(&self, core: &Core) {
-        if let Some(request) = self.content.known_fingerprint(self.head) {
-            core.succeeded(request);
+    /// Records that an instance has processed the request successfully.
+    pub fn record_success(&self, core: &Core) {
+        if let Some(fingerprint) = self.content.known_fingerprint(self.head) {
+            core.succeeded(fingerprint);
         }
     }
 }
 
-/// An attempt that ended without a whole answer.
+/// An attempt that ended without a complete response.
 #[derive(Clone, Debug)]
 pub struct BrokenAttempt {
     /// The request.
-    pub subject: RequestIdentity,
-    /// Where it was sent.
+    pub request: RequestIdentity,
+    /// The instance to which the request was sent.
     pub upstream: Arc<Upstream>,
-    /// When.
-    pub sent: Instant,
-    /// When it broke off.
-    pub at: Instant,
+    /// When the request was sent.
+    pub sent_at: Instant,
+    /// When the attempt broke off.
+    pub broken_at: Instant,
 }
 
-/// What became of the instance.
+/// State of the instance after the attempt broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Fate {
-    /// It runs on, or another one has its address.
+    /// The instance is running, or another one has taken over its address.
     Runs,
-    /// It had said that it leaves.
+    /// The instance had announced its shutdown.
     Leaves,
-    /// Its host refuses connections: it crashed.
+    /// The instance crashed: its host refuses connections.
     Crashed,
-    /// Nothing is known, as its host doesn't answer.
+    /// The instance's state is unknown: its host doesn't answer.
     Silent,
 }
 
-/// A look under way.
+/// A check in progress.
 #[derive(Debug)]
-pub struct Look {
-    /// Ends once there is nothing to wait for before the request is sent again: the hubs have
-    /// answered, or the instance seems to run.
-    pub word: oneshot::Receiver<()>,
-    /// What became of the instance.
+pub struct CrashCheck {
+    /// Resolves once the request may be retried: the hubs have answered, or the instance seems
+    /// to be running.
+    pub settled: oneshot::Receiver<()>,
+    /// State of the instance.
     pub fate: JoinHandle<Fate>,
 }
 
-/// Looks what became of the instance, beside whatever the request does next.
-pub fn look(core: &Arc<Core>, broken: BrokenAttempt) -> Look {
+/// Starts a check of the instance, concurrently with the request.
+pub fn check(core: &Arc<Core>, broken: BrokenAttempt) -> CrashCheck {
     let core = Arc::clone(core);
-    let (tell, word) = oneshot::channel();
-    let fate = tokio::spawn(async move { judge(&core, &broken, tell).await });
-    Look { word, fate }
+    let (sender, settled) = oneshot::channel();
+    let fate = tokio::spawn(async move { check_instance(&core, &broken, sender).await });
+    CrashCheck { settled, fate }
 }
 
-/// Drops `tell` as soon as there is nothing to wait for.
-async fn judge(core: &Core, broken: &BrokenAttempt, tell: oneshot::Sender<()>) -> Fate {
-    let mut tell = Some(tell);
+/// Checks the instance, logs the result and reports a crash. Drops `settled` once the request
+/// may be retried.
+async fn check_instance(core: &Core, broken: &BrokenAttempt, settled: oneshot::Sender<()>) -> Fate {
+    let mut settled = Some(settled);
     let BrokenAttempt {
-        subject, upstream, ..
+        request, upstream, ..
     } = broken;
-    let print = subject.content.fingerprint(subject.head);
-    let (fate, print) = tokio::join!(fate(core, upstream, &mut tell), print);
-    let word: &'static str = fate.into();
-    info!(core.log, "attempt broke off"; "request" => subject.id.to_str().unwrap_or("-"),
-        "fingerprint" => print.map_or_else(|| "-".to_owned(), |print| print.to_string()),
-        "caller" => &*subject.caller, "instance" => %upstream.id,
-        "incarnation" => upstream.incarnation, "service" => %upstream.service, "fate" => word,
-        "ms" => u64::try_from((broken.at - broken.sent).as_millis()).unwrap_or(u64::MAX));
-    core.counters.broken(&upstream.service, word);
-    if let (Fate::Crashed, Some(request)) = (fate, print) {
-        report(core, broken, request).await;
+    let fingerprint = request.content.fingerprint(request.head);
+    let (fate, fingerprint) = tokio::join!(find_fate(core, upstream, &mut settled), fingerprint);
+    let label: &'static str = fate.into();
+    info!(core.log, "attempt broke off"; "request" => request.id.to_str().unwrap_or("-"),
+        "fingerprint" => fingerprint.map_or_else(|| "-".to_owned(), |known| known.to_string()),
+        "caller" => &*request.caller, "instance" => %upstream.id,
+        "incarnation" => upstream.incarnation, "service" => %upstream.service, "fate" => label,
+        "ms" => u64::try_from((broken.broken_at - broken.sent_at).as_millis()).unwrap_or(u64::MAX));
+    core.counters.broken(&upstream.service, label);
+    if let (Fate::Crashed, Some(fingerprint)) = (fate, fingerprint) {
+        report_crash(core, broken, fingerprint).await;
     }
     fate
 }
 
-/// Tells the hubs, and waits until one of them has said what it knows.
-async fn report(core: &Core, broken: &BrokenAttempt, request: Fingerprint) {
+/// Reports a crash to the hubs, and waits until one of them has answered.
+async fn report_crash(core: &Core, broken: &BrokenAttempt, fingerprint: Fingerprint) {
     let upstream = &broken.upstream;
     let number = core.crashed(Crash {
-        request,
+        request: fingerprint,
         service: upstream.service.clone(),
         life: Life {
             instance: upstream.id.clone(),
             incarnation: upstream.incarnation,
         },
-        at: core.clock.now().before(broken.at.elapsed()),
+        at: core.clock.now().before(broken.broken_at.elapsed()),
         answered: false,
     });
     let mut reported = core.reported.subscribe();
-    // The sender lives as long as the process; no answer is as good as one that knows nothing.
-    let _ = tokio::time::timeout(TOLD, reported.wait_for(|told| *told >= number)).await;
+    // The sender lives as long as the process. A timeout is treated like a hub that knows
+    // nothing of the request.
+    let _ = tokio::time::timeout(
+        REPORT_TIMEOUT,
+        reported.wait_for(|reported| *reported >= number),
+    )
+    .await;
 }
 
-async fn fate(core: &Core, upstream: &Upstream, tell: &mut Option<oneshot::Sender<()>>) -> Fate {
+async fn find_fate(
+    core: &Core,
+    upstream: &Upstream,
+    settled: &mut Option<oneshot::Sender<()>>,
+) -> Fate {
     if !core.is_ready_instance(upstream) {
         return Fate::Leaves;
     }
     let connection = match upstream.pool.connect().await {
         Ok(connection) => connection,
-        Err(err) => return failed(&err),
+        Err(err) => return fate_from_error(&err),
     };
-    *tell = None;
-    // A process that ends closes what it has in any order, and a connection that still came
-    // about ends with it.
-    tokio::time::sleep(SETTLE).await;
+    *settled = None;
+    // An exiting process closes its sockets in any order: a connection accepted by the listener
+    // may still be closed along with it.
+    tokio::time::sleep(EXIT_GRACE).await;
     if !connection.sender.is_closed() {
         upstream.pool.keep(connection, None);
         return Fate::Runs;
     }
     match upstream.pool.connect().await {
         Ok(_) => Fate::Runs,
-        Err(err) => failed(&err),
+        Err(err) => fate_from_error(&err),
     }
 }
 
-fn failed(err: &ConnectError) -> Fate {
+fn fate_from_error(err: &ConnectError) -> Fate {
     match err {
         ConnectError::Io(err) if err.kind() == io::ErrorKind::ConnectionRefused => Fate::Crashed,
         _ => Fate::Silent,
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt at one instance.
+//! One attempt: sends a request to an instance and reads the response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,52 +33,51 @@
 use crate::stream_tracker::ResponseSource;
 use crate::view::Upstream;
 
-/// Bytes of an answer that come in one packet beside its head. One that is no longer is read
-/// whole, so that it can be asked for again where it breaks off: passing on a part of it
-/// gains no time.
-const PACKET: u64 = 1_200;
+/// Maximum size of a body that fits into one packet with its head. Such a response is read
+/// completely, so that the request can be retried if it breaks off: streaming gains no time.
+const MAX_PACKET_BODY: u64 = 1_200;
 
-/// A request as it is passed on.
+/// A request as it is sent to an instance.
 #[derive(Clone, Debug)]
 pub struct ForwardedRequest {
-    /// The caller's name for it.
+    /// Request id.
     pub id: HeaderValue,
-    /// As it came.
+    /// Method of the caller's request.
     pub method: Method,
-    /// As it came: path and query.
+    /// Path and query of the caller's request.
     pub uri: Uri,
-    /// What is passed on.
+    /// Headers of the caller's request, without those that concern its connection only.
     pub headers: HeaderMap,
-    /// Who sent it: a name or an address.
+    /// The caller's name or address.
     pub caller: Arc<str>,
-    /// What tells it from others, but for its body.
+    /// Digest of everything but the body, for the request's fingerprint.
     pub head: Head,
 }
 
-/// How long an attempt may take.
+/// Time limits of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTimeouts {
-    /// What the request has left.
-    pub left: Duration,
-    /// When an instance that is well has answered.
+    /// Time until the request's deadline, sent to the instance.
+    pub remaining: Duration,
+    /// After this time, an abandoned attempt counts as a timeout of the instance.
     pub unresponsive_after: Duration,
 }
 
-/// What an attempt holds until it ends.
+/// What an attempt occupies until it ends.
 #[derive(Debug)]
 pub struct Reservation {
-    /// Of this process's desk.
+    /// Ticket of this process's balancer.
     pub ticket: Ticket,
-    /// Of the service's dispatcher, where that chose the instance.
+    /// Grant of the service's dispatcher, if that selected the instance.
     pub grant: Option<Grant>,
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// Its beginning, the rest, and where that comes from.
+    /// The part read so far, the rest, and the connection it arrives on.
     Stream(Bytes, Incoming, ResponseSource),
 }
 
@@ -86,31 +85,31 @@
 #[derive(Debug, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum AttemptEnd {
-    /// An answer to this request.
+    /// A response to this request.
     Answer(Box<Parts>, ResponseBody),
-    /// No byte of the request has left.
+    /// No byte of the request was sent.
     Unsent,
-    /// The instance says that it didn't run the request.
+    /// The instance reported that it did not process the request.
     Refused,
-    /// Another instance has the address; the request didn't run.
+    /// Another instance has the address; the request was not processed.
     Elsewhere,
-    /// The request may have run.
+    /// The request may have been processed.
     Unknown,
 }
 
-/// An attempt as the desk counts it. One that is dropped was given up by the caller or
-/// at the route's timeout; after `silence` without an answer that tells against the
-/// instance.
-struct Running {
+/// Accounting of an attempt in the balancer. If dropped, the attempt was abandoned by the
+/// caller or at the route's timeout: it counts as cancelled, or as a timeout of the
+/// instance after `unresponsive_after`.
+struct RunningAttempt {
     core: Arc<Core>,
     service: ServiceName,
     ticket: Option<Ticket>,
     grant: Option<Grant>,
-    began: Instant,
+    started_at: Instant,
     unresponsive_after: Duration,
 }
 
-impl Running {
+impl RunningAttempt {
     fn end(&mut self, kind: Kind, report: Option<LoadReport>) {
         let Some(ticket) = self.ticket.take() else {
             return;
@@ -125,9 +124,9 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningAttempt {
     fn drop(&mut self) {
-        let kind = if self.began.elapsed() < self.unresponsive_after {
+        let kind = if self.started_at.elapsed() < self.unresponsive_after {
             Kind::Cancelled
         } else {
             Kind::Timeout
@@ -136,25 +135,27 @@
     }
 }
 
-/// Sends `call` to `upstream`.
+/// Sends `request` to `upstream` and reads the response.
 pub async fn attempt(
     core: &Arc<Core>,
     upstream: &Upstream,
     reservation: Reservation,
-    call: &ForwardedRequest,
+    request: &ForwardedRequest,
     body: Outgoing,
-    patience: AttemptTimeouts,
+    timeouts: AttemptTimeouts,
 ) -> AttemptEnd {
-    let mut running = Running {
+    let mut running = RunningAttempt {
         core: Arc::clone(core),
         service: upstream.service.clone(),
         ticket: Some(reservation.ticket),
         grant: reservation.grant,
-        began: Instant::now(),
-        unresponsive_after: patience.unresponsive_after,
+        started_at: Instant::now(),
+        unresponsive_after: timeouts.unresponsive_after,
     };
     let spool = body.spool();
-    let Some((response, connection)) = send(core, upstream, call, body, patience.left).await else {
+    let Some((response, connection)) =
+        send(core, upstream, request, body, timeouts.remaining).await
+    else {
         running.end(Kind::ConnectFailed, None);
         return AttemptEnd::Unsent;
     };
@@ -162,9 +163,9 @@
         running.end(Kind::Error, None);
         return AttemptEnd::Unknown;
     };
-    let report = load(core, response.headers());
-    // An instance may answer before the body has ended; what follows on that connection
-    // would be the rest of it.
+    let report = load_report(core, response.headers());
+    // An instance may respond before it has read the whole request body. The rest of the body
+    // would precede the next request on this connection.
     let reusable = spool.is_none_or(|spool| spool.is_whole());
     if response.headers().contains_key(&core.dialect.refused) {
         let end = if response.status() == StatusCode::MISDIRECTED_REQUEST {
@@ -172,7 +173,7 @@
         } else {
             AttemptEnd::Refused
         };
-        finish(upstream, response, connection, reusable).await;
+        read_response(upstream, response, connection, reusable).await;
         running.end(Kind::Shed, report);
         return end;
     }
@@ -180,43 +181,44 @@
         running.end(Kind::Error, None);
         return AttemptEnd::Elsewhere;
     }
-    // A late or second answer to another request belongs to nobody here.
-    if response.headers().get(&core.dialect.request) != Some(&call.id) {
+    // The response belongs to another request, for example a duplicate response.
+    if response.headers().get(&core.dialect.request) != Some(&request.id) {
         running.end(Kind::Error, None);
         return AttemptEnd::Unknown;
     }
     let failed = response.status().is_server_error();
-    if let Some((parts, answered)) = finish(upstream, response, connection, reusable).await {
+    if let Some((parts, body)) = read_response(upstream, response, connection, reusable).await {
         running.end(if failed { Kind::Error } else { Kind::Ok }, report);
-        AttemptEnd::Answer(Box::new(parts), answered)
+        AttemptEnd::Answer(Box::new(parts), body)
     } else {
         running.end(Kind::Error, report);
         AttemptEnd::Unknown
     }
 }
 
-/// The load that an instance tells on an answer.
-pub fn load(core: &Core, headers: &HeaderMap) -> Option<LoadReport> {
+/// Reads the load report of a response.
+pub fn load_report(core: &Core, headers: &HeaderMap) -> Option<LoadReport> {
     let text = headers.get(&core.dialect.load)?.to_str().ok()?;
     (core.dialect.read_load)(text)
 }
 
-/// Sends the request; none while no byte has left, no response when it broke off.
+/// Sends the request. Returns `None` if no byte was sent, and no response if the connection
+/// broke off afterwards.
 async fn send(
     core: &Core,
     upstream: &Upstream,
-    call: &ForwardedRequest,
+    forwarded: &ForwardedRequest,
     body: Outgoing,
-    left: Duration,
+    remaining: Duration,
 ) -> Option<(Option<Response<Incoming>>, Connection)> {
-    let mut request = request(core, upstream, call, body, left)?;
+    let mut request = build_request(core, upstream, forwarded, body, remaining)?;
     loop {
-        let (mut connection, fresh) = open(core, upstream).await?;
+        let (mut connection, is_new) = acquire_connection(core, upstream).await?;
         match connection.sender.try_send_request(request).await {
             Ok(response) => return Some((Some(response), connection)),
             Err(mut err) => match err.take_message() {
-                // A kept connection closed before the request was written.
-                Some(unsent) if !fresh => request = unsent,
+                // The pooled connection was closed before the request was written.
+                Some(unsent) if !is_new => request = unsent,
                 Some(_) => return None,
                 None => return Some((None, connection)),
             },
@@ -224,11 +226,10 @@
     }
 }
 
-/// A connection, kept or new, and whether it is new; why there is none is told in
-/// the log.
-pub async fn open(core: &Core, upstream: &Upstream) -> Option<(Connection, bool)> {
-    if let Some(kept) = upstream.pool.take() {
-        return Some((kept, false));
+/// Returns a pooled or a new connection, and whether it is new; logs a failure to connect.
+pub async fn acquire_connection(core: &Core, upstream: &Upstream) -> Option<(Connection, bool)> {
+    if let Some(connection) = upstream.pool.take() {
+        return Some((connection, false));
     }
     match upstream.pool.connect().await {
         Ok(connection) => Some((connection, true)),
@@ -240,48 +241,48 @@
     }
 }
 
-/// Keeps a connection whose answer, with these headers, was read whole.
-pub fn keep(upstream: &Upstream, connection: Connection, headers: &HeaderMap) {
+/// Returns a connection to the pool after a complete response with these headers.
+pub fn release_connection(upstream: &Upstream, connection: Connection, headers: &HeaderMap) {
     if !headers::closes(headers) {
         upstream.pool.keep(connection, headers::kept_for(headers));
     }
 }
 
-fn request(
+fn build_request(
     core: &Core,
     upstream: &Upstream,
-    call: &ForwardedRequest,
+    forwarded: &ForwardedRequest,
     body: Outgoing,
-    left: Duration,
+    remaining: Duration,
 ) -> Option<Request<Outgoing>> {
     let mut request = Request::new(body);
-    *request.method_mut() = call.method.clone();
-    *request.uri_mut() = call.uri.clone();
+    *request.method_mut() = forwarded.method.clone();
+    *request.uri_mut() = forwarded.uri.clone();
     let headers = request.headers_mut();
-    headers.clone_from(&call.headers);
-    let millis = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
+    headers.clone_from(&forwarded.headers);
+    let millis = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
     headers.insert(&core.dialect.deadline, HeaderValue::from(millis));
     let expected = HeaderValue::from_str(upstream.id.as_str()).ok()?;
     headers.insert(&core.dialect.expected, expected);
     Some(request)
 }
 
-/// Reads the answer, and keeps a `reusable` connection where the answer was whole.
-async fn finish(
+/// Reads the response, and returns a `reusable` connection to the pool if it is complete.
+async fn read_response(
     upstream: &Upstream,
     response: Response<Incoming>,
     connection: Connection,
     reusable: bool,
 ) -> Option<(Parts, ResponseBody)> {
     let (parts, incoming) = response.into_parts();
-    // A failure may give way to another attempt's answer. One without a length tells only
-    // by its end whether it is whole.
-    let long = incoming
+    // A server error may be replaced by another attempt's response, so it is not streamed.
+    // Without a length, only the end of the body tells whether it is complete.
+    let is_long = incoming
         .size_hint()
         .exact()
-        .is_some_and(|bytes| bytes > PACKET);
-    let at_once = parts.status.is_success() && long;
-    let read = if at_once {
+        .is_some_and(|bytes| bytes > MAX_PACKET_BODY);
+    let streams = parts.status.is_success() && is_long;
+    let read = if streams {
         body::begin(incoming).await
     } else {
         body::read(incoming).await
@@ -289,17 +290,17 @@
     match read.ok()? {
         Read::Whole(bytes) => {
             if reusable {
-                keep(upstream, connection, &parts.headers);
+                release_connection(upstream, connection, &parts.headers);
             }
             Some((parts, ResponseBody::Whole(bytes)))
         }
         Read::Part(first, rest) => {
-            let origin = ResponseSource {
+            let source = ResponseSource {
                 connection,
                 reusable: reusable && !headers::closes(&parts.headers),
-                kept: headers::kept_for(&parts.headers),
+                keep_alive: headers::kept_for(&parts.headers),
             };
-            Some((parts, ResponseBody::Stream(first, rest, origin)))
+            Some((parts, ResponseBody::Stream(first, rest, source)))
         }
     }
 }
--- a/crates/entry/src/placement/server.rs
+++ b/crates/entry/src/placement/server.rs
@@ -88,7 +88,8 @@
             return;
         }
         info!(self.core.log, "placed"; "request" => &ask.request, "from" => &ask.host,
-            "service" => &ask.service, "outcome" => outcome_label(placed), "instance" => &placed.instance,
+            "service" => &ask.service, "outcome" => outcome_label(placed),
+            "instance" => &placed.instance,
             "grant" => placed.grant, "in_flight" => placed.in_flight,
             "age_us" => placed.age_us, "expected_us" => placed.expected_us,
             "back_us" => placed.back_us, "us" => micros(elapsed));
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that are the system's own.
+//! Responses that the entry process itself generates.
 
 use std::time::Duration;
 
@@ -11,32 +11,32 @@
 
 use crate::body::Returned;
 
-/// Why the system answers itself.
+/// Why a request is refused. Unless stated otherwise, no instance has processed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Reason {
-    /// No table is known yet; not run.
+    /// No route table is known yet.
     NoTable,
     /// No route matches.
     NoRoute,
-    /// The body is over the limit; not run.
+    /// The request body exceeds the limit.
     TooLarge,
-    /// No instance is known to be ready; not run.
+    /// No instance of the service is available.
     NoInstance,
-    /// No instance could take it; not run.
+    /// No instance has capacity in time.
     Full,
-    /// Instances that ran it before have crashed; not run.
+    /// The request is quarantined: instances that processed it have crashed.
     Quarantined,
-    /// Time ran out before it was sent; not run.
+    /// The deadline passed before the request was sent.
     Late,
-    /// Time ran out while an instance may have been at work.
+    /// The deadline passed while an instance may have been processing the request.
     Timeout,
-    /// An instance broke off; the request may have run.
+    /// An attempt broke off; an instance may have processed the request.
     Broken,
 }
 
 impl Reason {
-    /// The status that tells callers whether the request may have run.
+    /// The HTTP status, which tells callers whether an instance may have processed the request.
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
@@ -51,15 +51,15 @@
     }
 }
 
-/// The answer; `back` is when asking again makes sense.
+/// Builds the response; `retry_after` is sent as `Retry-After`.
 #[must_use]
-pub fn answer(reason: Reason, back: Option<Duration>) -> Response<Returned> {
-    let word: &'static str = reason.into();
-    let mut response = Response::new(Returned::whole(Bytes::from_static(word.as_bytes())));
+pub fn response(reason: Reason, retry_after: Option<Duration>) -> Response<Returned> {
+    let label: &'static str = reason.into();
+    let mut response = Response::new(Returned::whole(Bytes::from_static(label.as_bytes())));
     *response.status_mut() = reason.status();
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    let text = back.map(|back| format!("{:.3}", back.as_secs_f64()));
+    let text = retry_after.map(|delay| format!("{:.3}", delay.as_secs_f64()));
     if let Some(value) = text.and_then(|text| HeaderValue::from_str(&text).ok()) {
         headers.insert(header::RETRY_AFTER, value);
     }
