--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -102,7 +102,7 @@
             spawn(serve::front(Arc::clone(&core), front, open.clone())),
             spawn(serve::readiness(Arc::clone(&core), ready)),
             spawn(sync::run(Arc::clone(&core), beacons)),
-            spawn(probe::bring_back(Arc::clone(&core))),
+            spawn(probe::probe_ejected(Arc::clone(&core))),
         ];
         tasks.extend(placement.map(|incoming| spawn(place(Arc::clone(&core), incoming))));
         let shown = core.settings().place;
--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -40,7 +40,7 @@
 
 /// Asks ejected instances, once their time is over, whether they are back. Without
 /// this, one that was silent would wait half a minute for a trial. Never ends.
-pub async fn bring_back(core: Arc<Core>) {
+pub async fn probe_ejected(core: Arc<Core>) {
     loop {
         tokio::time::sleep(LOOK).await;
         core.balancers(Balancer::tick);
