--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asks instances for their load, at the moment of a choice.
+//! Load probes, sent to instances when a request needs one, and to ejected instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,126 +26,130 @@
 use crate::pool::Connection;
 use crate::view::Upstream;
 
-/// After so long a probe has failed; an instance that is well answers at once,
-/// and a lost packet is sent again after some 200 ms.
-const TIMEOUT: Duration = Duration::from_millis(450);
-/// A choice waits so long for answers: a new connection to another failure domain
-/// and the probe take 14 ms where a probe costs 6 ms, and a link may be busy. A choice
-/// that doesn't wait for them rests on an old report.
-const PATIENCE: Duration = Duration::from_millis(25);
+/// Timeout of a probe. Covers one retransmission of a lost packet, about 200 ms.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(450);
+/// Maximum time that a selection waits for probe results. Covers a new connection to another
+/// failure domain, and some delay on a busy link; without them the selection would rest on
+/// outdated reports.
+const MAX_WAIT: Duration = Duration::from_millis(25);
 
-/// Between two looks for ejected instances whose time is over, and for what time brings
-/// to desks.
-const LOOK: Duration = Duration::from_millis(250);
+/// Interval at which ejected instances are probed and the balancers' timers run.
+const EJECTED_PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Asks ejected instances, once their time is over, whether they are back. Without
-/// this, one that was silent would wait half a minute for a trial. Never ends.
+/// Probes ejected instances that are due, and runs the balancers' timers. Without the probes,
+/// an instance that was unreachable would wait half a minute for a trial. Never returns.
 pub async fn probe_ejected(core: Arc<Core>) {
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(EJECTED_PROBE_INTERVAL).await;
         core.balancers(Balancer::tick);
         for (service, due) in core.balancers(Balancer::plan_ejected_probes) {
             if !due.is_empty() {
-                ask(&core, &service, due).await;
+                probe_instances(&core, &service, due).await;
             }
         }
     }
 }
 
-/// Asks the instances at once; ends when all have answered or patience has.
-/// Late answers count for later choices.
-pub async fn ask(core: &Arc<Core>, service: &ServiceName, asked: Vec<(Pick, Arc<Upstream>)>) {
-    let (done, mut answers) = mpsc::channel(asked.len().max(1));
-    let mut open = asked.len();
-    for (pick, upstream) in asked {
+/// Probes the instances concurrently, and returns once all have answered or `MAX_WAIT` has
+/// passed. Later results count for later selections.
+pub async fn probe_instances(
+    core: &Arc<Core>,
+    service: &ServiceName,
+    instances: Vec<(Pick, Arc<Upstream>)>,
+) {
+    let (sender, mut receiver) = mpsc::channel(instances.len().max(1));
+    let mut pending = instances.len();
+    for (pick, upstream) in instances {
         let core = Arc::clone(core);
         let service = service.clone();
-        let done = done.clone();
+        let sender = sender.clone();
         tokio::spawn(async move {
-            let probe = tokio::time::timeout(TIMEOUT, probe(&core, &upstream));
+            let probe = tokio::time::timeout(PROBE_TIMEOUT, probe(&core, &upstream));
             let report = match probe.await {
-                Ok(Found::Load(report, cold)) => {
-                    if let Some(left) = cold {
+                Ok(ProbeResult::Load(report, cold)) => {
+                    if let Some(remaining) = cold {
                         core.balancer(&service, |balancer, now| {
-                            balancer.record_cold(now, pick, left)
+                            balancer.record_cold(now, pick, remaining)
                         });
                     }
                     Some(report)
                 }
-                Ok(Found::Another) => {
+                Ok(ProbeResult::OtherInstance) => {
                     info!(core.log, "address taken over"; "instance" => %upstream.id,
                         "service" => %service, "address" => %upstream.address);
                     core.balancer(&service, |balancer, _| balancer.record_displaced(pick));
                     None
                 }
-                Ok(Found::Nothing) | Err(_) => None,
+                Ok(ProbeResult::Failed) | Err(_) => None,
             };
             core.counters.probe(&service, report.is_some());
             core.balancer(&service, |balancer, now| {
                 balancer.record_probe(now, pick, report)
             });
-            // A choice that no longer waits has let go of its end.
-            let _ = done.try_send(());
+            // The receiver is gone once the selection no longer waits.
+            let _ = sender.try_send(());
         });
     }
-    drop(done);
+    drop(sender);
     let all = async {
-        while open > 0 && answers.recv().await.is_some() {
-            open -= 1;
+        while pending > 0 && receiver.recv().await.is_some() {
+            pending -= 1;
         }
     };
-    // What has not answered by now is left out of this choice.
-    let _ = tokio::time::timeout(PATIENCE, all).await;
+    // The selection does without results that arrive later.
+    let _ = tokio::time::timeout(MAX_WAIT, all).await;
 }
 
-/// What a probe found.
-enum Found {
-    /// The load that the instance tells, and how much longer it is cold where it says so.
+/// Result of a probe.
+enum ProbeResult {
+    /// The instance's load, and how much longer it is cold, if reported.
     Load(LoadReport, Option<Duration>),
-    /// Another instance.
-    Another,
-    /// No answer, or not that of an instance which is well.
-    Nothing,
+    /// Another instance has the address.
+    OtherInstance,
+    /// No response, or not one of a healthy instance.
+    Failed,
 }
 
-async fn probe(core: &Core, upstream: &Upstream) -> Found {
-    let Some((response, connection)) = send(core, upstream).await else {
-        return Found::Nothing;
+async fn probe(core: &Core, upstream: &Upstream) -> ProbeResult {
+    let Some((response, connection)) = send_probe(core, upstream).await else {
+        return ProbeResult::Failed;
     };
     let (parts, incoming) = response.into_parts();
-    let whole = body::read(incoming).await;
+    let body = body::read(incoming).await;
     let id = parts.headers.get(&core.dialect.instance);
-    let same = id.is_none_or(|id| id.as_bytes() == upstream.id.as_str().as_bytes());
-    if parts.status == StatusCode::MISDIRECTED_REQUEST || !same {
-        return Found::Another;
+    let is_expected = id.is_none_or(|id| id.as_bytes() == upstream.id.as_str().as_bytes());
+    if parts.status == StatusCode::MISDIRECTED_REQUEST || !is_expected {
+        return ProbeResult::OtherInstance;
     }
     if parts.status != StatusCode::OK {
-        return Found::Nothing;
+        return ProbeResult::Failed;
     }
-    if matches!(whole, Ok(Read::Whole(_))) {
-        exchange::keep(upstream, connection, &parts.headers);
+    if matches!(body, Ok(Read::Whole(_))) {
+        exchange::release_connection(upstream, connection, &parts.headers);
     }
     let cold = parts.headers.get(&core.dialect.cold);
     let cold = cold.and_then(|value| (core.dialect.read_cold)(value.to_str().ok()?));
-    let load = exchange::load(core, &parts.headers);
-    load.map_or(Found::Nothing, |load| Found::Load(load, cold))
+    let report = exchange::load_report(core, &parts.headers);
+    report.map_or(ProbeResult::Failed, |report| {
+        ProbeResult::Load(report, cold)
+    })
 }
 
-/// The answer to a probe, on a kept connection or a new one.
-async fn send(core: &Core, upstream: &Upstream) -> Option<(Response<Incoming>, Connection)> {
+/// Sends a probe on a pooled or a new connection.
+async fn send_probe(core: &Core, upstream: &Upstream) -> Option<(Response<Incoming>, Connection)> {
     let path = core.health_path(&upstream.service)?;
     loop {
-        let (mut connection, fresh) = exchange::open(core, upstream).await?;
-        let request = request(core, upstream, &path)?;
+        let (mut connection, is_new) = exchange::acquire_connection(core, upstream).await?;
+        let request = build_request(core, upstream, &path)?;
         match connection.sender.try_send_request(request).await {
             Ok(response) => return Some((response, connection)),
-            Err(_) if !fresh => {}
+            Err(_) if !is_new => {}
             Err(_) => return None,
         }
     }
 }
 
-fn request(core: &Core, upstream: &Upstream, path: &Uri) -> Option<Request<Outgoing>> {
+fn build_request(core: &Core, upstream: &Upstream, path: &Uri) -> Option<Request<Outgoing>> {
     let mut request = Request::new(Outgoing::Whole(None));
     *request.method_mut() = Method::GET;
     *request.uri_mut() = path.clone();
--- a/crates/entry/src/route_stats.rs
+++ b/crates/entry/src/route_stats.rs
@@ -1,5 +1,4 @@
-//! What is usual for the requests of one route: how long the work takes and how
-//! many bytes move. A choice weighs both.
+//! Moving averages of work time and transfer size of one route's requests.
 
 use std::time::Duration;
 
@@ -8,69 +7,70 @@
 
 use crate::left::Left;
 
-/// Weight of one answer in what is usual.
-const WEIGHT: f64 = 0.05;
-/// Usual times of work that an aim is taken for before the first answer.
-const AIM_WORKS: f64 = 2.7;
-/// Work that is assumed where a route has no aim, in seconds.
-const FIRST_WORK: f64 = 0.1;
-/// Bytes that are assumed before the first answer.
-const FIRST_BYTES: f64 = 2_000.0;
-/// Bytes of both heads, besides the bodies.
+/// Weight of one response in the moving averages.
+const SAMPLE_WEIGHT: f64 = 0.05;
+/// Ratio of the latency target to the work time, assumed before the first response.
+const INITIAL_AIM_RATIO: f64 = 2.7;
+/// Work time in seconds, assumed before the first response of a route without a target.
+const INITIAL_WORK: f64 = 0.1;
+/// Size of both bodies, assumed before the first response.
+const INITIAL_BYTES: f64 = 2_000.0;
+/// Size of both heads, added to that of the bodies.
 const HEAD_BYTES: f64 = 600.0;
-/// Times the usual that one answer counts for at most, so that a stall doesn't
-/// count as work.
-const MOST_SAMPLE: f64 = 3.0;
-/// Bytes in the unit that the price of crossing is set for.
+/// Upper bound of a sample, as a multiple of the average, so that stalls don't count as
+/// work.
+const MAX_SAMPLE_RATIO: f64 = 3.0;
+/// Number of bytes to which the crossing price applies.
 const MEGABYTE: f64 = 1e6;
 
-/// What is usual for one route.
+/// Statistics of one route.
 #[derive(Clone, Debug)]
 pub struct RouteStats {
     work: f64,
     bytes: f64,
     timeout: Option<Duration>,
-    left: Left,
+    caller_times: Left,
 }
 
 impl RouteStats {
-    /// A guess from the route's aim and timeout.
+    /// Estimates the statistics from the route's latency target and timeout.
     #[must_use]
     pub fn initial(aim: Option<Duration>, timeout: Option<Duration>) -> Self {
         Self {
-            work: aim.map_or(FIRST_WORK, |aim| aim.as_secs_f64() / AIM_WORKS),
-            bytes: FIRST_BYTES,
+            work: aim.map_or(INITIAL_WORK, |aim| aim.as_secs_f64() / INITIAL_AIM_RATIO),
+            bytes: INITIAL_BYTES,
             timeout,
-            left: Left::default(),
+            caller_times: Left::default(),
         }
     }
 
-    /// Usual time of work.
+    /// Average work time.
     #[must_use]
-    pub fn work(&self) -> Duration {
+    pub fn work_time(&self) -> Duration {
         Duration::from_secs_f64(self.work)
     }
 
-    /// What a request's bytes between failure domains cost where a megabyte costs
-    /// `price`, in the worth of a request.
+    /// Cost of transferring a request and its response between failure domains, as a fraction of
+    /// the request's worth; `price` is the cost of a megabyte.
     #[must_use]
     pub fn crossing_cost(&self, price: f64) -> f64 {
         (self.bytes + HEAD_BYTES) / MEGABYTE * price
     }
 
-    /// How much of its time a caller with `left` had spent before it came here.
-    pub fn spent(&mut self, now: Moment, left: Duration) -> Duration {
-        let spent = self.left.spent(left);
-        self.left.learn(now, left, self.timeout);
+    /// How much of its timeout a caller with `remaining` time had spent before it sent the request
+    /// here; records the caller.
+    pub fn spent(&mut self, now: Moment, remaining: Duration) -> Duration {
+        let spent = self.caller_times.spent(remaining);
+        self.caller_times.learn(now, remaining, self.timeout);
         spent
     }
 
-    /// Takes an answer that came after `latency` at an instance chosen so.
-    pub fn learn(&mut self, latency: Duration, choice: &FreshChoice, bytes: u64) {
+    /// Records the latency of a response. The expected slowdown of the instance is taken out.
+    pub fn record_response(&mut self, latency: Duration, choice: &FreshChoice, bytes: u64) {
         let slowdown = choice.expected.as_secs_f64() / self.work.max(1e-4);
         let sample = latency.as_secs_f64() / slowdown.max(0.1);
-        self.work += (sample.min(self.work * MOST_SAMPLE) - self.work) * WEIGHT;
+        self.work += (sample.min(self.work * MAX_SAMPLE_RATIO) - self.work) * SAMPLE_WEIGHT;
         let bytes = f64::from(u32::try_from(bytes).unwrap_or(u32::MAX));
-        self.bytes += (bytes - self.bytes) * WEIGHT;
+        self.bytes += (bytes - self.bytes) * SAMPLE_WEIGHT;
     }
 }
--- a/crates/entry/src/stream_tracker.rs
+++ b/crates/entry/src/stream_tracker.rs
@@ -1,8 +1,7 @@
-//! The rest of an answer whose head was passed on, until it has ended.
+//! Tracks a response whose body is streamed to the caller, until it ends.
 //!
-//! What its instance does then counts as what it does before its head: an answer that is
-//! whole teaches how long the route's work takes and leaves a connection for the next
-//! request, one that breaks off tells against the instance.
+//! A complete response updates the route's statistics and releases its connection; one that
+//! breaks off counts as a failure of the instance.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -25,75 +24,74 @@
 use crate::route_stats::RouteStats;
 use crate::view::Upstream;
 
-/// An answer that has come no further for so long after its request's time was up has ended
-/// for its caller: over the time in which a lost packet is sent again, and half of what
-/// callers are kept waiting beyond that time at most.
-const STALL: Duration = Duration::from_millis(250);
+/// A streamed response ends if no data arrives for this long after the request's deadline.
+/// Covers the retransmission of a lost packet.
+const STALL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Where the answer comes from.
+/// The connection on which a response arrives.
 #[derive(Debug)]
 pub struct ResponseSource {
-    /// The connection on which it comes.
+    /// The connection.
     pub connection: Connection,
-    /// Whether that may take another request after it.
+    /// Whether the connection can be used for another request afterwards.
     pub reusable: bool,
-    /// How long the instance keeps it, where it says so.
-    pub kept: Option<Duration>,
+    /// How long the instance keeps the connection open, if it says so.
+    pub keep_alive: Option<Duration>,
 }
 
-/// What it answers.
+/// The request to which a response belongs.
 pub struct ResponseContext {
-    /// The process.
+    /// State of the process.
     pub core: Arc<Core>,
     /// The request.
-    pub subject: RequestIdentity,
-    /// The request's route.
+    pub request: RequestIdentity,
+    /// Its route.
     pub route: Arc<Route>,
-    /// The instance.
+    /// The instance that responds.
     pub upstream: Arc<Upstream>,
-    /// What the choice of it rested on.
+    /// The data on which the choice of the instance is based.
     pub choice: FreshChoice,
-    /// When the request was sent there.
-    pub sent: Instant,
-    /// Bytes of the request's body.
-    pub bytes: u64,
-    /// When the request's time is up.
-    pub end: Instant,
+    /// When the request was sent.
+    pub sent_at: Instant,
+    /// Size of the request body, 0 if unknown.
+    pub request_bytes: u64,
+    /// Deadline of the request.
+    pub deadline: Instant,
 }
 
-/// An answer under way. One that is dropped before its end was left by its caller.
+/// A response in progress. If dropped before its end, the caller has disconnected.
 pub struct StreamTracker {
     context: ResponseContext,
-    origin: ResponseSource,
-    /// Bytes of the answer's body that have come.
-    came: u64,
-    at: Instant,
+    source: ResponseSource,
+    /// Size of the response body received so far.
+    received: u64,
+    last_progress: Instant,
     timer: Pin<Box<Sleep>>,
 }
 
 impl StreamTracker {
-    /// An answer whose head has come.
+    /// Starts tracking a response whose head has arrived.
     #[must_use]
-    pub fn new(context: ResponseContext, origin: ResponseSource) -> Self {
+    pub fn new(context: ResponseContext, source: ResponseSource) -> Self {
         Self {
-            timer: Box::pin(tokio::time::sleep_until(context.end + STALL)),
+            timer: Box::pin(tokio::time::sleep_until(context.deadline + STALL_TIMEOUT)),
             context,
-            origin,
-            came: 0,
-            at: Instant::now(),
+            source,
+            received: 0,
+            last_progress: Instant::now(),
         }
     }
 
-    /// Takes that so many bytes have come.
-    pub fn came(&mut self, bytes: usize) {
-        self.came += bytes as u64;
-        self.at = Instant::now();
+    /// Records that `bytes` more of the body have arrived.
+    pub fn record_received(&mut self, bytes: usize) {
+        self.received += bytes as u64;
+        self.last_progress = Instant::now();
     }
 
-    /// Ready once the answer has stalled after its request's time.
+    /// Ready once the response has stalled after the request's deadline.
     pub fn poll_stalled(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         while self.timer.as_mut().poll(cx).is_ready() {
-            let next = self.at + STALL;
+            let next = self.last_progress + STALL_TIMEOUT;
             if next <= Instant::now() {
                 return Poll::Ready(());
             }
@@ -102,31 +100,34 @@
         Poll::Pending
     }
 
-    /// The answer has ended whole.
+    /// Records that the response is complete.
     pub fn whole(self) {
         let context = self.context;
-        context.subject.succeeded(&context.core);
-        let latency = context.sent.elapsed();
-        let bytes = context.bytes + self.came;
-        let learn =
-            |route_stats: &mut RouteStats| route_stats.learn(latency, &context.choice, bytes);
-        context.core.route_stats(&context.route, learn);
-        if self.origin.reusable {
+        context.request.record_success(&context.core);
+        let latency = context.sent_at.elapsed();
+        let bytes = context.request_bytes + self.received;
+        let record = |route_stats: &mut RouteStats| {
+            route_stats.record_response(latency, &context.choice, bytes)
+        };
+        context.core.route_stats(&context.route, record);
+        if self.source.reusable {
             let ResponseSource {
-                connection, kept, ..
-            } = self.origin;
-            context.upstream.pool.keep(connection, kept);
+                connection,
+                keep_alive,
+                ..
+            } = self.source;
+            context.upstream.pool.keep(connection, keep_alive);
         }
     }
 
-    /// The answer ended before it was whole.
-    pub fn broke_off(self, err: &BodyError) {
+    /// Records that the response broke off.
+    pub fn record_error(self, err: &BodyError) {
         let context = &self.context;
         let service = &context.upstream.service;
         warn!(context.core.log, "answer broke off";
-            "request" => context.subject.id.to_str().unwrap_or("-"), "instance" => %context.upstream.id,
-            "service" => %service, "bytes" => self.came,
-            "ms" => u64::try_from(context.sent.elapsed().as_millis()).unwrap_or(u64::MAX),
+            "request" => context.request.id.to_str().unwrap_or("-"),
+            "instance" => %context.upstream.id, "service" => %service, "bytes" => self.received,
+            "ms" => u64::try_from(context.sent_at.elapsed().as_millis()).unwrap_or(u64::MAX),
             "error" => %err);
         context.core.counters.broke_off(service);
         let pick = context.choice.pick;
@@ -134,11 +135,11 @@
             balancer.record_broken_response(now, pick)
         });
         let broken = BrokenAttempt {
-            subject: context.subject.clone(),
+            request: context.request.clone(),
             upstream: Arc::clone(&context.upstream),
-            sent: context.sent,
-            at: Instant::now(),
+            sent_at: context.sent_at,
+            broken_at: Instant::now(),
         };
-        crash::look(&context.core, broken);
+        crash::check(&context.core, broken);
     }
 }
