--- a/crates/entry/src/balancer.rs
+++ b/crates/entry/src/balancer.rs
@@ -44,7 +44,7 @@
 /// processes have saved and what new ones may borrow.
 const RETRY_BASE_UTILIZATION: f64 = 0.6;
 /// Fraction of the probe budget that is used. The rest covers instances that are removed
-/// while their probes are saved.
+/// while probes for them are saved.
 const PROBE_UTILIZATION: f64 = 0.8;
 /// Fraction of the probe budget that a service's dispatcher uses. All processes share the
 /// rest, for low load, for an unresponsive dispatcher and for ejected instances.
@@ -303,9 +303,13 @@
     }
 
     /// Queues a request; the receiver gets an instance with free capacity.
-    pub fn wait_for_capacity(&mut self, priority: u32, until: Moment) -> oneshot::Receiver<Pick> {
+    pub fn wait_for_capacity(
+        &mut self,
+        priority: u32,
+        deadline: Moment,
+    ) -> oneshot::Receiver<Pick> {
         let (sender, receiver) = oneshot::channel();
-        self.wait_queue.push(priority, until, sender);
+        self.wait_queue.push(priority, deadline, sender);
         receiver
     }
 
--- a/crates/entry/src/balancer/dispatch.rs
+++ b/crates/entry/src/balancer/dispatch.rs
@@ -74,13 +74,13 @@
         ids.map(ToString::to_string).collect()
     }
 
-    /// Grants the selected instance to another process until `until`.
-    pub fn grant(&mut self, now: Moment, chosen: &SelectedInstance, until: Moment) -> Placed {
+    /// Grants the selected instance to another process, for a request that ends by `deadline`.
+    pub fn grant(&mut self, now: Moment, chosen: &SelectedInstance, deadline: Moment) -> Placed {
         let choice = &chosen.choice;
         let ticket = self.chooser.started(now, choice.pick);
         Placed {
             outcome: Outcome::Granted.into(),
-            grant: self.grants.grant(until + GRANT_EXPIRY_MARGIN, ticket),
+            grant: self.grants.grant(deadline + GRANT_EXPIRY_MARGIN, ticket),
             instance: chosen.upstream.id.to_string(),
             incarnation: chosen.upstream.incarnation,
             report: choice.report.map(report_to_wire),
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -26,7 +26,7 @@
 
 /// How long an exiting instance may still accept connections.
 const EXIT_GRACE: Duration = Duration::from_millis(100);
-/// Maximum wait for a hub to take a crash report.
+/// Maximum wait for a hub to acknowledge a crash report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What identifies a request in crash reports.
@@ -38,7 +38,7 @@
     pub caller: Arc<str>,
     /// Digest of everything but the body.
     pub head: Head,
-    /// The body, as far as it counts.
+    /// The part of the body that enters the fingerprint.
     pub content: Content,
 }
 
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -43,7 +43,8 @@
 
 /// Timeout of a request without a deadline header.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
-/// `Retry-After` if no table or no instance is known; the hubs usually send both in time.
+/// `Retry-After` of refusals that don't depend on capacity. The hubs deliver a missing table
+/// or missing instances within this time.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Fraction of the caller's timeout for which a request waits for the first table and
 /// instances. After a restart of all processes, these arrive within 700 ms.
--- a/crates/entry/src/flow/choice.rs
+++ b/crates/entry/src/flow/choice.rs
@@ -104,16 +104,16 @@
     /// target. A late request is refused at once so that its caller can try elsewhere.
     fn max_wait(&self) -> Duration {
         self.aim
-            .saturating_sub(self.usual_work().mul_f64(WORK_MARGIN))
+            .saturating_sub(self.work_time().mul_f64(WORK_MARGIN))
     }
 
     /// Whether the usual work time ends after the latency target.
     fn is_late(&self) -> bool {
-        self.started_at.elapsed() + self.usual_work() > self.aim
+        self.started_at.elapsed() + self.work_time() > self.aim
     }
 
     /// Usual work time of the route.
-    fn usual_work(&self) -> Duration {
+    fn work_time(&self) -> Duration {
         self.core
             .route_stats(&self.route, |route_stats| route_stats.work_time())
     }
@@ -126,7 +126,7 @@
         // A late request still needs the fastest response.
         let aim = remaining.max(aim / 4);
         Need {
-            work: self.usual_work(),
+            work: self.work_time(),
             aim,
             crossing: self
                 .core
