--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -42,7 +42,7 @@
 use crate::view::Upstream;
 
 /// Timeout of a request without a deadline header.
-const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 /// `Retry-After` of refusals that don't depend on capacity. The hubs deliver a missing table
 /// or missing instances within this time.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(300);
@@ -108,7 +108,7 @@
 ) -> Response<Returned> {
     let started_at = Instant::now();
     let header_timeout = headers::number(request.headers(), &core.dialect.deadline);
-    let caller_timeout = header_timeout.map_or(DEFAULT_DEADLINE, Duration::from_millis);
+    let caller_timeout = header_timeout.map_or(DEFAULT_TIMEOUT, Duration::from_millis);
     let startup_deadline = started_at + caller_timeout.mul_f64(STARTUP_WAIT_FRACTION);
     let routes = head::wait_for_routes(&core, startup_deadline).await;
     let id = request.headers().get(&core.dialect.request).cloned();
@@ -165,7 +165,7 @@
         caller_timeout,
         aim,
         attempts: 0,
-        unrequest_bytes: 0,
+        unsent: 0,
         exclude: Vec::new(),
         may_have_run: false,
         last_attempt: None,
