--- a/crates/entry/src/placement/server.rs
+++ b/crates/entry/src/placement/server.rs
@@ -123,7 +123,7 @@
         let report = end.report.as_ref().map(report_from_wire);
         let kind = kind_from_wire(end.kind());
         self.core.balancer(&service, |balancer, now| {
-            balancer.release_grant(now, end.grant, kind, report)
+            balancer.release_grant(now, end.grant, kind, report);
         });
     }
 }
--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -69,7 +69,7 @@
                 Ok(ProbeResult::Load(report, cold)) => {
                     if let Some(remaining) = cold {
                         core.balancer(&service, |balancer, now| {
-                            balancer.record_cold(now, pick, remaining)
+                            balancer.record_cold(now, pick, remaining);
                         });
                     }
                     Some(report)
@@ -84,7 +84,7 @@
             };
             core.counters.probe(&service, report.is_some());
             core.balancer(&service, |balancer, now| {
-                balancer.record_probe(now, pick, report)
+                balancer.record_probe(now, pick, report);
             });
             // The receiver is gone once the selection no longer waits.
             let _ = sender.try_send(());
--- a/crates/entry/src/stream_tracker.rs
+++ b/crates/entry/src/stream_tracker.rs
@@ -132,7 +132,7 @@
         context.core.counters.broke_off(service);
         let pick = context.choice.pick;
         context.core.balancer(service, |balancer, now| {
-            balancer.record_broken_response(now, pick)
+            balancer.record_broken_response(now, pick);
         });
         let broken = BrokenAttempt {
             request: context.request.clone(),
