--- a/crates/entry/src/balancer.rs
+++ b/crates/entry/src/balancer.rs
@@ -321,8 +321,8 @@
         self.last_refusal = now;
         let waiting = u32::try_from(self.wait_queue.len(now)).unwrap_or(u32::MAX);
         let ahead = self.recent_refusals + f64::from(waiting);
-        let delay = self.completion_interval.as_secs_f64() * ahead;
-        Duration::from_secs_f64(delay).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
+        let estimate = self.completion_interval.as_secs_f64() * ahead;
+        Duration::from_secs_f64(estimate).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
     /// Offers free capacity of an instance to a waiting request.
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -145,9 +145,7 @@
         return head::refuse(&core, &id, &routes, Reason::TooLarge, None);
     }
     let spent = header_timeout.map_or(Duration::ZERO, |_| {
-        core.route_stats(route, |route_stats| {
-            route_stats.spent(core.clock.now(), caller_timeout)
-        })
+        core.route_stats(route, |stats| stats.spent(core.clock.now(), caller_timeout))
     });
     let aim = route
         .aim
@@ -277,11 +275,10 @@
         if let AttemptEnd::Answer(parts, ResponseBody::Whole(bytes)) = &end
             && parts.status.is_success()
         {
-            let bytes_transferred = bytes.len() as u64 + self.request_bytes;
+            let total = bytes.len() as u64 + self.request_bytes;
             let latency = sent_at.elapsed();
-            let record = |route_stats: &mut RouteStats| {
-                route_stats.record_response(latency, &chosen.choice, bytes_transferred)
-            };
+            let record =
+                |stats: &mut RouteStats| stats.record_response(latency, &chosen.choice, total);
             self.core.route_stats(&self.route, record);
         }
         Ok(end)
--- a/crates/entry/src/flow/choice.rs
+++ b/crates/entry/src/flow/choice.rs
@@ -115,7 +115,7 @@
     /// Usual work time of the route.
     fn work_time(&self) -> Duration {
         self.core
-            .route_stats(&self.route, |route_stats| route_stats.work_time())
+            .route_stats(&self.route, |stats| stats.work_time())
     }
 
     /// What the request currently needs of an instance.
@@ -130,7 +130,7 @@
             aim,
             crossing: self
                 .core
-                .route_stats(&self.route, |route_stats| route_stats.crossing_cost(price)),
+                .route_stats(&self.route, |stats| stats.crossing_cost(price)),
             room: if self.is_late() {
                 LATE_MAX_OCCUPANCY
             } else {
--- a/crates/entry/src/search.rs
+++ b/crates/entry/src/search.rs
@@ -98,9 +98,9 @@
         balancer.wait_for_capacity(request.priority, deadline)
     })?;
     let started_at = Instant::now();
-    let received = tokio::time::timeout(max_wait, receiver).await;
+    let result = tokio::time::timeout(max_wait, receiver).await;
     core.counters.waited(service, started_at.elapsed());
-    let pick = received.ok()?.ok()?;
+    let pick = result.ok()?.ok()?;
     match core.balancer(service, |balancer, now| {
         balancer.choose_instance(now, &request.need, pick)
     })? {
--- a/crates/entry/src/stream_tracker.rs
+++ b/crates/entry/src/stream_tracker.rs
@@ -106,9 +106,8 @@
         context.request.record_success(&context.core);
         let latency = context.sent_at.elapsed();
         let bytes = context.request_bytes + self.received;
-        let record = |route_stats: &mut RouteStats| {
-            route_stats.record_response(latency, &context.choice, bytes)
-        };
+        let record =
+            |stats: &mut RouteStats| stats.record_response(latency, &context.choice, bytes);
         context.core.route_stats(&context.route, record);
         if self.source.reusable {
             let ResponseSource {
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -280,7 +280,7 @@
             Selection::Send(chosen) => self.send(job, &chosen),
             Selection::Slow(chosen) if patience == 0 => self.send(job, &chosen),
             Selection::Slow(_) | Selection::Wait if patience > 0 => {
-                self.wait_for_capacity(job, patience.min(LOOK))
+                self.wait_for_capacity(job, patience.min(LOOK));
             }
             _ => {
                 self.jobs[job].settled = true;
