--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -57,7 +57,7 @@
 /// Time limits of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTimeouts {
-    /// Time until the request's deadline, sent to the instance.
+    /// What is left of the caller's timeout, sent to the instance as its deadline.
     pub remaining: Duration,
     /// After this time, an abandoned attempt counts as a timeout of the instance.
     pub unresponsive_after: Duration,
