--- /dev/null
+++ b/crates/entry/src/balancer.rs
@@ -0,0 +1,392 @@
+//! Load balancing for one service: instance selection, retry and probe budgets, and the
+//! queue of requests that wait for capacity.
+
+mod cold;
+mod dispatch;
+
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use ::dispatch::Dispatched;
+use ::dispatch::Grants;
+use ::dispatch::Tenure;
+use ::dispatch::Warmup;
+use admit::Waiting;
+use attempt::budget::Budget;
+use attempt::budget::Share;
+use base::prelude::*;
+use measure::Allowance;
+use route::Decision;
+use route::Fresh;
+use route::FreshChoice;
+use route::Instance;
+use route::Kind;
+use route::LoadReport;
+use route::Need;
+use route::Phase;
+use route::Pick;
+use route::Ticket;
+use route::Told;
+use tokio::sync::oneshot;
+use wire::hub::Phase as WirePhase;
+
+use crate::placement::Grant;
+use crate::processes::Processes;
+use crate::settings::Shared;
+use crate::view::Listed;
+use crate::view::Upstream;
+
+/// Fraction of the per-request retry allowance that is used. The rest covers requests that
+/// drop in number while retries of earlier ones are in flight.
+const RETRY_PERCENT_UTILIZATION: f64 = 0.85;
+/// Fraction of the retry allowance without requests that is used. The rest covers what all
+/// processes have saved and what new ones may borrow.
+const RETRY_BASE_UTILIZATION: f64 = 0.6;
+/// Fraction of the probe budget that is used. The rest covers instances that are removed
+/// while probes for them are saved.
+const PROBE_UTILIZATION: f64 = 0.8;
+/// Fraction of the probe budget that a service's dispatcher uses. All processes share the
+/// rest, for low load, for an unresponsive dispatcher and for ejected instances.
+const DISPATCHER_PROBE_SHARE: f64 = 0.5;
+/// Maximum number of retries that one process saves. With the utilization above, a hundred
+/// processes stay within their shared allowance.
+const RETRY_BURST: u64 = 2;
+/// Weight of one sample in the moving average of the time between completions.
+const COMPLETION_INTERVAL_WEIGHT: f64 = 0.1;
+/// Lower bound of `Retry-After`.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Upper bound of `Retry-After`.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
+
+/// Load balancer of one service.
+#[derive(Debug)]
+pub struct Balancer {
+    chooser: Fresh,
+    retry_budget: Budget,
+    probe_allowance: Allowance,
+    shared: Shared,
+    upstreams: HashMap<InstanceId, Arc<Upstream>>,
+    wait_queue: Waiting<oneshot::Sender<Pick>>,
+    /// When an attempt last finished.
+    last_completion: Moment,
+    /// Moving average of the time between finished attempts.
+    completion_interval: Duration,
+    /// Callers told to retry later, decaying with `MAX_RETRY_AFTER` as the time constant.
+    recent_refusals: f64,
+    last_refusal: Moment,
+    /// Open grants to other processes.
+    grants: Grants<Ticket>,
+    /// Whether this process dispatches for the service, or another one does.
+    dispatcher_role: Tenure,
+    /// Rate limit of cold instances; `None` if unlimited.
+    warmup: Option<Warmup>,
+    /// The processes that share `warmup`.
+    processes: Arc<Processes>,
+    created_at: Moment,
+}
+
+/// Result of selecting an instance for a request.
+#[derive(Debug)]
+pub enum Selection {
+    /// Send the request.
+    Send(SelectedInstance),
+    /// The instance is likely to answer late: send only if there is no time left to wait for
+    /// a better one.
+    Slow(SelectedInstance),
+    /// Wait for capacity.
+    Wait,
+    /// No instance is available.
+    None,
+}
+
+/// An instance selected for a request.
+#[derive(Debug)]
+pub struct SelectedInstance {
+    /// The instance and its connections.
+    pub upstream: Arc<Upstream>,
+    /// The data on which the choice is based.
+    pub choice: FreshChoice,
+    /// The dispatcher's grant, if a dispatcher selected the instance.
+    pub grant: Option<Grant>,
+}
+
+impl SelectedInstance {
+    /// Attaches a dispatcher's grant.
+    #[must_use]
+    pub fn with_grant(self, grant: Grant) -> Self {
+        Self {
+            grant: Some(grant),
+            ..self
+        }
+    }
+}
+
+impl Balancer {
+    /// Creates a balancer without instances.
+    #[must_use]
+    pub fn new(domain: DomainName, shared: &Shared, seed: u64, now: Moment) -> Self {
+        let mut chooser = Fresh::new(domain, seed);
+        chooser.set_processes(shared.entries);
+        Self {
+            chooser,
+            retry_budget: Budget::new(retry_share(shared), now),
+            probe_allowance: Allowance::new(now),
+            shared: *shared,
+            upstreams: HashMap::new(),
+            wait_queue: Waiting::default(),
+            last_completion: now,
+            completion_interval: MIN_RETRY_AFTER,
+            recent_refusals: 0.0,
+            last_refusal: now,
+            grants: Grants::starting(seed),
+            dispatcher_role: Tenure::default(),
+            warmup: None,
+            processes: Arc::default(),
+            created_at: now,
+        }
+    }
+
+    /// Sets the shared budgets and the number of processes that share them.
+    pub fn set_shared(&mut self, shared: &Shared, now: Moment) {
+        self.shared = *shared;
+        self.chooser.set_processes(shared.entries);
+        self.retry_budget.set_share(retry_share(shared), now);
+        self.update_probe_share(now);
+    }
+
+    fn update_probe_share(&mut self, now: Moment) {
+        let entries = self.shared.entries;
+        let (fraction, processes) = match self.dispatcher_role.dispatched() {
+            Dispatched::Nobody => (1.0, entries),
+            Dispatched::Here if self.dispatcher_role.is_settled(now) => (DISPATCHER_PROBE_SHARE, 1),
+            Dispatched::Here | Dispatched::Elsewhere => (1.0 - DISPATCHER_PROBE_SHARE, entries),
+        };
+        let budget = (f64::from(self.shared.probes) * PROBE_UTILIZATION * fraction).floor();
+        #[expect(
+            clippy::cast_possible_truncation,
+            clippy::cast_sign_loss,
+            reason = "fits in a u32"
+        )]
+        let budget = budget as u32;
+        let count = self.upstreams.len();
+        self.probe_allowance.set(now, budget, count, processes);
+    }
+
+    /// Replaces the set of instances.
+    pub fn update<'a>(&mut self, now: Moment, instances: impl Iterator<Item = Listed<'a>>) {
+        self.upstreams.clear();
+        let mut table = Vec::new();
+        for listed in instances {
+            let upstream = listed.upstream;
+            let instance = Instance {
+                id: upstream.id.clone(),
+                incarnation: upstream.incarnation,
+                domain: upstream.domain.clone(),
+                slots: upstream.slots,
+                phase: phase_from_wire(listed.phase),
+            };
+            table.push(Told {
+                instance,
+                cold: upstream.cold,
+                silent: listed.silent,
+            });
+            self.upstreams
+                .insert(upstream.id.clone(), Arc::clone(upstream));
+        }
+        self.chooser.update(now, &table);
+        self.update_probe_share(now);
+    }
+
+    /// Number of instances of the service.
+    #[must_use]
+    pub fn len(&self) -> usize {
+        self.upstreams.len()
+    }
+
+    /// Whether the service has no instances.
+    #[must_use]
+    pub fn is_empty(&self) -> bool {
+        self.upstreams.is_empty()
+    }
+
+    /// Counts a request, which earns a fraction of a retry.
+    pub fn record_request(&mut self, now: Moment) {
+        self.retry_budget.earn(now);
+    }
+
+    /// Takes one retry from the budget; returns false if it is exhausted.
+    pub fn try_spend_retry(&mut self, now: Moment) -> bool {
+        self.retry_budget.spend_or_borrow(now)
+    }
+
+    /// Returns the instances to probe before a selection, in the given `round`, counted from 0.
+    pub fn plan_probes(
+        &mut self,
+        now: Moment,
+        need: &Need,
+        exclude: &[Pick],
+        round: u32,
+    ) -> Vec<(Pick, Arc<Upstream>)> {
+        self.update_cold_shares(now);
+        let probes = &mut self.probe_allowance;
+        let allow = |count| probes.take(now, count);
+        let picks = self.chooser.plan(now, need, exclude, round, allow);
+        self.resolve(picks)
+    }
+
+    /// Returns the ejected instances that are due for a probe.
+    pub fn plan_ejected_probes(&mut self, now: Moment) -> Vec<(Pick, Arc<Upstream>)> {
+        let probes = &mut self.probe_allowance;
+        let picks = self.chooser.ejected(now, |count| probes.take(now, count));
+        self.resolve(picks)
+    }
+
+    fn resolve(&self, picks: Vec<Pick>) -> Vec<(Pick, Arc<Upstream>)> {
+        let found = picks.into_iter().filter_map(|pick| {
+            let upstream = self.upstreams.get(self.chooser.id(pick)?)?;
+            Some((pick, Arc::clone(upstream)))
+        });
+        found.collect()
+    }
+
+    /// Records that another instance now has this instance's address.
+    pub fn record_displaced(&mut self, pick: Pick) {
+        self.chooser.displaced(pick);
+    }
+
+    /// Records that a response body ended early after its head had been passed on.
+    pub fn record_broken_response(&mut self, now: Moment, pick: Pick) {
+        self.chooser.broke_off(now, pick);
+    }
+
+    /// Records the result of a probe; `report` is `None` if it failed.
+    pub fn record_probe(&mut self, now: Moment, pick: Pick, report: Option<LoadReport>) {
+        self.chooser.probed(now, pick, report);
+    }
+
+    /// Selects an instance; one of `exclude` only if no other is left.
+    pub fn choose(&mut self, now: Moment, need: &Need, exclude: &[Pick]) -> Selection {
+        self.update_cold_shares(now);
+        let decision = self.chooser.choose(now, need, exclude);
+        self.selection(decision)
+    }
+
+    /// Selects the given instance, which has just got free capacity.
+    pub fn choose_instance(&mut self, now: Moment, need: &Need, pick: Pick) -> Selection {
+        self.update_cold_shares(now);
+        let decision = self.chooser.choose_this(now, need, pick);
+        self.selection(decision)
+    }
+
+    fn selection(&self, decision: Decision) -> Selection {
+        match decision {
+            Decision::Send(choice) => self
+                .selected(choice)
+                .map_or(Selection::None, Selection::Send),
+            Decision::Slow(choice) => self
+                .selected(choice)
+                .map_or(Selection::None, Selection::Slow),
+            Decision::Wait => Selection::Wait,
+            Decision::None => Selection::None,
+        }
+    }
+
+    fn selected(&self, choice: FreshChoice) -> Option<SelectedInstance> {
+        let id = self.chooser.id(choice.pick)?;
+        let upstream = Arc::clone(self.upstreams.get(id)?);
+        Some(SelectedInstance {
+            upstream,
+            choice,
+            grant: None,
+        })
+    }
+
+    /// Queues a request; the receiver gets an instance with free capacity.
+    pub fn wait_for_capacity(
+        &mut self,
+        priority: u32,
+        deadline: Moment,
+    ) -> oneshot::Receiver<Pick> {
+        let (sender, receiver) = oneshot::channel();
+        self.wait_queue.push(priority, deadline, sender);
+        receiver
+    }
+
+    /// Estimates when a request refused now may find capacity: after the waiting requests and
+    /// the recently refused ones, assuming that each finished attempt frees one slot.
+    pub fn retry_after(&mut self, now: Moment) -> Duration {
+        let decay = now.since(self.last_refusal).as_secs_f64() / MAX_RETRY_AFTER.as_secs_f64();
+        self.recent_refusals = self.recent_refusals * (-decay).exp() + 1.0;
+        self.last_refusal = now;
+        let waiting = u32::try_from(self.wait_queue.len(now)).unwrap_or(u32::MAX);
+        let ahead = self.recent_refusals + f64::from(waiting);
+        let estimate = self.completion_interval.as_secs_f64() * ahead;
+        Duration::from_secs_f64(estimate).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
+    }
+
+    /// Offers free capacity of an instance to a waiting request.
+    fn wake_waiter(&mut self, now: Moment, pick: Pick) {
+        while self.chooser.has_room(now, pick) {
+            let Some(waiter) = self.wait_queue.pop(now) else {
+                return;
+            };
+            // If the waiter's caller has disconnected, the next waiter gets the offer.
+            if waiter.send(pick).is_ok() {
+                return;
+            }
+        }
+    }
+
+    /// Records the start of an attempt; the ticket is due at its end.
+    pub fn start_attempt(&mut self, now: Moment, pick: Pick) -> Ticket {
+        self.chooser.started(now, pick)
+    }
+
+    /// Records the result of an attempt.
+    pub fn finish_attempt(
+        &mut self,
+        now: Moment,
+        ticket: Ticket,
+        kind: Kind,
+        report: Option<LoadReport>,
+    ) {
+        let pick = ticket.pick();
+        self.chooser.finished(now, ticket, kind, report);
+        let interval = now.since(self.last_completion).min(MAX_RETRY_AFTER);
+        self.completion_interval = self
+            .completion_interval
+            .mul_f64(1.0 - COMPLETION_INTERVAL_WEIGHT)
+            + interval.mul_f64(COMPLETION_INTERVAL_WEIGHT);
+        self.last_completion = now;
+        if !self.wait_queue.is_empty() {
+            self.wake_waiter(now, pick);
+        }
+    }
+}
+
+/// This process's share of the retry allowance.
+fn retry_share(shared: &Shared) -> Share {
+    let Shared { retry, entries, .. } = shared;
+    let percent = f64::from(retry.percent) * RETRY_PERCENT_UTILIZATION;
+    let base = f64::from(retry.base) * RETRY_BASE_UTILIZATION / f64::from((*entries).max(1));
+    let floor = retry.window.as_secs_f64() / base.max(1e-3);
+    Share {
+        #[expect(
+            clippy::cast_possible_truncation,
+            clippy::cast_sign_loss,
+            reason = "a small positive number"
+        )]
+        percent: percent as u32,
+        floor: Duration::from_secs_f64(floor),
+        burst: RETRY_BURST,
+    }
+}
+
+fn phase_from_wire(phase: WirePhase) -> Phase {
+    match phase {
+        WirePhase::Ready => Phase::Ready,
+        WirePhase::Draining | WirePhase::Unspecified => Phase::Draining,
+        WirePhase::Gone => Phase::Gone,
+    }
+}
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -30,12 +30,12 @@
 use wire::hub::Instance;
 use wire::hub::Phase;
 
+use crate::balancer::Balancer;
 use crate::counters::Counters;
-use crate::desk::Desk;
 use crate::dialect::Dialect;
-use crate::habit::Habit;
-use crate::placing::Places;
+use crate::placement::DispatcherClients;
 use crate::processes::Processes;
+use crate::route_stats::RouteStats;
 use crate::settings::Settings;
 use crate::view::Instances;
 use crate::view::Routes;
@@ -60,9 +60,9 @@
 #[derive(Debug, Default)]
 pub struct Known {
     instances: Instances,
-    desks: HashMap<ServiceName, Desk>,
+    balancers: HashMap<ServiceName, Balancer>,
     splits: HashMap<Arc<str>, Split>,
-    habits: HashMap<Arc<str>, Habit>,
+    route_stats_by_name: HashMap<Arc<str>, RouteStats>,
     hosts: Vec<EntryHost>,
     entries: u32,
     /// The failure domains to which nothing is sent.
@@ -89,7 +89,7 @@
     /// How far the stop has come.
     pub stage: watch::Sender<Stage>,
     /// Dispatchers of services.
-    pub places: Places,
+    pub dispatcher_clients: DispatcherClients,
     /// Whether the table is known.
     pub routed: watch::Sender<bool>,
     /// Whether any instance was ever known.
@@ -113,7 +113,7 @@
             counters,
             clock: Clock::start(),
             stage: watch::Sender::new(Stage::Serving),
-            places: Places::default(),
+            dispatcher_clients: DispatcherClients::default(),
             routed: watch::Sender::new(false),
             stocked: watch::Sender::new(false),
             events: watch::Sender::default(),
@@ -187,7 +187,9 @@
         let hosts = routes.table.hosts.iter();
         let names: HashSet<&Arc<str>> = hosts.flat_map(|h| &h.routes).map(|r| &r.name).collect();
         let mut known = self.known();
-        known.habits.retain(|name, _| names.contains(name));
+        known
+            .route_stats_by_name
+            .retain(|name, _| names.contains(name));
         known.splits.retain(|name, _| names.contains(name));
     }
 
@@ -247,7 +249,7 @@
                 changed.insert(service);
             }
         }
-        self.update_desks(&mut known, changed);
+        self.update_balancers(&mut known, changed);
         let stocked = !known.instances.is_empty();
         drop(known);
         self.stocked
@@ -265,12 +267,12 @@
     pub fn keep_hearers(&self, hubs: &BTreeSet<SocketAddr>) {
         let mut known = self.known();
         let changed = known.instances.keep_hearers(hubs);
-        self.update_desks(&mut known, changed.into_iter().collect());
+        self.update_balancers(&mut known, changed.into_iter().collect());
     }
 
     /// Hands each service's desk its instances, once for all that was told together: a
     /// process that starts is told of hundreds, and each time costs as many steps.
-    fn update_desks(&self, known: &mut Known, changed: BTreeSet<ServiceName>) {
+    fn update_balancers(&self, known: &mut Known, changed: BTreeSet<ServiceName>) {
         let now = self.clock.now();
         let settings = self.settings();
         let shared = settings.shared(known.entries);
@@ -278,9 +280,9 @@
         for service in changed {
             let rows = known.instances.of(&service);
             let rows = rows.map(|listed| evacuate::shun(&known.evacuations, listed));
-            let desk = known.desks.entry(service.clone());
-            let new = || Desk::new(domain.clone(), &shared, rand::random(), now);
-            desk.or_insert_with(new).update(now, rows);
+            let balancer = known.balancers.entry(service.clone());
+            let new = || Balancer::new(domain.clone(), &shared, rand::random(), now);
+            balancer.or_insert_with(new).update(now, rows);
         }
         self.set_warmups(known);
         share::name_dispatchers(&settings, known, now);
@@ -303,36 +305,46 @@
         let shared = self.settings().shared(entries);
         let mut known = self.known();
         known.entries = entries;
-        for desk in known.desks.values_mut() {
-            desk.set_shared(&shared, now);
+        for balancer in known.balancers.values_mut() {
+            balancer.set_shared(&shared, now);
         }
     }
 
     /// Asks the desk of a service; none while it has no instance.
-    pub fn desk<T>(
+    pub fn balancer<T>(
         &self,
         service: &ServiceName,
-        ask: impl FnOnce(&mut Desk, Moment) -> T,
+        ask: impl FnOnce(&mut Balancer, Moment) -> T,
     ) -> Option<T> {
         let now = self.clock.now();
         let mut known = self.known();
-        known.desks.get_mut(service).map(|desk| ask(desk, now))
+        known
+            .balancers
+            .get_mut(service)
+            .map(|balancer| ask(balancer, now))
     }
 
     /// Reads or changes what is usual for a route.
-    pub fn habit<T>(&self, route: &table::Route, ask: impl FnOnce(&mut Habit) -> T) -> T {
+    pub fn route_stats<T>(
+        &self,
+        route: &table::Route,
+        ask: impl FnOnce(&mut RouteStats) -> T,
+    ) -> T {
         let mut known = self.known();
-        let habit = known.habits.entry(Arc::clone(&route.name));
-        ask(habit.or_insert_with(|| Habit::guess(route.aim, route.timeout)))
+        let route_stats = known.route_stats_by_name.entry(Arc::clone(&route.name));
+        ask(route_stats.or_insert_with(|| RouteStats::initial(route.aim, route.timeout)))
     }
 
     /// Asks every service's desk.
-    pub fn desks<T>(&self, mut ask: impl FnMut(&mut Desk, Moment) -> T) -> Vec<(ServiceName, T)> {
+    pub fn balancers<T>(
+        &self,
+        mut ask: impl FnMut(&mut Balancer, Moment) -> T,
+    ) -> Vec<(ServiceName, T)> {
         let now = self.clock.now();
         let mut known = self.known();
-        let desks = known.desks.iter_mut();
-        desks
-            .map(|(name, desk)| (name.clone(), ask(desk, now)))
+        let balancers = known.balancers.iter_mut();
+        balancers
+            .map(|(name, balancer)| (name.clone(), ask(balancer, now)))
             .collect()
     }
 
--- a/crates/entry/src/core/evacuate.rs
+++ b/crates/entry/src/core/evacuate.rs
@@ -32,8 +32,8 @@
             "revision" => told.revision, "hub" => %hub);
         self.counters.evacuated(evacuated.len());
         known.evacuations = next;
-        let services = known.desks.keys().cloned().collect();
-        self.update_desks(&mut known, services);
+        let services = known.balancers.keys().cloned().collect();
+        self.update_balancers(&mut known, services);
     }
 
     /// The revision of the evacuations that are held.
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -10,28 +10,28 @@
 //! on: it has to see when a caller leaves, which bytes of a request have left,
 //! and whether an answer was whole.
 
+pub mod balancer;
 pub mod body;
 pub mod core;
 pub mod counters;
 pub mod crash;
-pub mod desk;
 pub mod dialect;
 pub mod entry;
 pub mod exchange;
 pub mod flow;
-pub mod habit;
 pub mod headers;
 pub mod left;
-pub mod placing;
+pub mod placement;
 pub mod pool;
 pub mod probe;
 pub mod processes;
 pub mod refusal;
+pub mod route_stats;
 pub mod search;
 pub mod serve;
 pub mod settings;
+pub mod stream_tracker;
 pub mod sync;
-pub mod tail;
 pub mod view;
 
 pub use dialect::Dialect;
--- /dev/null
+++ b/crates/entry/src/placement.rs
@@ -0,0 +1,201 @@
+//! Requests placements from a service's dispatcher, and releases the grants.
+//!
+//! A dispatcher that doesn't answer in time isn't asked for a while; meanwhile the process
+//! selects instances itself. A grant is checked against this process's own knowledge: an
+//! instance that is draining here gets no request, whoever granted it.
+
+mod convert;
+mod grant;
+pub mod server;
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::MutexGuard;
+use std::sync::PoisonError;
+use std::time::Duration;
+
+use base::prelude::*;
+use dispatch::Trust;
+use slog::Logger;
+use slog::info;
+use tarpc::client::RpcError;
+use wire::link::within;
+use wire::peer;
+use wire::peer::PlaceLink;
+use wire::place::Ask;
+use wire::place::Outcome;
+use wire::place::Placed;
+
+pub use self::grant::Grant;
+
+pub(crate) use self::convert::duration_from_micros;
+pub(crate) use self::convert::micros;
+pub(crate) use self::convert::report_from_wire;
+pub(crate) use self::convert::report_to_wire;
+
+use crate::core::Core;
+use crate::search::SearchRequest;
+use crate::search::SearchResult;
+
+/// Maximum wait for a dispatcher's answer. The dispatcher holds a request for 30 ms, after up to
+/// three rounds of probes that take a few milliseconds each.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(60);
+/// Maximum number of connections tried for one request: a cached one, which fails at once
+/// if the dispatcher has restarted, and a new one.
+const MAX_CONNECTIONS: usize = 2;
+/// Maximum wait for a connection to a dispatcher in the same region.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
+
+/// Clients of all dispatchers that were ever asked.
+#[derive(Default)]
+pub struct DispatcherClients {
+    clients: Mutex<HashMap<SocketAddr, Arc<DispatcherClient>>>,
+}
+
+impl DispatcherClients {
+    /// Returns the client for the dispatcher at `address`.
+    fn at(&self, address: SocketAddr, core: &Core) -> Arc<DispatcherClient> {
+        let mut clients = self.clients.lock().unwrap_or_else(PoisonError::into_inner);
+        let entry = clients.entry(address);
+        Arc::clone(entry.or_insert_with(|| {
+            Arc::new(DispatcherClient {
+                link: peer::place(address),
+                trust: Mutex::default(),
+                clock: core.clock,
+                log: core.log.clone(),
+            })
+        }))
+    }
+}
+
+/// Client of one dispatcher.
+pub struct DispatcherClient {
+    link: PlaceLink,
+    trust: Mutex<Trust>,
+    clock: Clock,
+    log: Logger,
+}
+
+/// Asks the dispatcher of `service` at `address`; returns `None` if it doesn't answer.
+pub async fn ask(
+    core: &Arc<Core>,
+    address: SocketAddr,
+    service: &ServiceName,
+    request_id: &str,
+    search: &SearchRequest,
+) -> Option<SearchResult> {
+    let dispatcher = core.dispatcher_clients.at(address, core);
+    let settings = core.settings();
+    let ask = Ask {
+        service: service.to_string(),
+        request: request_id.to_owned(),
+        host: settings.host.to_string(),
+        domain: settings.domain.to_string(),
+        work_us: micros(search.need.work),
+        aim_us: micros(search.need.aim),
+        crossing: search.need.crossing,
+        room: search.need.room,
+        priority: search.priority,
+        patience_us: micros(search.max_wait),
+        left_us: micros(search.remaining),
+        exclude: core
+            .balancer(service, |balancer, _| balancer.ids(&search.exclude))
+            .unwrap_or_default(),
+    };
+    let started_at = core.clock.now();
+    let placed = dispatcher.ask(ask).await;
+    let outcome = placed
+        .as_ref()
+        .map_or("lost", |placed| outcome_label(placed));
+    let elapsed = core.clock.now().since(started_at);
+    core.counters.placed(service, outcome, elapsed);
+    let placed = placed?;
+    match placed.outcome() {
+        Outcome::Granted => {
+            let grant = Grant::new(&dispatcher, service, placed.grant);
+            let chosen =
+                core.balancer(service, |balancer, now| balancer.accept_grant(now, &placed))??;
+            Some(SearchResult::Selected(chosen.with_grant(grant)))
+        }
+        Outcome::Wait => Some(SearchResult::Wait),
+        Outcome::Full => Some(SearchResult::Full(Some(duration_from_micros(
+            placed.back_us,
+        )))),
+        Outcome::Unspecified => None,
+    }
+}
+
+fn outcome_label(placed: &Placed) -> &'static str {
+    match placed.outcome() {
+        Outcome::Granted => "granted",
+        Outcome::Wait => "wait",
+        Outcome::Full => "full",
+        Outcome::Unspecified => "unknown",
+    }
+}
+
+impl DispatcherClient {
+    /// Asks the dispatcher; returns `None` if it doesn't answer in time or is considered lost.
+    async fn ask(&self, ask: Ask) -> Option<Placed> {
+        if !self.update_trust(Trust::ask) {
+            return None;
+        }
+        let mut in_flight = InFlightRequest {
+            client: self,
+            pending: true,
+        };
+        let placed = tokio::time::timeout(REQUEST_TIMEOUT, self.send(ask)).await;
+        let placed = placed.ok().flatten();
+        in_flight.pending = false;
+        self.update_trust(|trust, now| match &placed {
+            Some(_) => trust.answered(now),
+            None => trust.failed(now),
+        });
+        placed
+    }
+
+    /// Sends one request, on a new connection if the cached one is closed.
+    async fn send(&self, ask: Ask) -> Option<Placed> {
+        for _ in 0..MAX_CONNECTIONS {
+            let client = self.link.client_within(CONNECT_TIMEOUT).await.ok()?;
+            match client.place(within(REQUEST_TIMEOUT), ask.clone()).await {
+                Err(RpcError::Shutdown | RpcError::Channel(_)) => self.link.drop_client(),
+                result => return self.link.judge(result).ok(),
+            }
+        }
+        None
+    }
+
+    /// Changes the trust in the dispatcher, and logs when it is lost or regained.
+    fn update_trust<T>(&self, change: impl FnOnce(&mut Trust, Moment) -> T) -> T {
+        let now = self.clock.now();
+        let mut trust = self.trust();
+        let was_lost = trust.is_lost();
+        let result = change(&mut trust, now);
+        if trust.is_lost() != was_lost {
+            let outcome = if was_lost { "regained" } else { "lost" };
+            info!(self.log, "dispatcher"; "address" => %self.link.address(), "outcome" => outcome);
+        }
+        result
+    }
+
+    fn trust(&self) -> MutexGuard<'_, Trust> {
+        self.trust.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+/// A request in flight. If its future is dropped, it counts neither as answered nor as failed.
+struct InFlightRequest<'a> {
+    client: &'a DispatcherClient,
+    pending: bool,
+}
+
+impl Drop for InFlightRequest<'_> {
+    fn drop(&mut self) {
+        if self.pending {
+            self.client.trust().dropped();
+        }
+    }
+}
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -14,9 +14,9 @@
 
 use base::prelude::*;
 use dispatch::Dispatched;
-use entry::desk::Chosen;
-use entry::desk::Desk;
-use entry::desk::Verdict;
+use entry::balancer::Balancer;
+use entry::balancer::SelectedInstance;
+use entry::balancer::Selection;
 use entry::pool::Pool;
 use entry::settings::Retry;
 use entry::settings::Shared;
@@ -95,7 +95,7 @@
 struct Rig {
     case: Case,
     rng: SmallRng,
-    desks: Vec<Desk>,
+    balancers: Vec<Balancer>,
     fakes: Vec<Fake>,
     upstreams: Vec<Arc<Upstream>>,
     jobs: Vec<Job>,
@@ -141,22 +141,22 @@
         probes: 60,
         entries: u32::try_from(case.processes).expect("few"),
     };
-    let desk = |n: usize| {
+    let balancer = |n: usize| {
         let domain = DomainName::new("a").expect("a name");
-        let mut desk = Desk::new(domain, &shared, seed * 100 + n as u64, at(0));
+        let mut balancer = Balancer::new(domain, &shared, seed * 100 + n as u64, at(0));
         let listed = upstreams.iter().map(|upstream| Listed {
             phase: Phase::Ready,
             silent: false,
             upstream,
         });
-        desk.update(at(0), listed);
+        balancer.update(at(0), listed);
         if dispatched {
-            desk.set_dispatched(at(0), Dispatched::Here);
+            balancer.set_dispatched(at(0), Dispatched::Here);
         }
-        desk
+        balancer
     };
     let mut rig = Rig {
-        desks: (0..processes).map(desk).collect(),
+        balancers: (0..processes).map(balancer).collect(),
         fakes: (0..case.instances as u64)
             .map(|n| Fake {
                 busy: 0,
@@ -183,7 +183,7 @@
         let end = self.case.seconds * 1_000_000;
         let mut next = 0.0;
         while next < end as f64 {
-            let process = self.rng.random_range(0..self.desks.len());
+            let process = self.rng.random_range(0..self.balancers.len());
             // Work times spread as the sum of some even ones does.
             let spread: f64 = (0..4).map(|_| self.rng.random::<f64>()).sum::<f64>() - 2.0;
             self.jobs.push(Job {
@@ -263,7 +263,7 @@
         }
         let (process, need, now) = (self.jobs[job].process, self.need(job), at(self.now));
         for round in 0.. {
-            let asked = self.desks[process].plan(now, &need, &[], round);
+            let asked = self.balancers[process].plan_probes(now, &need, &[], round);
             if asked.is_empty() {
                 break;
             }
@@ -272,14 +272,16 @@
                 let instance = self.index(&upstream);
                 self.connect(process, instance);
                 let report = self.report(instance);
-                self.desks[process].probed(now, pick, Some(report));
+                self.balancers[process].record_probe(now, pick, Some(report));
             }
         }
         let patience = self.patience(job);
-        match self.desks[process].choose(now, &need, &[]) {
-            Verdict::Send(chosen) => self.send(job, &chosen),
-            Verdict::Slow(chosen) if patience == 0 => self.send(job, &chosen),
-            Verdict::Slow(_) | Verdict::Wait if patience > 0 => self.wait(job, patience.min(LOOK)),
+        match self.balancers[process].choose(now, &need, &[]) {
+            Selection::Send(chosen) => self.send(job, &chosen),
+            Selection::Slow(chosen) if patience == 0 => self.send(job, &chosen),
+            Selection::Slow(_) | Selection::Wait if patience > 0 => {
+                self.wait_for_capacity(job, patience.min(LOOK));
+            }
             _ => {
                 self.jobs[job].settled = true;
                 self.ends[2] += 1;
@@ -287,16 +289,16 @@
         }
     }
 
-    fn wait(&mut self, job: usize, span: u64) {
+    fn wait_for_capacity(&mut self, job: usize, span: u64) {
         let until = self.now + span;
         let process = self.jobs[job].process;
-        self.jobs[job].told = Some(self.desks[process].wait(0, at(until)));
+        self.jobs[job].told = Some(self.balancers[process].wait_for_capacity(0, at(until)));
         self.events.push(Reverse((until, Event::Look(job))));
     }
 
-    fn send(&mut self, job: usize, chosen: &Chosen) {
+    fn send(&mut self, job: usize, chosen: &SelectedInstance) {
         let process = self.jobs[job].process;
-        let ticket = self.desks[process].started(at(self.now), chosen.choice.pick);
+        let ticket = self.balancers[process].start_attempt(at(self.now), chosen.choice.pick);
         let instance = self.index(&chosen.upstream);
         self.connect(process, instance);
         self.jobs[job].ticket = Some(ticket);
@@ -335,7 +337,7 @@
         self.jobs[job].settled = true;
         let ticket = self.jobs[job].ticket.take().expect("it was sent");
         let report = self.report(instance);
-        self.desks[process].finished(at(self.now), ticket, Kind::Ok, Some(report));
+        self.balancers[process].finish_attempt(at(self.now), ticket, Kind::Ok, Some(report));
         self.begin(instance);
         self.hand_on();
     }
@@ -350,9 +352,9 @@
             let Some(Ok(pick)) = told else { continue };
             self.jobs[job].told = None;
             let (process, need) = (self.jobs[job].process, self.need(job));
-            let verdict = self.desks[process].choose_this(at(self.now), &need, pick);
+            let verdict = self.balancers[process].choose_instance(at(self.now), &need, pick);
             match verdict {
-                Verdict::Send(chosen) if !self.jobs[job].settled => self.send(job, &chosen),
+                Selection::Send(chosen) if !self.jobs[job].settled => self.send(job, &chosen),
                 _ => {}
             }
         }
--- a/crates/entry/tests/test_crash.rs
+++ b/crates/entry/tests/test_crash.rs
@@ -8,9 +8,9 @@
 use entry::Entry;
 use entry::body::Content;
 use entry::crash;
-use entry::crash::Broken;
+use entry::crash::BrokenAttempt;
 use entry::crash::Fate;
-use entry::crash::Subject;
+use entry::crash::RequestIdentity;
 use entry::pool::Pool;
 use fakes::HUB;
 use fakes::entry;
@@ -25,10 +25,10 @@
 
 const CALLER: &str = "127.0.0.1";
 
-fn broken(upstream: &Upstream) -> Broken {
+fn broken(upstream: &Upstream) -> BrokenAttempt {
     let head = Head::new(CALLER, "GET", "example.org", "/read/a");
-    Broken {
-        subject: Subject {
+    BrokenAttempt {
+        request: RequestIdentity {
             id: "r-1".parse().expect("a header"),
             caller: CALLER.into(),
             head,
@@ -44,13 +44,16 @@
             cold: std::time::Duration::ZERO,
             pool: Pool::new(upstream.address),
         }),
-        sent: Instant::now(),
-        at: Instant::now(),
+        sent_at: Instant::now(),
+        broken_at: Instant::now(),
     }
 }
 
-async fn fate(entry: &Entry, broken: Broken) -> Fate {
-    crash::look(entry.core(), broken).fate.await.expect("looks")
+async fn fate(entry: &Entry, broken: BrokenAttempt) -> Fate {
+    crash::check(entry.core(), broken)
+        .fate
+        .await
+        .expect("looks")
 }
 
 #[tokio::test]
