--- a/crates/entry/src/core/evacuate.rs
+++ b/crates/entry/src/core/evacuate.rs
@@ -10,7 +10,7 @@
 use wire::hub::Phase;
 
 use super::Core;
-use crate::view::Listed;
+use crate::view::InstanceStatus;
 
 impl Core {
     /// Takes the evacuations that the hub at `hub` told, unless newer ones are held.
@@ -45,10 +45,10 @@
 
 /// The instance as this process may use it: one in an evacuated failure domain gets no
 /// more than one that leaves.
-pub(super) fn shun<'a>(evacuations: &Domains, listed: Listed<'a>) -> Listed<'a> {
+pub(super) fn shun<'a>(evacuations: &Domains, listed: InstanceStatus<'a>) -> InstanceStatus<'a> {
     let phase = match listed.phase {
         Phase::Ready if evacuations.is_evacuated(&listed.upstream.domain) => Phase::Draining,
         phase => phase,
     };
-    Listed { phase, ..listed }
+    InstanceStatus { phase, ..listed }
 }
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -33,7 +33,7 @@
 use crate::placing::Grant;
 use crate::processes::Processes;
 use crate::settings::Shared;
-use crate::view::Listed;
+use crate::view::InstanceStatus;
 use crate::view::Upstream;
 
 /// Part of the retries allowed by requests that is spent on purpose. The rest covers
@@ -172,7 +172,7 @@
     }
 
     /// Takes the service's instances, whole.
-    pub fn update<'a>(&mut self, now: Moment, rows: impl Iterator<Item = Listed<'a>>) {
+    pub fn update<'a>(&mut self, now: Moment, rows: impl Iterator<Item = InstanceStatus<'a>>) {
         self.rows.clear();
         let mut table = Vec::new();
         for listed in rows {
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -122,7 +122,7 @@
 
 /// One instance of a service as it stands now.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed<'a> {
+pub struct InstanceStatus<'a> {
     /// What it announced.
     pub phase: Phase,
     /// No hub has heard it lately.
@@ -239,11 +239,11 @@
     }
 
     /// The instances of a service that have not left.
-    pub fn of(&self, service: &ServiceName) -> impl Iterator<Item = Listed<'_>> {
+    pub fn of(&self, service: &ServiceName) -> impl Iterator<Item = InstanceStatus<'_>> {
         let here = |row: &&Row| row.told.phase() != Phase::Gone;
         let rows = self.rows.values().filter(here);
         let found = rows.filter_map(|row| {
-            Some(Listed {
+            Some(InstanceStatus {
                 phase: row.told.phase(),
                 silent: row.hearers.is_empty(),
                 upstream: row.upstream.as_ref()?,
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -20,7 +20,7 @@
 use entry::pool::Pool;
 use entry::settings::Retry;
 use entry::settings::Shared;
-use entry::view::Listed;
+use entry::view::InstanceStatus;
 use entry::view::Upstream;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -144,7 +144,7 @@
     let desk = |n: usize| {
         let domain = DomainName::new("a").expect("a name");
         let mut desk = Desk::new(domain, &shared, seed * 100 + n as u64, at(0));
-        let listed = upstreams.iter().map(|upstream| Listed {
+        let listed = upstreams.iter().map(|upstream| InstanceStatus {
             phase: Phase::Ready,
             silent: false,
             upstream,
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -12,7 +12,7 @@
 use entry::processes::Processes;
 use entry::settings::Retry;
 use entry::settings::Shared;
-use entry::view::Listed;
+use entry::view::InstanceStatus;
 use entry::view::Upstream;
 use quickcheck::QuickCheck;
 use rand::RngExt;
@@ -80,7 +80,7 @@
     let domain = DomainName::new("a").expect("a name");
     let mut desk = Desk::new(domain, &shared, 1, now);
     let upstream = upstream(cold);
-    let listed = Listed {
+    let listed = InstanceStatus {
         phase: Phase::Ready,
         silent: false,
         upstream: &upstream,
