--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -93,7 +93,7 @@
     /// Whether the table is known.
     pub routed: watch::Sender<bool>,
     /// Whether any instance was ever known.
-    pub stocked: watch::Sender<bool>,
+    pub instances_known: watch::Sender<bool>,
     /// The number of the newest crash or acquittal that the hubs are to be told of.
     pub events: watch::Sender<u64>,
     /// The number of the newest that a hub has been told of.
@@ -115,7 +115,7 @@
             stage: watch::Sender::new(Stage::Serving),
             places: Places::default(),
             routed: watch::Sender::new(false),
-            stocked: watch::Sender::new(false),
+            instances_known: watch::Sender::new(false),
             events: watch::Sender::default(),
             reported: watch::Sender::default(),
             routes: RwLock::default(),
@@ -248,10 +248,10 @@
             }
         }
         self.update_desks(&mut known, changed);
-        let stocked = !known.instances.is_empty();
+        let instances_known = !known.instances.is_empty();
         drop(known);
-        self.stocked
-            .send_if_modified(|held| stocked && !std::mem::replace(held, true));
+        self.instances_known
+            .send_if_modified(|held| instances_known && !std::mem::replace(held, true));
     }
 
     fn log_instance(&self, hub: SocketAddr, instance: &Instance, service: &ServiceName) {
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -123,7 +123,7 @@
     let Some(route) = routes.index.select(&host, request.uri().path()) else {
         return head::refuse(&core, &id, &routes, Reason::NoRoute, None);
     };
-    head::stocked(&core, until).await;
+    head::instances_known(&core, until).await;
     let service = match &route.target {
         Target::Service(name) => Some(name.clone()),
         Target::Split(parts) => core.turn(route, parts),
--- a/crates/entry/src/flow/head.rs
+++ b/crates/entry/src/flow/head.rs
@@ -35,11 +35,15 @@
 
 /// Waits until any instance is known, up to `until`. After a restart of everything the
 /// table is there first, and hundreds of processes take lists of instances over thin links.
-pub(super) async fn stocked(core: &Core, until: Instant) {
-    let mut stocked = core.stocked.subscribe();
-    if !*stocked.borrow_and_update() {
+pub(super) async fn instances_known(core: &Core, until: Instant) {
+    let mut instances_known = core.instances_known.subscribe();
+    if !*instances_known.borrow_and_update() {
         // Without one by then, the request is refused.
-        let _ = tokio::time::timeout_at(until, stocked.wait_for(|stocked| *stocked)).await;
+        let _ = tokio::time::timeout_at(
+            until,
+            instances_known.wait_for(|instances_known| *instances_known),
+        )
+        .await;
     }
 }
 
--- a/crates/entry/src/sync.rs
+++ b/crates/entry/src/sync.rs
@@ -86,7 +86,7 @@
 pub async fn run(core: Arc<Core>, beacons: Option<UdpSocket>) {
     let hubs = Arc::new(Hubs::new(
         core.settings().domain.clone(),
-        core.stocked.subscribe(),
+        core.instances_known.subscribe(),
     ));
     let _listening = beacons.map(|socket| {
         let (core, hubs) = (Arc::clone(&core), Arc::clone(&hubs));
@@ -226,7 +226,7 @@
         let mut stage = self.core.stage.subscribe();
         let mut stalled = self.hubs.stalled.subscribe();
         let mut first = self.hubs.first.subscribe();
-        let mut stocked = self.core.stocked.subscribe();
+        let mut instances_known = self.core.instances_known.subscribe();
         let asked = self.next();
         let (was_first, address) = (asked.lists, self.address);
         let patience = Duration::from_millis(asked.wait_ms.into()) + SLACK;
@@ -243,7 +243,7 @@
             _ = first.wait_for(|first| first.is_none_or(|f| f == address) != was_first) => {
                 return Some(Answer::Again);
             }
-            _ = stocked.changed() => return Some(Answer::Again),
+            _ = instances_known.changed() => return Some(Answer::Again),
         };
         let reply = self.link.judge(result).ok()?;
         Some(Answer::Reply(Box::new((asked, reply))))
--- a/crates/entry/src/sync/hubs.rs
+++ b/crates/entry/src/sync/hubs.rs
@@ -79,7 +79,7 @@
     /// When the fetch of a table began that is under way.
     fetching: Mutex<Option<Instant>>,
     /// Whether the process holds instances.
-    stocked: watch::Receiver<bool>,
+    instances_known: watch::Receiver<bool>,
     /// Who was asked for all instances, and when, while it holds none.
     listing: Mutex<Option<(SocketAddr, Instant)>>,
     hosts: Mutex<HostList>,
@@ -100,10 +100,10 @@
 impl Hubs {
     /// None heard yet, for a process in `domain`; `stocked` tells whether it holds instances.
     #[must_use]
-    pub fn new(domain: DomainName, stocked: watch::Receiver<bool>) -> Self {
+    pub fn new(domain: DomainName, instances_known: watch::Receiver<bool>) -> Self {
         Self {
             domain,
-            stocked,
+            instances_known,
             seen: Mutex::default(),
             fetching: Mutex::default(),
             listing: Mutex::default(),
@@ -160,7 +160,7 @@
     /// How long the hub at `address` holds a watch while nothing changes.
     #[must_use]
     pub fn wait(&self, address: SocketAddr) -> Duration {
-        if !*self.stocked.borrow() {
+        if !*self.instances_known.borrow() {
             return LISTING;
         }
         let hubs = self.seen();
@@ -185,7 +185,7 @@
     /// one hub at a time is asked for all of them.
     #[must_use]
     pub fn part(&self, address: SocketAddr) -> Part {
-        if *self.stocked.borrow() {
+        if *self.instances_known.borrow() {
             return if self.is_first(address) {
                 Part::First
             } else {
--- a/crates/entry/tests/test_hubs.rs
+++ b/crates/entry/tests/test_hubs.rs
@@ -19,9 +19,9 @@
 
 /// Of a process that holds instances once the sender says so.
 fn hubs_of() -> (Hubs, watch::Sender<bool>) {
-    let (stocked, told) = watch::channel(false);
+    let (instances_known, told) = watch::channel(false);
     let domain = DomainName::new("a").expect("a name");
-    (Hubs::new(domain, told), stocked)
+    (Hubs::new(domain, told), instances_known)
 }
 
 fn hubs() -> Hubs {
@@ -115,7 +115,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn test_hubs_one_at_a_time_is_asked_for_all_instances() {
-    let (hubs, stocked) = hubs_of();
+    let (hubs, instances_known) = hubs_of();
     assert_eq!(hubs.part(hub(1)), Part::Lists);
     assert_eq!(hubs.part(hub(2)), Part::Waits);
     assert_eq!(hubs.part(hub(1)), Part::Lists);
@@ -126,7 +126,7 @@
     hubs.missed(hub(2));
     assert_eq!(hubs.part(hub(3)), Part::Lists);
     hubs.note(hub(3), seen(true, 0));
-    stocked.send_replace(true);
+    instances_known.send_replace(true);
     assert_eq!(hubs.part(hub(3)), Part::First);
     assert_eq!(hubs.part(hub(1)), Part::Other);
 }
@@ -222,8 +222,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn test_hubs_more_of_them_hold_watches_for_longer() {
-    let (hubs, stocked) = hubs_of();
-    stocked.send_replace(true);
+    let (hubs, instances_known) = hubs_of();
+    instances_known.send_replace(true);
     let mut waits = Vec::new();
     for last in 1..=9 {
         hubs.note(hub(last), seen(true, 0));
