--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -91,7 +91,7 @@
     /// Dispatchers of services.
     pub places: Places,
     /// Whether the table is known.
-    pub routed: watch::Sender<bool>,
+    pub table_known: watch::Sender<bool>,
     /// Whether any instance was ever known.
     pub instances_known: watch::Sender<bool>,
     /// The number of the newest crash or acquittal that the hubs are to be told of.
@@ -114,7 +114,7 @@
             clock: Clock::start(),
             stage: watch::Sender::new(Stage::Serving),
             places: Places::default(),
-            routed: watch::Sender::new(false),
+            table_known: watch::Sender::new(false),
             instances_known: watch::Sender::new(false),
             events: watch::Sender::default(),
             reported: watch::Sender::default(),
@@ -175,8 +175,8 @@
         self.forget_routes();
         self.set_warmups(&mut self.known());
         // Only the first table changes anything for those who wait.
-        self.routed
-            .send_if_modified(|routed| !std::mem::replace(routed, true));
+        self.table_known
+            .send_if_modified(|table_known| !std::mem::replace(table_known, true));
         info!(self.log, "route table"; "version" => version);
     }
 
@@ -194,7 +194,7 @@
     /// Whether callers may be sent here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        *self.routed.borrow() && *self.stage.borrow() == Stage::Serving
+        *self.table_known.borrow() && *self.stage.borrow() == Stage::Serving
     }
 
     /// What is held of instances, to be compared with what a hub holds.
--- a/crates/entry/src/flow/head.rs
+++ b/crates/entry/src/flow/head.rs
@@ -25,10 +25,11 @@
 
 /// The table in force; a process that has just started waits for it up to `until`.
 pub(super) async fn routes(core: &Core, until: Instant) -> Arc<Routes> {
-    let mut routed = core.routed.subscribe();
-    if !*routed.borrow_and_update() {
+    let mut table_known = core.table_known.subscribe();
+    if !*table_known.borrow_and_update() {
         // Without one by then, the request is refused.
-        let _ = tokio::time::timeout_at(until, routed.wait_for(|routed| *routed)).await;
+        let _ =
+            tokio::time::timeout_at(until, table_known.wait_for(|table_known| *table_known)).await;
     }
     core.routes()
 }
--- a/crates/entry/src/sync.rs
+++ b/crates/entry/src/sync.rs
@@ -183,7 +183,7 @@
 
     /// Whether requests wait for the first table.
     fn is_waiting(&self) -> bool {
-        !*self.core.routed.borrow()
+        !*self.core.table_known.borrow()
     }
 
     /// What the hub is asked next.
@@ -222,7 +222,7 @@
 
     async fn ask(&self) -> Option<Answer> {
         let client = self.link.client_within(self.patience()).await.ok()?;
-        let mut routed = self.core.routed.subscribe();
+        let mut table_known = self.core.table_known.subscribe();
         let mut stage = self.core.stage.subscribe();
         let mut stalled = self.hubs.stalled.subscribe();
         let mut first = self.hubs.first.subscribe();
@@ -237,7 +237,7 @@
                 Err(_) => Err(RpcError::DeadlineExceeded),
             },
             // The hubs learn at once that callers may, or may no longer, be sent here.
-            _ = routed.changed() => return Some(Answer::Again),
+            _ = table_known.changed() => return Some(Answer::Again),
             _ = stage.changed() => return Some(Answer::Again),
             _ = stalled.changed() => return Some(Answer::Again),
             _ = first.wait_for(|first| first.is_none_or(|f| f == address) != was_first) => {
