--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -68,7 +68,7 @@
     /// The failure domains to which nothing is sent.
     evacuations: Domains,
     /// Where others decide for a service.
-    dispatchers: HashMap<ServiceName, SocketAddr>,
+    dispatcher_addresses: HashMap<ServiceName, SocketAddr>,
     /// Who shares what cold instances take.
     processes: Arc<Processes>,
     /// Requests that crash instances.
@@ -288,7 +288,7 @@
 
     /// Who decides for the service, where that is another process.
     pub fn dispatcher(&self, service: &ServiceName) -> Option<SocketAddr> {
-        self.known().dispatchers.get(service).copied()
+        self.known().dispatcher_addresses.get(service).copied()
     }
 
     /// Takes how many entry processes share what is shared out.
--- a/crates/entry/src/core/share.rs
+++ b/crates/entry/src/core/share.rs
@@ -42,7 +42,7 @@
 pub(super) fn name_dispatchers(settings: &Settings, known: &mut Known, now: Moment) {
     let places: Vec<&str> = known.hosts.iter().map(|host| &*host.place).collect();
     let own = settings.place.map(|own| own.to_string());
-    known.dispatchers.clear();
+    known.dispatcher_addresses.clear();
     for (service, desk) in &mut known.desks {
         let few = desk.len() <= settings.dispatched;
         let named = places.iter().copied().filter(|place| !place.is_empty());
@@ -58,7 +58,7 @@
             },
         );
         known
-            .dispatchers
+            .dispatcher_addresses
             .extend(elsewhere.map(|address| (service.clone(), address)));
     }
 }
