--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -89,7 +89,7 @@
     /// How far the stop has come.
     pub stage: watch::Sender<Stage>,
     /// Dispatchers of services.
-    pub places: Places,
+    pub dispatchers: Places,
     /// Whether the table is known.
     pub table_known: watch::Sender<bool>,
     /// Whether any instance was ever known.
@@ -113,7 +113,7 @@
             counters,
             clock: Clock::start(),
             stage: watch::Sender::new(Stage::Serving),
-            places: Places::default(),
+            dispatchers: Places::default(),
             table_known: watch::Sender::new(false),
             instances_known: watch::Sender::new(false),
             events: watch::Sender::default(),
