--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -126,7 +126,7 @@
     head::instances_known(&core, until).await;
     let service = match &route.target {
         Target::Service(name) => Some(name.clone()),
-        Target::Split(parts) => core.turn(route, parts),
+        Target::Split(parts) => core.next_split_service(route, parts),
     };
     let Some(service) = service else {
         return head::refuse(&core, &id, &routes, Reason::NoInstance, Some(BACK_UNKNOWN));
