--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -54,7 +54,7 @@
 
 /// A body on its way to an upstream.
 #[derive(Debug)]
-pub enum Outgoing {
+pub enum ForwardedBody {
     /// All of it.
     Whole(Option<Bytes>),
     /// Passed on as it comes, and kept.
@@ -63,7 +63,7 @@
     Stream(Option<Bytes>, Incoming),
 }
 
-impl Outgoing {
+impl ForwardedBody {
     /// The same body once more, where it was kept whole.
     #[must_use]
     pub fn again(&self) -> Option<Self> {
@@ -184,7 +184,7 @@
     bytes.map_or(0, |bytes| bytes.remaining() as u64)
 }
 
-impl Body for Outgoing {
+impl Body for ForwardedBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -207,7 +207,7 @@
 /// A body on its way to a caller; one that is yet to come holds its connection until it
 /// ends.
 pub struct Returned {
-    body: Outgoing,
+    body: ForwardedBody,
     tail: Option<Tail>,
 }
 
@@ -217,7 +217,7 @@
     pub fn whole(bytes: Bytes) -> Self {
         let bytes = Some(bytes).filter(|bytes| !bytes.is_empty());
         Self {
-            body: Outgoing::Whole(bytes),
+            body: ForwardedBody::Whole(bytes),
             tail: None,
         }
     }
@@ -227,7 +227,7 @@
     pub fn stream(first: Bytes, rest: Incoming, tail: Tail) -> Self {
         let first = Some(first).filter(|first| !first.is_empty());
         Self {
-            body: Outgoing::Stream(first, rest),
+            body: ForwardedBody::Stream(first, rest),
             tail: Some(tail),
         }
     }
@@ -307,15 +307,18 @@
 /// # Errors
 ///
 /// Fails when one that is read first breaks off.
-pub async fn outgoing(incoming: Incoming) -> Result<Outgoing, hyper::Error> {
+pub async fn outgoing(incoming: Incoming) -> Result<ForwardedBody, hyper::Error> {
     let told = incoming.size_hint().exact();
     if let Some(length) = told.filter(|length| (1..=WHOLE as u64).contains(length)) {
-        return Ok(Outgoing::Kept(Reader::new(Spool::new(incoming), length)));
+        return Ok(ForwardedBody::Kept(Reader::new(
+            Spool::new(incoming),
+            length,
+        )));
     }
     Ok(match read(incoming).await? {
-        Read::Whole(bytes) if bytes.is_empty() => Outgoing::Whole(None),
-        Read::Whole(bytes) => Outgoing::Whole(Some(bytes)),
-        Read::Part(first, rest) => Outgoing::Stream(Some(first), rest),
+        Read::Whole(bytes) if bytes.is_empty() => ForwardedBody::Whole(None),
+        Read::Whole(bytes) => ForwardedBody::Whole(Some(bytes)),
+        Read::Part(first, rest) => ForwardedBody::Stream(Some(first), rest),
     })
 }
 
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -24,7 +24,7 @@
 use tokio::time::Instant;
 
 use crate::body;
-use crate::body::Outgoing;
+use crate::body::ForwardedBody;
 use crate::body::Read;
 use crate::core::Core;
 use crate::headers;
@@ -142,7 +142,7 @@
     upstream: &Upstream,
     held: Held,
     call: &Call,
-    body: Outgoing,
+    body: ForwardedBody,
     patience: Patience,
 ) -> End {
     let mut running = Running {
@@ -206,7 +206,7 @@
     core: &Core,
     upstream: &Upstream,
     call: &Call,
-    body: Outgoing,
+    body: ForwardedBody,
     left: Duration,
 ) -> Option<(Option<Response<Incoming>>, Connection)> {
     let mut request = request(core, upstream, call, body, left)?;
@@ -251,9 +251,9 @@
     core: &Core,
     upstream: &Upstream,
     call: &Call,
-    body: Outgoing,
+    body: ForwardedBody,
     left: Duration,
-) -> Option<Request<Outgoing>> {
+) -> Option<Request<ForwardedBody>> {
     let mut request = Request::new(body);
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -25,7 +25,7 @@
 
 use crate::body;
 use crate::body::Content;
-use crate::body::Outgoing;
+use crate::body::ForwardedBody;
 use crate::body::Returned;
 use crate::body::Spool;
 use crate::core::Core;
@@ -209,7 +209,7 @@
     }
 
     /// One attempt.
-    async fn attempt(&mut self, body: Outgoing) -> Result<End, Reason> {
+    async fn attempt(&mut self, body: ForwardedBody) -> Result<End, Reason> {
         self.check().await?;
         let chosen = self.choose_while(&body).await?;
         // It may have waited for room.
@@ -284,8 +284,8 @@
     fn judge(
         &mut self,
         end: Result<End, Reason>,
-        again: Option<Outgoing>,
-    ) -> Result<Outcome, Outgoing> {
+        again: Option<ForwardedBody>,
+    ) -> Result<Outcome, ForwardedBody> {
         let once = self.route.kind == Kind::Once;
         let reason = match &end {
             Err(reason) => *reason,
--- a/crates/entry/src/flow/choice.rs
+++ b/crates/entry/src/flow/choice.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use super::Flow;
-use crate::body::Outgoing;
+use crate::body::ForwardedBody;
 use crate::desk::Chosen;
 use crate::placing;
 use crate::refusal::Reason;
@@ -49,7 +49,7 @@
     }
 
     /// The same, while the body goes on coming.
-    pub(super) async fn choose_while(&mut self, body: &Outgoing) -> Result<Chosen, Reason> {
+    pub(super) async fn choose_while(&mut self, body: &ForwardedBody) -> Result<Chosen, Reason> {
         let Some(spool) = body.spool() else {
             return self.choose().await;
         };
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -19,7 +19,7 @@
 use tokio::time::Instant;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::body::Outgoing;
+use crate::body::ForwardedBody;
 
 /// Longest wait for a connection: over a hundred times the way between failure
 /// domains, and short beside the aim of any request.
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub struct Connection {
     /// Sends one request at a time.
-    pub sender: SendRequest<Outgoing>,
+    pub sender: SendRequest<ForwardedBody>,
     _driver: AbortOnDropHandle<()>,
 }
 
--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 
 use crate::body;
-use crate::body::Outgoing;
+use crate::body::ForwardedBody;
 use crate::body::Read;
 use crate::core::Core;
 use crate::desk::Desk;
@@ -141,8 +141,8 @@
     }
 }
 
-fn request(core: &Core, upstream: &Upstream, path: &Uri) -> Option<Request<Outgoing>> {
-    let mut request = Request::new(Outgoing::Whole(None));
+fn request(core: &Core, upstream: &Upstream, path: &Uri) -> Option<Request<ForwardedBody>> {
+    let mut request = Request::new(ForwardedBody::Whole(None));
     *request.method_mut() = Method::GET;
     *request.uri_mut() = path.clone();
     let headers = request.headers_mut();
