--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -206,12 +206,12 @@
 
 /// A body on its way to a caller; one that is yet to come holds its connection until it
 /// ends.
-pub struct Returned {
+pub struct ResponseBody {
     body: ForwardedBody,
     tail: Option<Tail>,
 }
 
-impl Returned {
+impl ResponseBody {
     /// A body that is here whole.
     #[must_use]
     pub fn whole(bytes: Bytes) -> Self {
@@ -261,7 +261,7 @@
     }
 }
 
-impl Body for Returned {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = BodyError;
 
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -26,7 +26,7 @@
 use crate::body;
 use crate::body::Content;
 use crate::body::ForwardedBody;
-use crate::body::Returned;
+use crate::body::ResponseBody;
 use crate::body::Spool;
 use crate::core::Core;
 use crate::desk::Desk;
@@ -108,7 +108,7 @@
     core: Arc<Core>,
     caller: IpAddr,
     request: Request<Incoming>,
-) -> Response<Returned> {
+) -> Response<ResponseBody> {
     let began = Instant::now();
     let named = headers::number(request.headers(), &core.dialect.deadline);
     let deadline = named.map_or(DEFAULT_DEADLINE, Duration::from_millis);
@@ -165,7 +165,7 @@
 }
 
 impl Flow {
-    async fn run(&mut self, incoming: Incoming) -> Response<Returned> {
+    async fn run(&mut self, incoming: Incoming) -> Response<ResponseBody> {
         let end = self.end;
         let outcome = match tokio::time::timeout_at(end, self.serve(incoming)).await {
             Ok(outcome) => outcome,
@@ -357,6 +357,6 @@
 
 /// An empty body, for pages of the process itself.
 #[must_use]
-pub fn empty() -> Returned {
-    Returned::whole(Bytes::new())
+pub fn empty() -> ResponseBody {
+    ResponseBody::whole(Bytes::new())
 }
--- a/crates/entry/src/flow/answer.rs
+++ b/crates/entry/src/flow/answer.rs
@@ -10,7 +10,7 @@
 use super::Flow;
 use super::Outcome;
 use super::millis;
-use crate::body::Returned;
+use crate::body::ResponseBody;
 use crate::exchange::Answered;
 use crate::headers;
 use crate::refusal;
@@ -20,7 +20,7 @@
 
 impl Flow {
     /// An answer whose body is passed on as it comes.
-    fn stream(&self, first: Bytes, rest: Incoming, origin: Origin) -> Returned {
+    fn stream(&self, first: Bytes, rest: Incoming, origin: Origin) -> ResponseBody {
         let Some(attempt) = &self.last else {
             unreachable!("an answer comes of an attempt");
         };
@@ -34,16 +34,16 @@
             bytes: self.sent,
             end: self.end,
         };
-        Returned::stream(first, rest, Tail::new(asked, origin))
+        ResponseBody::stream(first, rest, Tail::new(asked, origin))
     }
 
-    pub(super) fn respond(&self, outcome: Outcome) -> Response<Returned> {
+    pub(super) fn respond(&self, outcome: Outcome) -> Response<ResponseBody> {
         let spent = self.began.elapsed();
         let (response, reason, back) = match outcome {
             Outcome::Answer(mut parts, answered) => {
                 headers::strip(&mut parts.headers);
                 let body = match answered {
-                    Answered::Whole(bytes) => Returned::whole(bytes),
+                    Answered::Whole(bytes) => ResponseBody::whole(bytes),
                     Answered::Stream(first, rest, origin) => self.stream(first, rest, origin),
                 };
                 let response = Response::from_parts(*parts, body);
--- a/crates/entry/src/flow/head.rs
+++ b/crates/entry/src/flow/head.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 use uuid::Uuid;
 
-use crate::body::Returned;
+use crate::body::ResponseBody;
 use crate::core::Core;
 use crate::exchange::Call;
 use crate::headers;
@@ -111,7 +111,7 @@
     routes: &Routes,
     reason: Reason,
     back: Option<Duration>,
-) -> Response<Returned> {
+) -> Response<ResponseBody> {
     let response = refusal::answer(reason, back);
     let word: &'static str = reason.into();
     core.counters.request("-", word, Duration::ZERO);
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -9,7 +9,7 @@
 use http::header;
 use strum::IntoStaticStr;
 
-use crate::body::Returned;
+use crate::body::ResponseBody;
 
 /// Why the system answers itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr)]
@@ -53,9 +53,9 @@
 
 /// The answer; `back` is when asking again makes sense.
 #[must_use]
-pub fn answer(reason: Reason, back: Option<Duration>) -> Response<Returned> {
+pub fn answer(reason: Reason, back: Option<Duration>) -> Response<ResponseBody> {
     let word: &'static str = reason.into();
-    let mut response = Response::new(Returned::whole(Bytes::from_static(word.as_bytes())));
+    let mut response = Response::new(ResponseBody::whole(Bytes::from_static(word.as_bytes())));
     *response.status_mut() = reason.status();
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -22,7 +22,7 @@
 use tokio::sync::watch;
 use tokio_util::task::TaskTracker;
 
-use crate::body::Returned;
+use crate::body::ResponseBody;
 use crate::core::Core;
 use crate::core::Stage;
 use crate::flow;
@@ -90,7 +90,7 @@
     core: Arc<Core>,
     caller: IpAddr,
     request: Request<Incoming>,
-) -> Result<Response<Returned>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     let mut response = flow::handle(Arc::clone(&core), caller, request).await;
     if *core.stage.borrow() != Stage::Serving {
         let close = HeaderValue::from_static("close");
@@ -122,7 +122,7 @@
     }
 }
 
-fn page(core: &Core, path: &str) -> Response<Returned> {
+fn page(core: &Core, path: &str) -> Response<ResponseBody> {
     let mut response = Response::new(flow::empty());
     *response.status_mut() = if path != &*core.settings().ready_path {
         StatusCode::NOT_FOUND
