--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -307,7 +307,7 @@
 /// # Errors
 ///
 /// Fails when one that is read first breaks off.
-pub async fn outgoing(incoming: Incoming) -> Result<ForwardedBody, hyper::Error> {
+pub async fn request_body(incoming: Incoming) -> Result<ForwardedBody, hyper::Error> {
     let told = incoming.size_hint().exact();
     if let Some(length) = told.filter(|length| (1..=WHOLE as u64).contains(length)) {
         return Ok(ForwardedBody::Kept(Reader::new(
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -187,7 +187,7 @@
 
     async fn serve(&mut self, incoming: Incoming) -> Outcome {
         // A caller that breaks off its body has left; there is nobody to answer.
-        let Ok(mut body) = body::outgoing(incoming).await else {
+        let Ok(mut body) = body::request_body(incoming).await else {
             return Outcome::Own(Reason::Late, None);
         };
         self.sent = body.known_length().unwrap_or_default();
