--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -66,10 +66,10 @@
 impl ForwardedBody {
     /// The same body once more, where it was kept whole.
     #[must_use]
-    pub fn again(&self) -> Option<Self> {
+    pub fn replay(&self) -> Option<Self> {
         match self {
             Self::Whole(bytes) => Some(Self::Whole(bytes.clone())),
-            Self::Kept(reader) => Some(Self::Kept(reader.again())),
+            Self::Kept(reader) => Some(Self::Kept(reader.replay())),
             Self::Stream(..) => None,
         }
     }
--- a/crates/entry/src/body/spool.rs
+++ b/crates/entry/src/body/spool.rs
@@ -137,7 +137,7 @@
 
     /// One that begins again; from its first poll on, earlier ones get nothing more.
     #[must_use]
-    pub fn again(&self) -> Self {
+    pub fn replay(&self) -> Self {
         Self {
             number: self.number + 1,
             ..Self::new(self.spool.clone(), self.length)
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -195,9 +195,9 @@
         self.content = body.content();
         self.desk(Desk::request);
         loop {
-            let again = body.again();
+            let replay = body.replay();
             let end = self.attempt(body).await;
-            match self.judge(end, again) {
+            match self.judge(end, replay) {
                 Ok(outcome) => return outcome,
                 Err(next) => body = next,
             }
@@ -284,7 +284,7 @@
     fn judge(
         &mut self,
         end: Result<End, Reason>,
-        again: Option<ForwardedBody>,
+        replay: Option<ForwardedBody>,
     ) -> Result<Outcome, ForwardedBody> {
         let once = self.route.kind == Kind::Once;
         let reason = match &end {
@@ -295,21 +295,21 @@
             Err(_) => false,
             Ok(End::Answer(parts, answered)) => {
                 let failed = parts.status.is_server_error();
-                if !failed || once || !self.may_retry(again.is_some()) {
+                if !failed || once || !self.may_retry(replay.is_some()) {
                     return Ok(Outcome::Answer(parts, answered));
                 }
                 self.failed = Some((parts, answered));
                 true
             }
-            Ok(End::Unknown) => !once && self.may_retry(again.is_some()),
+            Ok(End::Unknown) => !once && self.may_retry(replay.is_some()),
             Ok(End::Unsent) => {
                 self.attempts -= 1;
                 self.unsent += 1;
                 self.unsent < UNSENT_TRIES
             }
-            Ok(End::Refused | End::Elsewhere) => self.may_retry(again.is_some()),
+            Ok(End::Refused | End::Elsewhere) => self.may_retry(replay.is_some()),
         };
-        match again {
+        match replay {
             Some(body) if retried => Err(body),
             _ => Ok(self.own(reason)),
         }
