--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -327,7 +327,7 @@
 /// # Errors
 ///
 /// Fails when it breaks off.
-pub async fn begin(mut body: Incoming) -> Result<Read, hyper::Error> {
+pub async fn read_available(mut body: Incoming) -> Result<Read, hyper::Error> {
     let mut first = BytesMut::new();
     loop {
         let frame = std::future::poll_fn(|cx| Poll::Ready(Pin::new(&mut body).poll_frame(cx)));
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -282,7 +282,7 @@
         .is_some_and(|bytes| bytes > PACKET);
     let at_once = parts.status.is_success() && long;
     let read = if at_once {
-        body::begin(incoming).await
+        body::read_available(incoming).await
     } else {
         body::read(incoming).await
     };
