--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -294,7 +294,7 @@
 
 /// What was read of a body.
 #[derive(Debug)]
-pub enum Read {
+pub enum ReadBody {
     /// It ended.
     Whole(Bytes),
     /// The rest is yet to come.
@@ -316,9 +316,9 @@
         )));
     }
     Ok(match read(incoming).await? {
-        Read::Whole(bytes) if bytes.is_empty() => ForwardedBody::Whole(None),
-        Read::Whole(bytes) => ForwardedBody::Whole(Some(bytes)),
-        Read::Part(first, rest) => ForwardedBody::Stream(Some(first), rest),
+        ReadBody::Whole(bytes) if bytes.is_empty() => ForwardedBody::Whole(None),
+        ReadBody::Whole(bytes) => ForwardedBody::Whole(Some(bytes)),
+        ReadBody::Part(first, rest) => ForwardedBody::Stream(Some(first), rest),
     })
 }
 
@@ -327,13 +327,13 @@
 /// # Errors
 ///
 /// Fails when it breaks off.
-pub async fn read_available(mut body: Incoming) -> Result<Read, hyper::Error> {
+pub async fn read_available(mut body: Incoming) -> Result<ReadBody, hyper::Error> {
     let mut first = BytesMut::new();
     loop {
         let frame = std::future::poll_fn(|cx| Poll::Ready(Pin::new(&mut body).poll_frame(cx)));
         match frame.await {
-            Poll::Pending => return Ok(Read::Part(first.freeze(), body)),
-            Poll::Ready(None) => return Ok(Read::Whole(first.freeze())),
+            Poll::Pending => return Ok(ReadBody::Part(first.freeze(), body)),
+            Poll::Ready(None) => return Ok(ReadBody::Whole(first.freeze())),
             Poll::Ready(Some(frame)) => {
                 if let Ok(data) = frame?.into_data() {
                     first.extend_from_slice(&data);
@@ -341,7 +341,7 @@
             }
         }
         if first.len() > WHOLE {
-            return Ok(Read::Part(first.freeze(), body));
+            return Ok(ReadBody::Part(first.freeze(), body));
         }
     }
 }
@@ -351,7 +351,7 @@
 /// # Errors
 ///
 /// Fails when it breaks off.
-pub async fn read(mut body: Incoming) -> Result<Read, hyper::Error> {
+pub async fn read(mut body: Incoming) -> Result<ReadBody, hyper::Error> {
     let mut first: Option<Bytes> = None;
     let mut more = BytesMut::new();
     while let Some(frame) = body.frame().await {
@@ -367,8 +367,8 @@
             more.extend_from_slice(&data);
         }
         if more.len() > WHOLE {
-            return Ok(Read::Part(more.freeze(), body));
+            return Ok(ReadBody::Part(more.freeze(), body));
         }
     }
-    Ok(Read::Whole(first.unwrap_or_else(|| more.freeze())))
+    Ok(ReadBody::Whole(first.unwrap_or_else(|| more.freeze())))
 }
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -25,7 +25,7 @@
 
 use crate::body;
 use crate::body::ForwardedBody;
-use crate::body::Read;
+use crate::body::ReadBody;
 use crate::core::Core;
 use crate::headers;
 use crate::placing::Grant;
@@ -287,13 +287,13 @@
         body::read(incoming).await
     };
     match read.ok()? {
-        Read::Whole(bytes) => {
+        ReadBody::Whole(bytes) => {
             if reusable {
                 keep(upstream, connection, &parts.headers);
             }
             Some((parts, Answered::Whole(bytes)))
         }
-        Read::Part(first, rest) => {
+        ReadBody::Part(first, rest) => {
             let origin = Origin {
                 connection,
                 reusable: reusable && !headers::closes(&parts.headers),
--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -19,7 +19,7 @@
 
 use crate::body;
 use crate::body::ForwardedBody;
-use crate::body::Read;
+use crate::body::ReadBody;
 use crate::core::Core;
 use crate::desk::Desk;
 use crate::exchange;
@@ -118,7 +118,7 @@
     if parts.status != StatusCode::OK {
         return Found::Nothing;
     }
-    if matches!(whole, Ok(Read::Whole(_))) {
+    if matches!(whole, Ok(ReadBody::Whole(_))) {
         exchange::keep(upstream, connection, &parts.headers);
     }
     let cold = parts.headers.get(&core.dialect.cold);
