--- a/crates/entry/src/body/spool.rs
+++ b/crates/entry/src/body/spool.rs
@@ -57,7 +57,7 @@
 
     /// Whether all of it has come.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.source().end == Some(End::Whole)
     }
 
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -165,7 +165,7 @@
     let report = load(core, response.headers());
     // An instance may answer before the body has ended; what follows on that connection
     // would be the rest of it.
-    let reusable = spool.is_none_or(|spool| spool.is_whole());
+    let reusable = spool.is_none_or(|spool| spool.is_complete());
     if response.headers().contains_key(&core.dialect.refused) {
         let end = if response.status() == StatusCode::MISDIRECTED_REQUEST {
             End::Elsewhere
