--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -243,7 +243,9 @@
 /// Keeps a connection whose answer, with these headers, was read whole.
 pub fn keep(upstream: &Upstream, connection: Connection, headers: &HeaderMap) {
     if !headers::closes(headers) {
-        upstream.pool.keep(connection, headers::kept_for(headers));
+        upstream
+            .pool
+            .keep(connection, headers::keep_alive_timeout(headers));
     }
 }
 
@@ -297,7 +299,7 @@
             let origin = Origin {
                 connection,
                 reusable: reusable && !headers::closes(&parts.headers),
-                kept: headers::kept_for(&parts.headers),
+                kept: headers::keep_alive_timeout(&parts.headers),
             };
             Some((parts, Answered::Stream(first, rest, origin)))
         }
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -44,7 +44,7 @@
 
 /// How long the sender keeps the connection, where it says so.
 #[must_use]
-pub fn kept_for(headers: &HeaderMap) -> Option<Duration> {
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let mut parts = text.split(',').map(str::trim);
     let secs = parts.find_map(|part| part.strip_prefix("timeout="))?;
