--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -242,7 +242,7 @@
 
 /// Keeps a connection whose answer, with these headers, was read whole.
 pub fn keep(upstream: &Upstream, connection: Connection, headers: &HeaderMap) {
-    if !headers::closes(headers) {
+    if !headers::closes_connection(headers) {
         upstream
             .pool
             .keep(connection, headers::keep_alive_timeout(headers));
@@ -298,7 +298,7 @@
         ReadBody::Part(first, rest) => {
             let origin = Origin {
                 connection,
-                reusable: reusable && !headers::closes(&parts.headers),
+                reusable: reusable && !headers::closes_connection(&parts.headers),
                 kept: headers::keep_alive_timeout(&parts.headers),
             };
             Some((parts, Answered::Stream(first, rest, origin)))
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -35,7 +35,7 @@
 
 /// Whether the connection is closed after the message.
 #[must_use]
-pub fn closes(headers: &HeaderMap) -> bool {
+pub fn closes_connection(headers: &HeaderMap) -> bool {
     let values = headers.get_all(header::CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
     let mut words = texts.flat_map(|text| text.split(','));
