--- a/crates/entry/src/flow/answer.rs
+++ b/crates/entry/src/flow/answer.rs
@@ -41,7 +41,7 @@
         let spent = self.began.elapsed();
         let (response, reason, back) = match outcome {
             Outcome::Answer(mut parts, answered) => {
-                headers::strip(&mut parts.headers);
+                headers::strip_hop_by_hop(&mut parts.headers);
                 let body = match answered {
                     Answered::Whole(bytes) => ResponseBody::whole(bytes),
                     Answered::Stream(first, rest, origin) => self.stream(first, rest, origin),
--- a/crates/entry/src/flow/head.rs
+++ b/crates/entry/src/flow/head.rs
@@ -85,7 +85,7 @@
         Some(name) => name.into(),
         None => caller.to_canonical().to_string().into(),
     };
-    headers::strip(&mut parts.headers);
+    headers::strip_hop_by_hop(&mut parts.headers);
     parts.headers.remove(&core.dialect.expected);
     parts.headers.insert(&core.dialect.request, id.clone());
     let uri = match parts.uri.path_and_query() {
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -20,7 +20,7 @@
 
 /// Takes out what concerns one connection only, the headers that `Connection`
 /// names among it.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
