--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -110,7 +110,7 @@
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
     let began = Instant::now();
-    let named = headers::number(request.headers(), &core.dialect.deadline);
+    let named = headers::parse_number(request.headers(), &core.dialect.deadline);
     let deadline = named.map_or(DEFAULT_DEADLINE, Duration::from_millis);
     let until = began + deadline.mul_f64(START_PART);
     let routes = head::routes(&core, until).await;
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -53,6 +53,6 @@
 
 /// A header as a number.
 #[must_use]
-pub fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+pub fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
