--- a/crates/entry/src/core/share.rs
+++ b/crates/entry/src/core/share.rs
@@ -33,7 +33,7 @@
         Processes {
             own: own.map_or_else(String::new, |own| own.to_string()),
             all: places.filter(|place| !place.is_empty()).collect(),
-            mark: known.processes.mark + 1,
+            revision: known.processes.revision + 1,
         }
     }
 }
--- a/crates/entry/src/desk/cold.rs
+++ b/crates/entry/src/desk/cold.rs
@@ -16,7 +16,7 @@
     pub fn set_warmup(&mut self, warmup: Option<Warmup>, processes: &Arc<Processes>) {
         self.warmup = warmup;
         self.processes = Arc::clone(processes);
-        self.chooser.share_cold(warmup.map(|_| processes.mark));
+        self.chooser.share_cold(warmup.map(|_| processes.revision));
     }
 
     /// Works out this process's share of instances that were found to be cold.
--- a/crates/entry/src/processes.rs
+++ b/crates/entry/src/processes.rs
@@ -8,5 +8,5 @@
     /// Every one that callers may be sent to.
     pub all: Vec<String>,
     /// Rises with each change.
-    pub mark: u64,
+    pub revision: u64,
 }
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -49,11 +49,11 @@
     format!("10.0.0.{number}:7635")
 }
 
-fn processes(own: u32, all: std::ops::Range<u32>, mark: u64) -> Arc<Processes> {
+fn processes(own: u32, all: std::ops::Range<u32>, revision: u64) -> Arc<Processes> {
     Arc::new(Processes {
         own: place(own),
         all: all.map(place).collect(),
-        mark,
+        revision,
     })
 }
 
@@ -126,9 +126,9 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let cold = Duration::from_mins(1);
     let mut first = 0;
-    let new = |own: u32, first: u32, mark: u64, now: u64| {
+    let new = |own: u32, first: u32, revision: u64, now: u64| {
         let mut desk = desk(at(now), cold);
-        desk.set_warmup(Some(WARMUP), &processes(own, first..PROCESSES, mark));
+        desk.set_warmup(Some(WARMUP), &processes(own, first..PROCESSES, revision));
         desk
     };
     let mut desks: Vec<Desk> = (0..PROCESSES).map(|own| new(own, 0, 1, 0)).collect();
