--- a/crates/entry/src/counters.rs
+++ b/crates/entry/src/counters.rs
@@ -93,7 +93,7 @@
     }
 
     /// A retry that no allowance was left for.
-    pub fn unpaid(&self, service: &ServiceName) {
+    pub fn retry_denied(&self, service: &ServiceName) {
         self.client
             .count_with_tags("entry.retries.unpaid", 1)
             .with_tag("service", service.as_str())
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -339,7 +339,7 @@
         }
         let paid = self.desk(Desk::pay).unwrap_or(false);
         if !paid {
-            self.core.counters.unpaid(&self.service);
+            self.core.counters.retry_denied(&self.service);
         }
         paid
     }
