--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -95,7 +95,7 @@
     /// Whether any instance was ever known.
     pub instances_known: watch::Sender<bool>,
     /// The number of the newest crash or acquittal that the hubs are to be told of.
-    pub events: watch::Sender<u64>,
+    pub newest_event: watch::Sender<u64>,
     /// The number of the newest that a hub has been told of.
     pub reported: watch::Sender<u64>,
     routes: RwLock<Arc<Routes>>,
@@ -116,7 +116,7 @@
             dispatchers: Places::default(),
             table_known: watch::Sender::new(false),
             instances_known: watch::Sender::new(false),
-            events: watch::Sender::default(),
+            newest_event: watch::Sender::default(),
             reported: watch::Sender::default(),
             routes: RwLock::default(),
             known: Mutex::default(),
--- a/crates/entry/src/core/suspects.rs
+++ b/crates/entry/src/core/suspects.rs
@@ -25,33 +25,33 @@
 
     /// How much longer the request is refused, if it is.
     #[must_use]
-    pub fn refused(&self, request: Fingerprint) -> Option<Duration> {
+    pub fn quarantine_remaining(&self, request: Fingerprint) -> Option<Duration> {
         self.known().quarantine.refused(self.clock.now(), request)
     }
 
     /// Takes that an instance crashed while it ran a request. Gives the number under which
     /// the hubs are told.
-    pub fn crashed(&self, crash: Crash) -> u64 {
+    pub fn record_crash(&self, crash: Crash) -> u64 {
         let (request, life) = (crash.request, crash.life.clone());
         let (number, outcome) = self.known().quarantine.crashed(self.clock.now(), crash);
         info!(self.log, "crash"; "fingerprint" => %request, "instance" => %life.instance,
             "incarnation" => life.incarnation, "outcome" => format!("{outcome:?}"));
         if matches!(outcome, Outcome::Refused { .. }) {
-            self.counters.refused();
+            self.counters.quarantined();
         }
-        self.events.send_replace(number);
+        self.newest_event.send_replace(number);
         number
     }
 
     /// Takes that an instance has answered a request.
-    pub fn succeeded(&self, request: Fingerprint) {
+    pub fn record_success(&self, request: Fingerprint) {
         let now = self.clock.now();
         let mut known = self.known();
         if known.quarantine.succeeded(now, request) {
             let newest = known.quarantine.newest();
             drop(known);
             info!(self.log, "suspect answered"; "fingerprint" => %request);
-            self.events.send_replace(newest);
+            self.newest_event.send_replace(newest);
         }
     }
 
@@ -71,14 +71,14 @@
         for suspect in refused {
             info!(self.log, "quarantine"; "fingerprint" => %suspect.request, "hub" => %hub,
                 "revision" => told.revision, "left_ms" => suspect.refused.as_millis());
-            self.counters.refused();
+            self.counters.quarantined();
         }
     }
 
     /// What a hub is to be told that has been told of the events up to `number`, and the
     /// number of the newest event. One that is `new` knows of no refusal either.
     #[must_use]
-    pub fn report(&self, number: u64, new: bool) -> (Report, u64) {
+    pub fn crash_report(&self, number: u64, new: bool) -> (Report, u64) {
         let now = self.clock.now();
         let known = self.known();
         let mut report = Report {
--- a/crates/entry/src/counters.rs
+++ b/crates/entry/src/counters.rs
@@ -88,7 +88,7 @@
     }
 
     /// A request that is refused from now on, as it crashes instances.
-    pub fn refused(&self) {
+    pub fn quarantined(&self) {
         self.client.count_with_tags("entry.quarantined", 1).send();
     }
 
--- a/crates/entry/src/sync/report.rs
+++ b/crates/entry/src/sync/report.rs
@@ -21,7 +21,7 @@
 
 /// Never ends; `epochs` names the hub's process, 0 while none has answered.
 pub async fn run(core: Arc<Core>, link: Arc<HubLink>, mut epochs: watch::Receiver<u64>) {
-    let mut events = core.events.subscribe();
+    let mut events = core.newest_event.subscribe();
     let (mut told, mut known) = (0, 0);
     let mut lost = false;
     loop {
@@ -31,7 +31,7 @@
         if new {
             told = 0;
         }
-        let (report, newest) = core.report(told, new);
+        let (report, newest) = core.crash_report(told, new);
         if epoch == 0 || is_empty(&report) {
             tokio::select! {
                 _ = events.changed() => {}
--- a/crates/entry/tests/test_quarantine.rs
+++ b/crates/entry/tests/test_quarantine.rs
@@ -113,7 +113,7 @@
 
 /// Waits until so many crashes have been counted.
 async fn counted(entry: &Entry, count: u64) {
-    let mut events = entry.core().events.subscribe();
+    let mut events = entry.core().newest_event.subscribe();
     let reached = events.wait_for(|number| *number >= count);
     reached.await.expect("the process lives");
 }
@@ -144,7 +144,7 @@
         assert_eq!(answer.status, 502);
         counted(&entry, number + 1).await;
     }
-    assert!(entry.core().refused(request).is_some());
+    assert!(entry.core().quarantine_remaining(request).is_some());
     assert_eq!(post(&entry, "r-4", "bad").await.status, 503);
     assert_eq!(arrivals(&upstreams), 3);
 }
