--- a/crates/entry/src/flow/guard.rs
+++ b/crates/entry/src/flow/guard.rs
@@ -31,7 +31,7 @@
         let Some(request) = self.content.fingerprint(head).await else {
             return Ok(());
         };
-        let Some(left) = self.core.refused(request) else {
+        let Some(left) = self.core.quarantine_remaining(request) else {
             return Ok(());
         };
         info!(self.core.log, "quarantined"; "request" => self.call.id.to_str().unwrap_or("-"),
