--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -97,7 +97,7 @@
     /// The number of the newest crash or acquittal that the hubs are to be told of.
     pub newest_event: watch::Sender<u64>,
     /// The number of the newest that a hub has been told of.
-    pub reported: watch::Sender<u64>,
+    pub acknowledged_event: watch::Sender<u64>,
     routes: RwLock<Arc<Routes>>,
     known: Mutex<Known>,
 }
@@ -117,7 +117,7 @@
             table_known: watch::Sender::new(false),
             instances_known: watch::Sender::new(false),
             newest_event: watch::Sender::default(),
-            reported: watch::Sender::default(),
+            acknowledged_event: watch::Sender::default(),
             routes: RwLock::default(),
             known: Mutex::default(),
         })
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -129,9 +129,9 @@
         at: core.clock.now().before(broken.at.elapsed()),
         answered: false,
     });
-    let mut reported = core.reported.subscribe();
+    let mut acknowledged_event = core.acknowledged_event.subscribe();
     // The sender lives as long as the process; no answer is as good as one that knows nothing.
-    let _ = tokio::time::timeout(TOLD, reported.wait_for(|told| *told >= number)).await;
+    let _ = tokio::time::timeout(TOLD, acknowledged_event.wait_for(|told| *told >= number)).await;
 }
 
 async fn fate(core: &Core, upstream: &Upstream, tell: &mut Option<oneshot::Sender<()>>) -> Fate {
--- a/crates/entry/src/sync/report.rs
+++ b/crates/entry/src/sync/report.rs
@@ -42,7 +42,7 @@
         let sent = send(&core, &link, report).await;
         if sent {
             (told, known) = (newest, epoch);
-            core.reported.send_if_modified(|held| {
+            core.acknowledged_event.send_if_modified(|held| {
                 let more = newest > *held;
                 *held = newest.max(*held);
                 more
