--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -32,7 +32,7 @@
 
 use crate::placing::Grant;
 use crate::processes::Processes;
-use crate::settings::Shared;
+use crate::settings::SharedBudgets;
 use crate::view::InstanceStatus;
 use crate::view::Upstream;
 
@@ -64,7 +64,7 @@
     chooser: Fresh,
     budget: Budget,
     probes: Allowance,
-    shared: Shared,
+    shared: SharedBudgets,
     rows: HashMap<InstanceId, Arc<Upstream>>,
     waiting: Waiting<oneshot::Sender<Pick>>,
     /// When an attempt last ended, and the usual time between two ends.
@@ -123,7 +123,7 @@
 impl Desk {
     /// A desk without instances.
     #[must_use]
-    pub fn new(domain: DomainName, shared: &Shared, seed: u64, now: Moment) -> Self {
+    pub fn new(domain: DomainName, shared: &SharedBudgets, seed: u64, now: Moment) -> Self {
         let mut chooser = Fresh::new(domain, seed);
         chooser.set_processes(shared.entries);
         Self {
@@ -146,7 +146,7 @@
     }
 
     /// Takes over how budgets are shared.
-    pub fn set_shared(&mut self, shared: &Shared, now: Moment) {
+    pub fn set_shared(&mut self, shared: &SharedBudgets, now: Moment) {
         self.shared = *shared;
         self.chooser.set_processes(shared.entries);
         self.budget.set_share(share(shared), now);
@@ -352,8 +352,8 @@
 }
 
 /// One process's share of the allowance.
-fn share(shared: &Shared) -> Share {
-    let Shared { retry, entries, .. } = shared;
+fn share(shared: &SharedBudgets) -> Share {
+    let SharedBudgets { retry, entries, .. } = shared;
     let percent = f64::from(retry.percent) * SPENT_SHARE;
     let base = f64::from(retry.base) * SPENT_BASE / f64::from((*entries).max(1));
     let floor = retry.window.as_secs_f64() / base.max(1e-3);
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -66,7 +66,7 @@
 
 /// What the sharing of budgets among entry processes rests on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shared {
+pub struct SharedBudgets {
     /// Retries.
     pub retry: Retry,
     /// Probes that one instance may get a second.
@@ -265,8 +265,8 @@
 
     /// How budgets are shared among `entries` processes.
     #[must_use]
-    pub fn shared(&self, entries: u32) -> Shared {
-        Shared {
+    pub fn shared(&self, entries: u32) -> SharedBudgets {
+        SharedBudgets {
             retry: self.retry,
             probes: self.probes,
             entries,
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -19,7 +19,7 @@
 use entry::desk::Verdict;
 use entry::pool::Pool;
 use entry::settings::Retry;
-use entry::settings::Shared;
+use entry::settings::SharedBudgets;
 use entry::view::InstanceStatus;
 use entry::view::Upstream;
 use rand::RngExt;
@@ -136,7 +136,7 @@
         })
         .collect();
     let processes = if dispatched { 1 } else { case.processes };
-    let shared = Shared {
+    let shared = SharedBudgets {
         retry: Retry::default(),
         probes: 60,
         entries: u32::try_from(case.processes).expect("few"),
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -11,7 +11,7 @@
 use entry::pool::Pool;
 use entry::processes::Processes;
 use entry::settings::Retry;
-use entry::settings::Shared;
+use entry::settings::SharedBudgets;
 use entry::view::InstanceStatus;
 use entry::view::Upstream;
 use quickcheck::QuickCheck;
@@ -72,7 +72,7 @@
 }
 
 fn desk(now: Moment, cold: Duration) -> Desk {
-    let shared = Shared {
+    let shared = SharedBudgets {
         retry: Retry::default(),
         probes: 42,
         entries: PROCESSES,
--- a/crates/entry/tests/test_desk.rs
+++ b/crates/entry/tests/test_desk.rs
@@ -5,7 +5,7 @@
 use base::prelude::*;
 use entry::desk::Desk;
 use entry::settings::Retry;
-use entry::settings::Shared;
+use entry::settings::SharedBudgets;
 use quickcheck::quickcheck;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -17,8 +17,8 @@
 const STEP: Duration = Duration::from_millis(100);
 const WINDOW: usize = 100;
 
-fn shared() -> Shared {
-    Shared {
+fn shared() -> SharedBudgets {
+    SharedBudgets {
         retry: Retry {
             percent: 20,
             base: 60,
