--- a/crates/entry/src/habit.rs
+++ b/crates/entry/src/habit.rs
@@ -6,7 +6,7 @@
 use base::prelude::*;
 use route::FreshChoice;
 
-use crate::left::Left;
+use crate::remaining::Left;
 
 /// Weight of one answer in what is usual.
 const WEIGHT: f64 = 0.05;
@@ -30,7 +30,7 @@
     work: f64,
     bytes: f64,
     timeout: Option<Duration>,
-    left: Left,
+    remaining: Left,
 }
 
 impl Habit {
@@ -41,7 +41,7 @@
             work: aim.map_or(FIRST_WORK, |aim| aim.as_secs_f64() / AIM_WORKS),
             bytes: FIRST_BYTES,
             timeout,
-            left: Left::default(),
+            remaining: Left::default(),
         }
     }
 
@@ -59,9 +59,9 @@
     }
 
     /// How much of its time a caller with `left` had spent before it came here.
-    pub fn spent(&mut self, now: Moment, left: Duration) -> Duration {
-        let spent = self.left.spent(left);
-        self.left.learn(now, left, self.timeout);
+    pub fn spent(&mut self, now: Moment, remaining: Duration) -> Duration {
+        let spent = self.remaining.spent(remaining);
+        self.remaining.learn(now, remaining, self.timeout);
         spent
     }
 
--- a/crates/entry/src/left.rs
+++ b/crates/entry/src/remaining.rs
@@ -45,21 +45,21 @@
 impl Left {
     /// How much of its time one with `left` has spent elsewhere.
     #[must_use]
-    pub fn spent(&self, left: Duration) -> Duration {
-        if left < self.least {
-            self.usual.saturating_sub(left)
+    pub fn spent(&self, remaining: Duration) -> Duration {
+        if remaining < self.least {
+            self.usual.saturating_sub(remaining)
         } else {
             Duration::ZERO
         }
     }
 
     /// Takes one caller's time; `timeout` is the route's.
-    pub fn learn(&mut self, now: Moment, left: Duration, timeout: Option<Duration>) {
+    pub fn learn(&mut self, now: Moment, remaining: Duration, timeout: Option<Duration>) {
         let first = *self.first.get_or_insert(now);
         if self.recent.len() == RECENT {
             self.recent.pop_front();
         }
-        self.recent.push_back(left);
+        self.recent.push_back(remaining);
         let mut sorted: Vec<Duration> = self.recent.iter().copied().collect();
         sorted.sort_unstable();
         if now.since(first) < YOUNG {
