--- a/crates/entry/src/habit.rs
+++ b/crates/entry/src/habit.rs
@@ -6,7 +6,7 @@
 use base::prelude::*;
 use route::FreshChoice;
 
-use crate::remaining::Left;
+use crate::remaining::RemainingTime;
 
 /// Weight of one answer in what is usual.
 const WEIGHT: f64 = 0.05;
@@ -30,7 +30,7 @@
     work: f64,
     bytes: f64,
     timeout: Option<Duration>,
-    remaining: Left,
+    remaining: RemainingTime,
 }
 
 impl Habit {
@@ -41,7 +41,7 @@
             work: aim.map_or(FIRST_WORK, |aim| aim.as_secs_f64() / AIM_WORKS),
             bytes: FIRST_BYTES,
             timeout,
-            remaining: Left::default(),
+            remaining: RemainingTime::default(),
         }
     }
 
--- a/crates/entry/src/remaining.rs
+++ b/crates/entry/src/remaining.rs
@@ -35,14 +35,14 @@
 
 /// What recent callers had left.
 #[derive(Clone, Debug, Default)]
-pub struct Left {
+pub struct RemainingTime {
     first: Option<Moment>,
     recent: VecDeque<Duration>,
     usual: Duration,
     least: Duration,
 }
 
-impl Left {
+impl RemainingTime {
     /// How much of its time one with `left` has spent elsewhere.
     #[must_use]
     pub fn spent(&self, remaining: Duration) -> Duration {
