--- a/crates/entry/src/bin/rwr-entry.rs
+++ b/crates/entry/src/bin/rwr-entry.rs
@@ -40,7 +40,7 @@
         while signals.next().await == Asked::Reload {
             entry.reload(Settings::open(signals.path()));
         }
-        entry.leave().await;
+        entry.shut_down().await;
         Ok(())
     }
 }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -144,7 +144,7 @@
     }
 
     /// Serves on while callers still come, finishes what is open, and stops.
-    pub async fn leave(&self) {
+    pub async fn shut_down(&self) {
         let begun = Instant::now();
         let stop = self.core.settings().stop;
         info!(self.core.log, "leaving"; "linger_ms" => stop.linger.as_millis());
--- a/crates/entry/tests/test_stop.rs
+++ b/crates/entry/tests/test_stop.rs
@@ -28,7 +28,7 @@
     let answer = kept.call("GET", READ, "r-1", "").await;
     assert_eq!(answer.header("connection"), None);
     let front = entry.front();
-    let leave = entry.leave();
+    let shut_down = entry.shut_down();
     let serve = async {
         let mut stage = entry.core().stage.subscribe();
         let leaving = stage.wait_for(|stage| *stage != entry::core::Stage::Serving);
@@ -45,7 +45,7 @@
         assert_eq!(answer.status, 200);
         late.closed().await;
     };
-    tokio::join!(leave, serve);
+    tokio::join!(shut_down, serve);
     assert_eq!(upstream.arrivals().len(), 3);
 }
 
@@ -57,7 +57,7 @@
     let mut caller = Caller::connect(entry.front()).await;
     caller.send("GET", fakes::SHORT, "r-1", "").await;
     upstream.reached(1).await;
-    entry.leave().await;
+    entry.shut_down().await;
     // The route's timeout answered it; the stop didn't cut it.
     let answer = caller.answer().await.expect("an answer");
     assert_eq!(answer.status, 504);
