--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -273,7 +273,7 @@
     fn update_desks(&self, known: &mut Known, changed: BTreeSet<ServiceName>) {
         let now = self.clock.now();
         let settings = self.settings();
-        let shared = settings.shared(known.entries);
+        let shared = settings.shared_budgets(known.entries);
         let domain = &settings.domain;
         for service in changed {
             let rows = known.instances.of(&service);
@@ -300,7 +300,7 @@
 
     fn share_out(&self, entries: u32) {
         let now = self.clock.now();
-        let shared = self.settings().shared(entries);
+        let shared = self.settings().shared_budgets(entries);
         let mut known = self.known();
         known.entries = entries;
         for desk in known.desks.values_mut() {
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -265,7 +265,7 @@
 
     /// How budgets are shared among `entries` processes.
     #[must_use]
-    pub fn shared(&self, entries: u32) -> SharedBudgets {
+    pub fn shared_budgets(&self, entries: u32) -> SharedBudgets {
         SharedBudgets {
             retry: self.retry,
             probes: self.probes,
