--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -1,4 +1,4 @@
-//! What all tasks of one entry process share.
+//! State shared by all tasks of an entry process.
 
 mod evacuate;
 mod share;
@@ -41,69 +41,69 @@
 use crate::view::Routes;
 use crate::view::Upstream;
 
-/// Instances told at once of which each has a log line: a change of a few dozen. Of more,
-/// one line tells how many, and only those that leave have their own.
-const MOST_LINES: usize = 32;
+/// Maximum number of instances in one update that are logged one by one. A larger update is
+/// logged as one line with counts, plus a line for each instance that is not ready.
+const MAX_INSTANCE_LOG_LINES: usize = 32;
 
-/// How far a graceful stop has come.
+/// The stages of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Serves.
+    /// Serves requests.
     Serving,
-    /// Serves on, while callers stop being sent here.
-    Leaving,
-    /// Takes no new connection and no new request.
+    /// Still serves requests, but reports itself as not ready.
+    Draining,
+    /// Accepts no new connections or requests.
     Closing,
 }
 
-/// What changes while the process runs.
+/// The mutable state of the process.
 #[derive(Debug, Default)]
-pub struct Known {
+pub struct State {
     instances: Instances,
     desks: HashMap<ServiceName, Desk>,
     splits: HashMap<Arc<str>, Split>,
     habits: HashMap<Arc<str>, Habit>,
     hosts: Vec<EntryHost>,
-    entries: u32,
-    /// The failure domains to which nothing is sent.
+    entry_count: u32,
+    /// The evacuated failure domains.
     evacuations: Domains,
-    /// Where others decide for a service.
+    /// The dispatchers of the services that another process dispatches.
     dispatcher_addresses: HashMap<ServiceName, SocketAddr>,
-    /// Who shares what cold instances take.
+    /// The entry processes that share the capacity of cold instances.
     processes: Arc<Processes>,
-    /// Requests that crash instances.
+    /// Requests suspected of crashing instances.
     quarantine: Quarantine,
 }
 
-/// The state of one entry process.
+/// An entry process.
 pub struct Core {
     settings: RwLock<Arc<Settings>>,
-    /// Names of headers.
+    /// The names of its headers.
     pub dialect: Dialect,
-    /// The log.
+    /// Its log.
     pub log: Logger,
-    /// The metrics.
+    /// Its metrics.
     pub counters: Counters,
-    /// The process's clock.
+    /// Its clock.
     pub clock: Clock,
-    /// How far the stop has come.
+    /// The current stage of the shutdown.
     pub stage: watch::Sender<Stage>,
-    /// Dispatchers of services.
+    /// The dispatchers of other processes.
     pub dispatchers: Places,
-    /// Whether the table is known.
+    /// Whether a route table has been received.
     pub table_known: watch::Sender<bool>,
-    /// Whether any instance was ever known.
+    /// Whether any instance has ever been known.
     pub instances_known: watch::Sender<bool>,
-    /// The number of the newest crash or acquittal that the hubs are to be told of.
+    /// The number of the newest crash or success to report to the hubs.
     pub newest_event: watch::Sender<u64>,
-    /// The number of the newest that a hub has been told of.
+    /// The number of the newest event that a hub has acknowledged.
     pub acknowledged_event: watch::Sender<u64>,
     routes: RwLock<Arc<Routes>>,
-    known: Mutex<Known>,
+    state: Mutex<State>,
 }
 
 impl Core {
-    /// A process that knows nothing yet.
+    /// Creates a process without a route table or instances.
     #[must_use]
     pub fn new(settings: Settings, dialect: Dialect, log: Logger, counters: Counters) -> Arc<Self> {
         Arc::new(Self {
@@ -119,20 +119,20 @@
             newest_event: watch::Sender::default(),
             acknowledged_event: watch::Sender::default(),
             routes: RwLock::default(),
-            known: Mutex::default(),
+            state: Mutex::default(),
         })
     }
 
-    /// As they were last read.
+    /// The current settings.
     #[must_use]
     pub fn settings(&self) -> Arc<Settings> {
-        let held = self.settings.read().unwrap_or_else(PoisonError::into_inner);
-        Arc::clone(&held)
+        let current = self.settings.read().unwrap_or_else(PoisonError::into_inner);
+        Arc::clone(&current)
     }
 
-    /// Takes settings that were read again; ports and names stay as they are.
+    /// Applies reloaded settings, except for ports and names, which need a restart.
     pub fn set_settings(&self, settings: &Settings) {
-        let held = self.settings();
+        let current = self.settings();
         let next = Settings {
             seeds: settings.seeds.clone(),
             ttl: settings.ttl,
@@ -143,94 +143,95 @@
             probes: settings.probes,
             dispatched: settings.dispatched,
             stop: settings.stop,
-            ..(*held).clone()
+            ..(*current).clone()
         };
         info!(self.log, "settings reloaded"; "seeds" => format!("{:?}", next.seeds),
             "restart_needed" => next != *settings);
-        let entries = std::mem::take(&mut self.known().entries);
+        let entry_count = std::mem::take(&mut self.state().entry_count);
         *self
             .settings
             .write()
             .unwrap_or_else(PoisonError::into_inner) = Arc::new(next);
-        self.set_entries(entries);
+        self.set_entry_count(entry_count);
     }
 
-    /// The table in force; version 0 before the first.
+    /// The current routes; their table has version 0 until one is received.
     #[must_use]
     pub fn routes(&self) -> Arc<Routes> {
         Arc::clone(&self.routes.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Puts a table in force unless a newer one is.
+    /// Puts a table into effect unless the current one is as new or newer.
     pub fn set_table(&self, table: Table) {
         let version = table.version;
         let routes = Arc::new(Routes::new(table));
         {
-            let mut held = self.routes.write().unwrap_or_else(PoisonError::into_inner);
-            if held.table.version >= version {
+            let mut current = self.routes.write().unwrap_or_else(PoisonError::into_inner);
+            if current.table.version >= version {
                 return;
             }
-            *held = routes;
+            *current = routes;
         }
-        self.forget_routes();
-        self.set_warmups(&mut self.known());
-        // Only the first table changes anything for those who wait.
+        self.evict_routes();
+        self.set_warmups(&mut self.state());
+        // Requests wait for the first table only.
         self.table_known
             .send_if_modified(|table_known| !std::mem::replace(table_known, true));
         info!(self.log, "route table"; "version" => version);
     }
 
-    /// Drops what was learned of routes that the table no longer has, as names change
-    /// with every version.
-    fn forget_routes(&self) {
+    /// Evicts the state of routes that are no longer in the table. Route names change with every
+    /// version.
+    fn evict_routes(&self) {
         let routes = self.routes();
         let hosts = routes.table.hosts.iter();
         let names: HashSet<&Arc<str>> = hosts.flat_map(|h| &h.routes).map(|r| &r.name).collect();
-        let mut known = self.known();
-        known.habits.retain(|name, _| names.contains(name));
-        known.splits.retain(|name, _| names.contains(name));
+        let mut state = self.state();
+        state.habits.retain(|name, _| names.contains(name));
+        state.splits.retain(|name, _| names.contains(name));
     }
 
-    /// Whether callers may be sent here.
+    /// Whether the process is ready for callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         *self.table_known.borrow() && *self.stage.borrow() == Stage::Serving
     }
 
-    /// What is held of instances, to be compared with what a hub holds.
+    /// The digest of the known instances, to compare with a hub's digest.
     #[must_use]
     pub fn digest(&self) -> Digest {
-        self.known().instances.digest().clone()
+        self.state().instances.digest().clone()
     }
 
-    /// Whether the instance hasn't said that it leaves, nor started again.
+    /// Whether the instance is ready and has not restarted since `upstream` was announced.
     #[must_use]
     pub fn is_ready_instance(&self, upstream: &Upstream) -> bool {
-        self.known().instances.is_ready(upstream)
+        self.state().instances.is_ready(upstream)
     }
 
-    /// Forgets instances that left long ago.
-    pub fn forget_instances(&self) {
+    /// Evicts instances that were removed long ago.
+    pub fn evict_removed_instances(&self) {
         let now = self.clock.now();
-        self.known().instances.forget(now);
+        self.state().instances.evict_removed(now);
     }
 
-    /// Takes what the hub at `hub` told of instances, and which it hears.
-    pub fn take_instances(&self, hub: SocketAddr, instances: &[Instance], heard: &[Hearing]) {
+    /// Applies what the hub at `hub` reports: instances, and which of them it receives
+    /// heartbeats from.
+    pub fn apply_instances(&self, hub: SocketAddr, instances: &[Instance], heard: &[Hearing]) {
         if instances.is_empty() && heard.is_empty() {
             return;
         }
-        // A process that starts is told of hundreds: a line for each is 11 ms of work for 900
-        // of them, a tenth of a second where it has a tenth of a core, as callers wait.
-        let many = instances.len() + heard.len() > MOST_LINES;
+        // A process that starts receives hundreds of instances while requests wait for them; a
+        // line for each would delay it.
+        let many = instances.len() + heard.len() > MAX_INSTANCE_LOG_LINES;
         if many {
             info!(self.log, "instances"; "hub" => %hub, "rows" => instances.len(),
                 "heard" => heard.len());
         }
-        let mut known = self.known();
+        let mut state = self.state();
         let mut changed = BTreeSet::new();
         for instance in instances {
-            for service in known.instances.take(hub, instance) {
+            for service in state.instances.apply(hub, instance) {
                 if !many || instance.phase() != Phase::Ready {
                     self.log_instance(hub, instance, &service);
                 }
@@ -238,7 +239,7 @@
             }
         }
         for hearing in heard {
-            if let Some(service) = known.instances.hear(hub, hearing) {
+            if let Some(service) = state.instances.apply_hearing(hub, hearing) {
                 if !many {
                     info!(self.log, "instance"; "instance" => &hearing.id,
                         "service" => %service, "incarnation" => hearing.incarnation,
@@ -247,11 +248,11 @@
                 changed.insert(service);
             }
         }
-        self.update_desks(&mut known, changed);
-        let instances_known = !known.instances.is_empty();
-        drop(known);
+        self.update_balancers(&mut state, changed);
+        let instances_known = !state.instances.is_empty();
+        drop(state);
         self.instances_known
-            .send_if_modified(|held| instances_known && !std::mem::replace(held, true));
+            .send_if_modified(|current| instances_known && !std::mem::replace(current, true));
     }
 
     fn log_instance(&self, hub: SocketAddr, instance: &Instance, service: &ServiceName) {
@@ -261,122 +262,123 @@
             "heard" => instance.heard, "hub" => %hub);
     }
 
-    /// Takes which hubs answer: what others have heard counts no more.
-    pub fn keep_hearers(&self, hubs: &BTreeSet<SocketAddr>) {
-        let mut known = self.known();
-        let changed = known.instances.keep_hearers(hubs);
-        self.update_desks(&mut known, changed.into_iter().collect());
+    /// Discards heartbeat information from hubs that aren't in `hubs`.
+    pub fn retain_reporting_hubs(&self, hubs: &BTreeSet<SocketAddr>) {
+        let mut state = self.state();
+        let changed = state.instances.retain_reporting_hubs(hubs);
+        self.update_balancers(&mut state, changed.into_iter().collect());
     }
 
-    /// Hands each service's desk its instances, once for all that was told together: a
-    /// process that starts is told of hundreds, and each time costs as many steps.
-    fn update_desks(&self, known: &mut Known, changed: BTreeSet<ServiceName>) {
+    /// Updates the balancers of the changed services, each once per update.
+    fn update_balancers(&self, state: &mut State, changed: BTreeSet<ServiceName>) {
         let now = self.clock.now();
         let settings = self.settings();
-        let shared = settings.shared_budgets(known.entries);
+        let shared = settings.shared_budgets(state.entry_count);
         let domain = &settings.domain;
         for service in changed {
-            let rows = known.instances.of(&service);
-            let rows = rows.map(|listed| evacuate::shun(&known.evacuations, listed));
-            let desk = known.desks.entry(service.clone());
+            let instances = state.instances.of_service(&service);
+            let instances =
+                instances.map(|status| evacuate::apply_evacuation(&state.evacuations, status));
+            let desk = state.desks.entry(service.clone());
             let new = || Desk::new(domain.clone(), &shared, rand::random(), now);
-            desk.or_insert_with(new).update(now, rows);
+            desk.or_insert_with(new).update(now, instances);
         }
-        self.set_warmups(known);
-        share::name_dispatchers(&settings, known, now);
+        self.set_warmups(state);
+        share::assign_dispatchers(&settings, state, now);
     }
 
-    /// Who decides for the service, where that is another process.
+    /// The address of the service's dispatcher, if that is another process.
     pub fn dispatcher(&self, service: &ServiceName) -> Option<SocketAddr> {
-        self.known().dispatcher_addresses.get(service).copied()
+        self.state().dispatcher_addresses.get(service).copied()
     }
 
-    /// Takes how many entry processes share what is shared out.
-    pub fn set_entries(&self, entries: u32) {
-        if self.known().entries != entries {
-            self.share_out(entries);
+    /// Sets the number of entry processes that share the budgets.
+    pub fn set_entry_count(&self, entry_count: u32) {
+        if self.state().entry_count != entry_count {
+            self.distribute_budgets(entry_count);
         }
     }
 
-    fn share_out(&self, entries: u32) {
+    fn distribute_budgets(&self, entry_count: u32) {
         let now = self.clock.now();
-        let shared = self.settings().shared_budgets(entries);
-        let mut known = self.known();
-        known.entries = entries;
-        for desk in known.desks.values_mut() {
+        let shared = self.settings().shared_budgets(entry_count);
+        let mut state = self.state();
+        state.entry_count = entry_count;
+        for desk in state.desks.values_mut() {
             desk.set_shared(&shared, now);
         }
     }
 
-    /// Asks the desk of a service; none while it has no instance.
+    /// Calls `ask` with the service's balancer. Returns `None` if the service has never had an
+    /// instance.
     pub fn desk<T>(
         &self,
         service: &ServiceName,
         ask: impl FnOnce(&mut Desk, Moment) -> T,
     ) -> Option<T> {
         let now = self.clock.now();
-        let mut known = self.known();
-        known.desks.get_mut(service).map(|desk| ask(desk, now))
+        let mut state = self.state();
+        state.desks.get_mut(service).map(|desk| ask(desk, now))
     }
 
-    /// Reads or changes what is usual for a route.
+    /// Calls `ask` with the statistics of a route, which are created if missing.
     pub fn habit<T>(&self, route: &table::Route, ask: impl FnOnce(&mut Habit) -> T) -> T {
-        let mut known = self.known();
-        let habit = known.habits.entry(Arc::clone(&route.name));
+        let mut state = self.state();
+        let habit = state.habits.entry(Arc::clone(&route.name));
         ask(habit.or_insert_with(|| Habit::guess(route.aim, route.timeout)))
     }
 
-    /// Asks every service's desk.
+    /// Calls `ask` with the balancer of each service.
     pub fn desks<T>(&self, mut ask: impl FnMut(&mut Desk, Moment) -> T) -> Vec<(ServiceName, T)> {
         let now = self.clock.now();
-        let mut known = self.known();
-        let desks = known.desks.iter_mut();
+        let mut state = self.state();
+        let desks = state.desks.iter_mut();
         desks
             .map(|(name, desk)| (name.clone(), ask(desk, now)))
             .collect()
     }
 
-    /// Takes the entry hosts that callers may be sent to. An empty list tells that
-    /// the hubs don't know yet, so the last one stays.
+    /// Sets the entry hosts that callers may be sent to. An empty list is ignored: the hubs
+    /// don't know any host yet.
     pub fn set_hosts(&self, hosts: Vec<EntryHost>) {
-        let mut known = self.known();
-        if !hosts.is_empty() && hosts != known.hosts {
+        let mut state = self.state();
+        if !hosts.is_empty() && hosts != state.hosts {
             info!(self.log, "entry hosts"; "count" => hosts.len());
-            known.hosts = hosts;
-            known.processes = Arc::new(self.processes(&known));
-            self.set_warmups(&mut known);
-            share::name_dispatchers(&self.settings(), &mut known, self.clock.now());
+            state.hosts = hosts;
+            state.processes = Arc::new(self.processes(&state));
+            self.set_warmups(&mut state);
+            share::assign_dispatchers(&self.settings(), &mut state, self.clock.now());
         }
     }
 
-    /// Addresses of entry hosts for a caller, nearest first, and how long it may
-    /// keep them; none while no hub has told any.
+    /// The addresses of entry hosts for a caller, nearest first, and how long the caller may
+    /// cache them. There are none until a hub has reported the hosts.
     #[must_use]
     pub fn resolve(&self, name: &str, domain: &str, region: &str) -> (Vec<String>, Duration) {
         let settings = self.settings();
-        let hosts = &self.known().hosts;
+        let hosts = &self.state().hosts;
         let addresses = place::near(hosts, name, domain, region, settings.spread);
         (addresses, settings.ttl)
     }
 
-    /// Where a service's instances tell of themselves.
+    /// The path of the service's health page.
     #[must_use]
     pub fn health_path(&self, service: &ServiceName) -> Option<Uri> {
         self.routes().health.get(service).cloned()
     }
 
-    /// Whose turn it is among the parts of a split.
+    /// Selects the next service of a split, by weight.
     pub fn next_split_service(
         &self,
         route: &table::Route,
         parts: &[table::Part],
     ) -> Option<ServiceName> {
-        let mut known = self.known();
-        let split = known.splits.entry(Arc::clone(&route.name)).or_default();
+        let mut state = self.state();
+        let split = state.splits.entry(Arc::clone(&route.name)).or_default();
         split.next(parts).cloned()
     }
 
-    fn known(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/entry/src/core/evacuate.rs
+++ b/crates/entry/src/core/evacuate.rs
@@ -1,4 +1,4 @@
-//! Failure domains to which nothing is sent.
+//! Evacuated failure domains.
 
 use std::net::SocketAddr;
 
@@ -13,42 +13,45 @@
 use crate::view::InstanceStatus;
 
 impl Core {
-    /// Takes the evacuations that the hub at `hub` told, unless newer ones are held.
-    pub fn take_evacuations(&self, hub: SocketAddr, told: &Evacuations) {
-        let mut known = self.known();
-        if told.revision <= known.evacuations.revision() {
+    /// Applies the evacuations reported by the hub at `hub`, unless the current ones are as new
+    /// or newer.
+    pub fn apply_evacuations(&self, hub: SocketAddr, received: &Evacuations) {
+        let mut state = self.state();
+        if received.revision <= state.evacuations.revision() {
             return;
         }
-        let next = match Domains::from_wire(told) {
+        let next = match Domains::from_wire(received) {
             Ok(next) => next,
             Err(err) => {
-                warn!(self.log, "bad evacuations"; "hub" => %hub, "revision" => told.revision,
+                warn!(self.log, "invalid evacuations"; "hub" => %hub, "revision" => received.revision,
                     "error" => %err);
                 return;
             }
         };
         let evacuated: Vec<&str> = next.evacuated().map(DomainName::as_str).collect();
         info!(self.log, "evacuations"; "domains" => evacuated.join(","),
-            "revision" => told.revision, "hub" => %hub);
+            "revision" => received.revision, "hub" => %hub);
         self.counters.evacuated(evacuated.len());
-        known.evacuations = next;
-        let services = known.desks.keys().cloned().collect();
-        self.update_desks(&mut known, services);
+        state.evacuations = next;
+        let services = state.desks.keys().cloned().collect();
+        self.update_balancers(&mut state, services);
     }
 
-    /// The revision of the evacuations that are held.
+    /// The revision of the current evacuations.
     #[must_use]
     pub fn evacuations(&self) -> u64 {
-        self.known().evacuations.revision()
+        self.state().evacuations.revision()
     }
 }
 
-/// The instance as this process may use it: one in an evacuated failure domain gets no
-/// more than one that leaves.
-pub(super) fn shun<'a>(evacuations: &Domains, listed: InstanceStatus<'a>) -> InstanceStatus<'a> {
-    let phase = match listed.phase {
-        Phase::Ready if evacuations.is_evacuated(&listed.upstream.domain) => Phase::Draining,
+/// Treats a ready instance in an evacuated failure domain as draining.
+pub(super) fn apply_evacuation<'a>(
+    evacuations: &Domains,
+    status: InstanceStatus<'a>,
+) -> InstanceStatus<'a> {
+    let phase = match status.phase {
+        Phase::Ready if evacuations.is_evacuated(&status.upstream.domain) => Phase::Draining,
         phase => phase,
     };
-    InstanceStatus { phase, ..listed }
+    InstanceStatus { phase, ..status }
 }
--- a/crates/entry/src/core/share.rs
+++ b/crates/entry/src/core/share.rs
@@ -1,54 +1,57 @@
-//! Which process decides for a service, and who sends to instances that are cold.
+//! Assigns dispatchers to services, and shares the capacity of cold instances.
 
 use base::prelude::*;
 use dispatch::Dispatched;
 use dispatch::Warmup;
 
 use super::Core;
-use super::Known;
+use super::State;
 use crate::processes::Processes;
 use crate::settings::Settings;
 
 impl Core {
-    /// Hands each service's desk what its cold instances bear, and who shares that.
-    pub(super) fn set_warmups(&self, known: &mut Known) {
+    /// Passes the capacity of cold instances to each service's balancer, with the processes that
+    /// share it.
+    pub(super) fn set_warmups(&self, state: &mut State) {
         let routes = self.routes();
-        let bound = self.settings().cold;
-        for (service, desk) in &mut known.desks {
+        let limit = self.settings().cold;
+        for (service, desk) in &mut state.desks {
             let services = &routes.table.services;
-            let cold = services.iter().find(|s| s.name == *service);
-            let warmup = cold.and_then(|s| s.cold).map(|cold| Warmup {
+            let service = services.iter().find(|s| s.name == *service);
+            let warmup = service.and_then(|s| s.cold).map(|cold| Warmup {
                 rate: cold.rate,
-                overshoot: bound.overshoot,
-                slack: bound.slack,
+                overshoot: limit.overshoot,
+                slack: limit.slack,
             });
-            desk.set_warmup(warmup, &known.processes);
+            desk.set_warmup(warmup, &state.processes);
         }
     }
 
-    /// The processes among the entry hosts that are known now.
-    pub(super) fn processes(&self, known: &Known) -> Processes {
+    /// The entry processes on the current entry hosts.
+    pub(super) fn processes(&self, state: &State) -> Processes {
         let own = self.settings().place;
-        let places = known.hosts.iter().map(|host| host.place.clone());
+        let places = state.hosts.iter().map(|host| host.place.clone());
         Processes {
             own: own.map_or_else(String::new, |own| own.to_string()),
             all: places.filter(|place| !place.is_empty()).collect(),
-            revision: known.processes.revision + 1,
+            revision: state.processes.revision + 1,
         }
     }
 }
 
-/// Takes over who decides for each service, after a change of entry hosts or instances.
-pub(super) fn name_dispatchers(settings: &Settings, known: &mut Known, now: Moment) {
-    let places: Vec<&str> = known.hosts.iter().map(|host| &*host.place).collect();
+/// Assigns a dispatcher to each service after a change of entry hosts or instances.
+pub(super) fn assign_dispatchers(settings: &Settings, state: &mut State, now: Moment) {
+    let places: Vec<&str> = state.hosts.iter().map(|host| &*host.place).collect();
     let own = settings.place.map(|own| own.to_string());
-    known.dispatcher_addresses.clear();
-    for (service, desk) in &mut known.desks {
-        let few = desk.len() <= settings.dispatched;
-        let named = places.iter().copied().filter(|place| !place.is_empty());
-        let named = dispatch::dispatcher(service, named).filter(|_| few && own.is_some());
-        let here = named.is_some() && named == own.as_deref();
-        let elsewhere = named.filter(|_| !here).and_then(|named| named.parse().ok());
+    state.dispatcher_addresses.clear();
+    for (service, desk) in &mut state.desks {
+        let is_small = desk.len() <= settings.dispatched;
+        let names = places.iter().copied().filter(|place| !place.is_empty());
+        let dispatcher = dispatch::dispatcher(service, names).filter(|_| is_small && own.is_some());
+        let here = dispatcher.is_some() && dispatcher == own.as_deref();
+        let elsewhere = dispatcher
+            .filter(|_| !here)
+            .and_then(|place| place.parse().ok());
         desk.set_dispatched(
             now,
             match (here, elsewhere) {
@@ -57,7 +60,7 @@
                 (false, None) => Dispatched::Nobody,
             },
         );
-        known
+        state
             .dispatcher_addresses
             .extend(elsewhere.map(|address| (service.clone(), address)));
     }
--- a/crates/entry/src/core/suspects.rs
+++ b/crates/entry/src/core/suspects.rs
@@ -17,23 +17,23 @@
 use super::Core;
 
 impl Core {
-    /// Whether anything is known of requests with this head.
+    /// Whether there are suspects with this request head.
     #[must_use]
     pub fn concerns(&self, head: Head) -> bool {
-        self.known().quarantine.concerns(head)
+        self.state().quarantine.concerns(head)
     }
 
-    /// How much longer the request is refused, if it is.
+    /// The remaining time of the request's quarantine, if it is quarantined.
     #[must_use]
     pub fn quarantine_remaining(&self, request: Fingerprint) -> Option<Duration> {
-        self.known().quarantine.refused(self.clock.now(), request)
+        self.state().quarantine.refused(self.clock.now(), request)
     }
 
-    /// Takes that an instance crashed while it ran a request. Gives the number under which
-    /// the hubs are told.
+    /// Records that an instance crashed while running a request. Returns the event's number,
+    /// with which the hubs' acknowledgement can be awaited.
     pub fn record_crash(&self, crash: Crash) -> u64 {
         let (request, life) = (crash.request, crash.life.clone());
-        let (number, outcome) = self.known().quarantine.crashed(self.clock.now(), crash);
+        let (number, outcome) = self.state().quarantine.crashed(self.clock.now(), crash);
         info!(self.log, "crash"; "fingerprint" => %request, "instance" => %life.instance,
             "incarnation" => life.incarnation, "outcome" => format!("{outcome:?}"));
         if matches!(outcome, Outcome::Refused { .. }) {
@@ -43,58 +43,59 @@
         number
     }
 
-    /// Takes that an instance has answered a request.
+    /// Records that an instance has answered a request.
     pub fn record_success(&self, request: Fingerprint) {
         let now = self.clock.now();
-        let mut known = self.known();
-        if known.quarantine.succeeded(now, request) {
-            let newest = known.quarantine.newest();
-            drop(known);
+        let mut state = self.state();
+        if state.quarantine.succeeded(now, request) {
+            let newest = state.quarantine.newest();
+            drop(state);
             info!(self.log, "suspect answered"; "fingerprint" => %request);
             self.newest_event.send_replace(newest);
         }
     }
 
-    /// Takes the suspects that the hub at `hub` told.
-    pub fn take_suspects(&self, hub: SocketAddr, told: &Suspects) {
-        let (rows, errors): (Vec<_>, Vec<_>) = told
+    /// Applies the suspects reported by the hub at `hub`.
+    pub fn apply_suspects(&self, hub: SocketAddr, received: &Suspects) {
+        let (suspects, errors): (Vec<_>, Vec<_>) = received
             .rows
             .iter()
             .map(Suspect::from_wire)
             .partition(Result::is_ok);
         if let Some(Err(err)) = errors.first() {
-            warn!(self.log, "bad suspects"; "hub" => %hub, "revision" => told.revision,
+            warn!(self.log, "invalid suspects"; "hub" => %hub, "revision" => received.revision,
                 "count" => errors.len(), "error" => %err);
         }
-        let rows: Vec<Suspect> = rows.into_iter().flatten().collect();
-        let refused = self.known().quarantine.take(self.clock.now(), &rows);
+        let suspects: Vec<Suspect> = suspects.into_iter().flatten().collect();
+        let refused = self.state().quarantine.take(self.clock.now(), &suspects);
         for suspect in refused {
             info!(self.log, "quarantine"; "fingerprint" => %suspect.request, "hub" => %hub,
-                "revision" => told.revision, "left_ms" => suspect.refused.as_millis());
+                "revision" => received.revision, "left_ms" => suspect.refused.as_millis());
             self.counters.quarantined();
         }
     }
 
-    /// What a hub is to be told that has been told of the events up to `number`, and the
-    /// number of the newest event. One that is `new` knows of no refusal either.
+    /// The report for a hub that has acknowledged the events up to `number`, and the number of
+    /// the newest event. With `new`, it also includes current refusals, for a hub that has
+    /// restarted.
     #[must_use]
     pub fn crash_report(&self, number: u64, new: bool) -> (Report, u64) {
         let now = self.clock.now();
-        let known = self.known();
+        let state = self.state();
         let mut report = Report {
             host: self.settings().host.to_string(),
             ..Report::default()
         };
-        for event in known.quarantine.since(number) {
+        for event in state.quarantine.since(number) {
             match event {
                 Event::Crashed(crash) => report.crashes.push(crash.to_wire(now)),
                 Event::Succeeded(request) => report.answered.push(request.into()),
             }
         }
         if new {
-            let refused = known.quarantine.refusals(now);
+            let refused = state.quarantine.refusals(now);
             report.refused = refused.iter().map(Suspect::to_wire).collect();
         }
-        (report, known.quarantine.newest())
+        (report, state.quarantine.newest())
     }
 }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -148,7 +148,7 @@
         let begun = Instant::now();
         let stop = self.core.settings().stop;
         info!(self.core.log, "leaving"; "linger_ms" => stop.linger.as_millis());
-        self.core.stage.send_replace(Stage::Leaving);
+        self.core.stage.send_replace(Stage::Draining);
         tokio::time::sleep_until(begun + stop.linger).await;
         self.core.stage.send_replace(Stage::Closing);
         self.open.close();
--- a/crates/entry/src/remaining.rs
+++ b/crates/entry/src/remaining.rs
@@ -1,81 +1,77 @@
-//! How much time callers of a route have left when they come.
+//! The time that callers of a route have left when their requests arrive.
 //!
-//! A caller that asks again has less left than on its first try, and no other mark.
-//! How long callers wait may differ between them, though, and a few wait far longer
-//! than all others. So what is usual is read off the upper part of the recent ones,
-//! which those that ask again hardly reach, even after an outage: three in four may be
-//! such. With the longest time as the measure, all callers but one counted as late
-//! where they differ, and a fifth of the requests to one service was refused.
+//! A caller that retries has less time left than on its first attempt; nothing else
+//! distinguishes it. Callers may differ in their timeouts, and a few may wait far longer than
+//! all others. The typical time is therefore a high quantile of recent requests: retries hardly
+//! affect it even after an outage, and the few longest timeouts don't raise it.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use base::prelude::*;
 
-/// Callers that are remembered: some seconds of a busy route, over the twenty that
-/// come at once after an outage.
-const RECENT: usize = 64;
-/// For so long after the first caller the usual is the most that one had left, or the
-/// route's timeout if that is less: after a restart of everything nearly all of them have
-/// waited, for a second or two, and one in twenty-five may wait far longer than the others.
-/// Without the timeout such a one made all others count as late, while instances idled.
-const YOUNG: Duration = Duration::from_secs(2);
-/// Part of the usual that one has left at least who has spent nothing, as long as it isn't
-/// known how callers differ; some differ by a seventh.
-const YOUNG_LEAST: f64 = 0.8;
-/// Part of the callers that have less left than is usual.
-const USUAL: f64 = 0.75;
-/// Part below the few that wait far longer.
-const MOST: f64 = 0.9;
-/// Where times are spread evenly, the shortest is five times as far below the usual
-/// as that is below the most; and some for chance.
-const SPREADS: u32 = 7;
-/// Differences that the ways of requests make.
+/// Number of recent callers that are remembered.
+const MAX_SAMPLES: usize = 64;
+/// For this long after the first caller, the typical time is the longest one seen, capped by the
+/// route's timeout: after a restart of the whole system most callers have already waited, and
+/// the cap keeps a single long timeout from making all others look late.
+const STARTUP_PERIOD: Duration = Duration::from_secs(2);
+/// Share of the typical time below which a caller counts as late during [`STARTUP_PERIOD`].
+const STARTUP_TOLERANCE: f64 = 0.8;
+/// Quantile of the remaining times that counts as typical.
+const TYPICAL_QUANTILE: f64 = 0.75;
+/// Quantile that excludes the few callers with far longer timeouts.
+const HIGH_QUANTILE: f64 = 0.9;
+/// How many times the distance between the two quantiles a caller may be below the typical time.
+/// For evenly spread timeouts the shortest is five times that distance below; the rest allows
+/// for chance.
+const SPREAD_FACTOR: u32 = 7;
+/// Allowance for network delay.
 const SLACK: Duration = Duration::from_millis(5);
 
-/// What recent callers had left.
+/// The remaining times of recent callers.
 #[derive(Clone, Debug, Default)]
 pub struct RemainingTime {
-    first: Option<Moment>,
-    recent: VecDeque<Duration>,
-    usual: Duration,
-    least: Duration,
+    first_at: Option<Moment>,
+    samples: VecDeque<Duration>,
+    typical: Duration,
+    threshold: Duration,
 }
 
 impl RemainingTime {
-    /// How much of its time one with `left` has spent elsewhere.
+    /// The time that a caller with `remaining` has already spent elsewhere.
     #[must_use]
     pub fn spent(&self, remaining: Duration) -> Duration {
-        if remaining < self.least {
-            self.usual.saturating_sub(remaining)
+        if remaining < self.threshold {
+            self.typical.saturating_sub(remaining)
         } else {
             Duration::ZERO
         }
     }
 
-    /// Takes one caller's time; `timeout` is the route's.
+    /// Records a caller's remaining time; `timeout` is the route's.
     pub fn learn(&mut self, now: Moment, remaining: Duration, timeout: Option<Duration>) {
-        let first = *self.first.get_or_insert(now);
-        if self.recent.len() == RECENT {
-            self.recent.pop_front();
+        let first_at = *self.first_at.get_or_insert(now);
+        if self.samples.len() == MAX_SAMPLES {
+            self.samples.pop_front();
         }
-        self.recent.push_back(remaining);
-        let mut sorted: Vec<Duration> = self.recent.iter().copied().collect();
+        self.samples.push_back(remaining);
+        let mut sorted: Vec<Duration> = self.samples.iter().copied().collect();
         sorted.sort_unstable();
-        if now.since(first) < YOUNG {
-            let most = part(&sorted, 1.0);
-            self.usual = timeout.map_or(most, |timeout| most.min(timeout));
-            self.least = self.usual.mul_f64(YOUNG_LEAST);
+        if now.since(first_at) < STARTUP_PERIOD {
+            let longest = quantile(&sorted, 1.0);
+            self.typical = timeout.map_or(longest, |timeout| longest.min(timeout));
+            self.threshold = self.typical.mul_f64(STARTUP_TOLERANCE);
             return;
         }
-        self.usual = part(&sorted, USUAL);
-        let spread = part(&sorted, MOST).saturating_sub(self.usual);
-        self.least = self.usual.saturating_sub(spread * SPREADS + SLACK);
+        self.typical = quantile(&sorted, TYPICAL_QUANTILE);
+        let spread = quantile(&sorted, HIGH_QUANTILE).saturating_sub(self.typical);
+        self.threshold = self.typical.saturating_sub(spread * SPREAD_FACTOR + SLACK);
     }
 }
 
-/// The time that `share` of the `sorted` ones are below.
-fn part(sorted: &[Duration], share: f64) -> Duration {
+/// The value at quantile `share` of `sorted`.
+fn quantile(sorted: &[Duration], share: f64) -> Duration {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_precision_loss,
--- a/crates/entry/src/sync.rs
+++ b/crates/entry/src/sync.rs
@@ -101,10 +101,10 @@
         let wanted = hubs.wanted(&seeds);
         let live = hubs.live();
         hubs.rank();
-        core.forget_instances();
+        core.evict_removed_instances();
         // While no hub answers, what they have heard last is all that is known.
         if !live.is_empty() {
-            core.keep_hearers(&live);
+            core.retain_reporting_hubs(&live);
         }
         watches.retain(|address, _| wanted.contains(address));
         for address in wanted {
@@ -252,9 +252,9 @@
     fn take(&mut self, asked: &Watch, reply: &WatchReply) {
         // Before the table that comes with them lets the first request in.
         if let Some(evacuations) = &reply.evacuations {
-            self.core.take_evacuations(self.address, evacuations);
+            self.core.apply_evacuations(self.address, evacuations);
         }
-        self.take_suspects(reply);
+        self.apply_suspects(reply);
         self.take_news(reply);
         let reached = self.progress.answered(asked.news(), reply);
         self.hubs.reach(reached);
@@ -269,7 +269,7 @@
         }
     }
 
-    fn take_suspects(&mut self, reply: &WatchReply) {
+    fn apply_suspects(&mut self, reply: &WatchReply) {
         let epoch = reply.epoch;
         if self
             .epoch
@@ -278,7 +278,7 @@
             self.suspects = 0;
         }
         if let Some(suspects) = &reply.suspects {
-            self.core.take_suspects(self.address, suspects);
+            self.core.apply_suspects(self.address, suspects);
             self.suspects = suspects.revision;
         }
     }
@@ -293,7 +293,7 @@
         match rows {
             Ok(mut rows) => {
                 rows.extend(reply.instances.iter().cloned());
-                self.core.take_instances(self.address, &rows, &reply.heard);
+                self.core.apply_instances(self.address, &rows, &reply.heard);
             }
             Err(err) => {
                 warn!(self.core.log, "bad list of instances"; "hub" => %self.address,
@@ -320,7 +320,7 @@
         self.hubs.note(self.address, seen);
         let entries = self.hubs.entries();
         if entries > 0 {
-            self.core.set_entries(entries);
+            self.core.set_entry_count(entries);
         }
         if asked.lists {
             self.take_hosts(asked.list, reply);
--- a/crates/entry/src/sync/report.rs
+++ b/crates/entry/src/sync/report.rs
@@ -70,7 +70,7 @@
     };
     match link.judge(client.report(within(TIMEOUT), report).await) {
         Ok(suspects) => {
-            core.take_suspects(link.address(), &suspects);
+            core.apply_suspects(link.address(), &suspects);
             true
         }
         Err(_) => false,
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -1,7 +1,7 @@
-//! What the process knows of table and instances.
+//! The entry process's view of the route table and the instances.
 //!
-//! Invariant: the table's version never goes back while the process lives, nor
-//! does an instance to an earlier incarnation or phase.
+//! Invariant: while the process runs, the table's version never decreases, and no instance
+//! returns to an earlier incarnation or phase.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -23,19 +23,19 @@
 
 use crate::pool::Pool;
 
-/// The table in force, arranged for look-ups.
+/// The current route table with its lookup structures.
 #[derive(Debug, Default)]
 pub struct Routes {
-    /// The table.
+    /// The route table.
     pub table: Table,
-    /// Its routes by host and path.
+    /// The table's routes, indexed by host and path.
     pub index: Index,
-    /// Where each service's instances tell of themselves.
+    /// The path of each service's health page.
     pub health: HashMap<ServiceName, Uri>,
 }
 
 impl Routes {
-    /// Arranges `table`.
+    /// Builds the lookup structures for `table`.
     #[must_use]
     pub fn new(table: Table) -> Self {
         let index = Index::new(&table);
@@ -49,70 +49,73 @@
     }
 }
 
-/// One instance, with connections to it.
+/// An announced instance with its connection pool.
 #[derive(Debug)]
 pub struct Upstream {
-    /// Unique among the instances that run.
+    /// Unique among running instances.
     pub id: InstanceId,
-    /// Rises with each start under the same id.
+    /// Increases with each start under the same id.
     pub incarnation: u64,
-    /// The service.
+    /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Requests that it works on at once.
+    /// The number of requests that it handles concurrently.
     pub slots: u32,
-    /// How long it is still slow after its start, when it was announced.
+    /// How long it remained cold at the time of its announcement.
     pub cold: Duration,
     /// Connections to it.
     pub pool: Pool,
 }
 
-/// What is kept of one instance.
+/// The stored state of one instance.
 #[derive(Debug)]
-struct Row {
-    told: Instance,
-    /// None for one that left before it was ever announced.
+struct KnownInstance {
+    announced: Instance,
+    /// `None` if the instance was removed before its first valid announcement.
     upstream: Option<Arc<Upstream>>,
-    /// The hubs that have heard it lately.
-    hearers: BTreeSet<SocketAddr>,
-    /// Since when it is held as one that has left.
-    left: Option<Moment>,
+    /// The hubs that currently receive its heartbeats.
+    reporting_hubs: BTreeSet<SocketAddr>,
+    /// When the process first saw that the instance was removed.
+    removed_at: Option<Moment>,
 }
 
-impl Row {
-    fn new(told: Instance) -> Self {
+impl KnownInstance {
+    fn new(announced: Instance) -> Self {
         Self {
-            upstream: upstream(&told),
-            told,
-            hearers: BTreeSet::new(),
-            left: None,
+            upstream: parse_upstream(&announced),
+            announced,
+            reporting_hubs: BTreeSet::new(),
+            removed_at: None,
         }
     }
 
-    /// Takes whether a hub has heard it; gives whether it falls silent or is heard again.
-    fn hear(&mut self, hub: SocketAddr, heard: bool) -> bool {
-        let before = self.hearers.is_empty();
-        if heard {
-            self.hearers.insert(hub);
+    /// Records whether `hub` receives the instance's heartbeats. Returns whether the instance
+    /// became silent or stopped being silent.
+    fn set_reporting(&mut self, hub: SocketAddr, reporting: bool) -> bool {
+        let before = self.reporting_hubs.is_empty();
+        if reporting {
+            self.reporting_hubs.insert(hub);
         } else {
-            self.hearers.remove(&hub);
+            self.reporting_hubs.remove(&hub);
         }
-        before != self.hearers.is_empty()
+        before != self.reporting_hubs.is_empty()
     }
 
-    /// Takes a newer announcement; connections stay with what they were opened to.
+    /// Stores a newer announcement. Connections are kept only if the instance still has the same
+    /// address and incarnation.
     fn replace(&mut self, next: Instance) {
-        if next.incarnation != self.told.incarnation {
-            self.hearers.clear();
+        if next.incarnation != self.announced.incarnation {
+            self.reporting_hubs.clear();
         }
-        let same = next.address == self.told.address && next.incarnation == self.told.incarnation;
+        let same = next.address == self.announced.address
+            && next.incarnation == self.announced.incarnation;
         if next.phase() != Phase::Gone && !same {
-            self.upstream = upstream(&next);
+            self.upstream = parse_upstream(&next);
         }
-        self.told = next;
+        self.announced = next;
     }
 
     fn service(&self) -> Option<ServiceName> {
@@ -120,141 +123,144 @@
     }
 }
 
-/// One instance of a service as it stands now.
+/// The current status of an instance.
 #[derive(Clone, Copy, Debug)]
 pub struct InstanceStatus<'a> {
-    /// What it announced.
+    /// The announced phase.
     pub phase: Phase,
-    /// No hub has heard it lately.
+    /// Whether no hub currently receives its heartbeats.
     pub silent: bool,
-    /// It, with connections to it.
+    /// The instance and its connections.
     pub upstream: &'a Arc<Upstream>,
 }
 
-/// All instances that any hub told of.
+/// All instances that were reported by any hub.
 ///
-/// Invariant: `digest` is that of all rows.
+/// Invariant: `digest` covers all entries.
 #[derive(Debug, Default)]
 pub struct Instances {
-    rows: HashMap<String, Row>,
+    by_id: HashMap<String, KnownInstance>,
     digest: Digest,
 }
 
 impl Instances {
-    /// Takes what a hub tells of an instance; gives the services whose instances have
-    /// changed, two where an instance started again in another one.
-    pub fn take(&mut self, hub: SocketAddr, instance: &Instance) -> Vec<ServiceName> {
-        let Some(row) = self.rows.get_mut(&instance.id) else {
-            let mut row = Row::new(instance.clone());
-            row.hear(hub, instance.heard);
-            let service = row.service();
+    /// Applies what a hub reports about an instance. Returns the services whose instances
+    /// changed: two if the instance restarted in another service.
+    pub fn apply(&mut self, hub: SocketAddr, instance: &Instance) -> Vec<ServiceName> {
+        let Some(known) = self.by_id.get_mut(&instance.id) else {
+            let mut known = KnownInstance::new(instance.clone());
+            known.set_reporting(hub, instance.heard);
+            let service = known.service();
             self.digest.add(instance);
-            self.rows.insert(instance.id.clone(), row);
+            self.by_id.insert(instance.id.clone(), known);
             return service.into_iter().collect();
         };
-        let before = row.service();
-        match merge(&row.told, instance.clone()) {
+        let before = known.service();
+        match merge(&known.announced, instance.clone()) {
             Merged::Stale => return Vec::new(),
             Merged::Known(next) => {
-                row.told = next;
-                let changed = row.hear(hub, instance.heard);
+                known.announced = next;
+                let changed = known.set_reporting(hub, instance.heard);
                 return before.into_iter().filter(|_| changed).collect();
             }
             Merged::Changed(next) => {
-                self.digest.remove(&row.told);
+                self.digest.remove(&known.announced);
                 self.digest.add(&next);
-                row.replace(next);
+                known.replace(next);
             }
         }
-        row.hear(hub, instance.heard);
-        let after = row.service().filter(|after| before.as_ref() != Some(after));
+        known.set_reporting(hub, instance.heard);
+        let after = known
+            .service()
+            .filter(|after| before.as_ref() != Some(after));
         before.into_iter().chain(after).collect()
     }
 
-    /// Takes whether a hub hears an instance; gives the service whose instances have
-    /// changed by it.
-    pub fn hear(&mut self, hub: SocketAddr, hearing: &Hearing) -> Option<ServiceName> {
-        let row = self.rows.get_mut(&hearing.id)?;
-        let same = row.told.incarnation == hearing.incarnation;
-        let changed = same && row.hear(hub, hearing.heard);
-        row.service().filter(|_| changed)
+    /// Applies whether a hub receives an instance's heartbeats. Returns the service if its
+    /// instances changed.
+    pub fn apply_hearing(&mut self, hub: SocketAddr, hearing: &Hearing) -> Option<ServiceName> {
+        let known = self.by_id.get_mut(&hearing.id)?;
+        let same = known.announced.incarnation == hearing.incarnation;
+        let changed = same && known.set_reporting(hub, hearing.heard);
+        known.service().filter(|_| changed)
     }
 
-    /// Whether none is known.
+    /// Whether no instance is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.by_id.is_empty()
     }
 
-    /// Whether the instance of this id has left, as far as is known.
+    /// Whether the instance is known to be removed.
     #[must_use]
-    pub fn has_left(&self, id: &str) -> bool {
-        let row = self.rows.get(id);
-        row.is_some_and(|row| row.told.phase() == Phase::Gone)
+    pub fn is_removed(&self, id: &str) -> bool {
+        let known = self.by_id.get(id);
+        known.is_some_and(|known| known.announced.phase() == Phase::Gone)
     }
 
-    /// Whether this start of the instance has announced nothing but that it is ready.
+    /// Whether the instance is ready and has not restarted since `upstream` was announced.
     #[must_use]
     pub fn is_ready(&self, upstream: &Upstream) -> bool {
-        let row = self.rows.get(upstream.id.as_str());
-        row.is_some_and(|row| {
-            row.told.phase() == Phase::Ready && row.told.incarnation == upstream.incarnation
+        let known = self.by_id.get(upstream.id.as_str());
+        known.is_some_and(|known| {
+            known.announced.phase() == Phase::Ready
+                && known.announced.incarnation == upstream.incarnation
         })
     }
 
-    /// Forgets ids that left long ago, as hubs do.
-    pub fn forget(&mut self, now: Moment) {
+    /// Evicts instances that were removed more than [`KEEP_GONE`] ago, as hubs do.
+    pub fn evict_removed(&mut self, now: Moment) {
         let digest = &mut self.digest;
-        self.rows.retain(|_, row| {
-            if row.told.phase() != Phase::Gone {
-                row.left = None;
+        self.by_id.retain(|_, known| {
+            if known.announced.phase() != Phase::Gone {
+                known.removed_at = None;
                 return true;
             }
-            let kept = now.since(*row.left.get_or_insert(now)) < KEEP_GONE;
-            if !kept {
-                digest.remove(&row.told);
+            let retained = now.since(*known.removed_at.get_or_insert(now)) < KEEP_GONE;
+            if !retained {
+                digest.remove(&known.announced);
             }
-            kept
+            retained
         });
     }
 
-    /// What is held, to be compared with what a hub holds.
+    /// The digest of all entries, to compare with a hub's digest.
     #[must_use]
     pub fn digest(&self) -> &Digest {
         &self.digest
     }
 
-    /// Forgets what hubs other than `hubs` have heard; gives the services with an
-    /// instance that falls silent.
-    pub fn keep_hearers(&mut self, hubs: &BTreeSet<SocketAddr>) -> Vec<ServiceName> {
+    /// Discards heartbeat information from hubs that aren't in `hubs`. Returns the services of
+    /// the instances that became silent.
+    pub fn retain_reporting_hubs(&mut self, hubs: &BTreeSet<SocketAddr>) -> Vec<ServiceName> {
         let mut changed = Vec::new();
-        for row in self.rows.values_mut() {
-            let before = row.hearers.is_empty();
-            row.hearers.retain(|hub| hubs.contains(hub));
-            if before != row.hearers.is_empty() {
-                changed.extend(row.service());
+        for known in self.by_id.values_mut() {
+            let before = known.reporting_hubs.is_empty();
+            known.reporting_hubs.retain(|hub| hubs.contains(hub));
+            if before != known.reporting_hubs.is_empty() {
+                changed.extend(known.service());
             }
         }
         changed
     }
 
-    /// The instances of a service that have not left.
-    pub fn of(&self, service: &ServiceName) -> impl Iterator<Item = InstanceStatus<'_>> {
-        let here = |row: &&Row| row.told.phase() != Phase::Gone;
-        let rows = self.rows.values().filter(here);
-        let found = rows.filter_map(|row| {
+    /// The instances of a service that are not removed.
+    pub fn of_service(&self, service: &ServiceName) -> impl Iterator<Item = InstanceStatus<'_>> {
+        let is_present = |known: &&KnownInstance| known.announced.phase() != Phase::Gone;
+        let present = self.by_id.values().filter(is_present);
+        let found = present.filter_map(|known| {
             Some(InstanceStatus {
-                phase: row.told.phase(),
-                silent: row.hearers.is_empty(),
-                upstream: row.upstream.as_ref()?,
+                phase: known.announced.phase(),
+                silent: known.reporting_hubs.is_empty(),
+                upstream: known.upstream.as_ref()?,
             })
         });
-        found.filter(move |listed| listed.upstream.service == *service)
+        found.filter(move |status| status.upstream.service == *service)
     }
 }
 
-/// The instance with checked types; none where its announcement isn't usable.
-fn upstream(instance: &Instance) -> Option<Arc<Upstream>> {
+/// Validates an announcement. Returns `None` if it is invalid.
+fn parse_upstream(instance: &Instance) -> Option<Arc<Upstream>> {
     let address = instance.address.parse().ok()?;
     Some(Arc::new(Upstream {
         id: InstanceId::new(&instance.id).ok()?,
--- a/crates/entry/tests/fakes/mod.rs
+++ b/crates/entry/tests/fakes/mod.rs
@@ -121,7 +121,7 @@
     let entry = bare().await;
     entry.core().set_table(table(1));
     let rows: Vec<Instance> = upstreams.iter().map(|u| instance(u, "status")).collect();
-    entry.core().take_instances(HUB, &rows, &[]);
+    entry.core().apply_instances(HUB, &rows, &[]);
     entry
 }
 
--- a/crates/entry/tests/test_body.rs
+++ b/crates/entry/tests/test_body.rs
@@ -112,7 +112,7 @@
     let body = "x".repeat(100_000);
     caller.send("POST", ONCE, "r-1", &body).await;
     let row = fakes::instance(&upstream, "status");
-    entry.core().take_instances(fakes::HUB, &[row], &[]);
+    entry.core().apply_instances(fakes::HUB, &[row], &[]);
     let answer = caller.answer().await.expect("an answer");
     assert_eq!(answer.status, 200);
     assert_eq!(upstream.arrivals()[0].body, body.as_bytes());
--- a/crates/entry/tests/test_crash.rs
+++ b/crates/entry/tests/test_crash.rs
@@ -94,7 +94,7 @@
         sequence: 2,
         ..instance(&upstream, "status")
     };
-    entry.core().take_instances(HUB, &[leaves], &[]);
+    entry.core().apply_instances(HUB, &[leaves], &[]);
     let broken = broken(&upstream);
     drop(upstream);
     assert_eq!(fate(&entry, broken).await, Fate::Leaves);
--- a/crates/entry/tests/test_evacuation.rs
+++ b/crates/entry/tests/test_evacuation.rs
@@ -32,7 +32,7 @@
             ..instance(upstream, "status")
         })
         .collect();
-    entry.core().take_instances(HUB, &rows, &[]);
+    entry.core().apply_instances(HUB, &rows, &[]);
     (entry, upstreams)
 }
 
@@ -44,7 +44,7 @@
 fn order(entry: &Entry, held: &mut Domains, name: &str, evacuated: bool) {
     let order = held.order(&domain(name), evacuated);
     held.apply(&order);
-    entry.core().take_evacuations(HUB, &held.to_wire());
+    entry.core().apply_evacuations(HUB, &held.to_wire());
 }
 
 async fn calls(entry: &Entry, count: usize) -> Vec<u16> {
@@ -66,7 +66,7 @@
     // Taken back, it is used again; a hub that is behind changes nothing.
     let before = held.to_wire();
     order(&entry, &mut held, "a", false);
-    entry.core().take_evacuations(HUB, &before);
+    entry.core().apply_evacuations(HUB, &before);
     order(&entry, &mut held, "b", true);
     assert_eq!(calls(&entry, 20).await, [200; 20]);
     assert_eq!((one.arrivals().len(), two.arrivals().len()), (20, 20));
@@ -80,7 +80,7 @@
     order(&entry, &mut held, "a", true);
     let late = Upstream::start("i-3", Manner::Answer).await;
     let row = instance(&late, "status");
-    entry.core().take_instances(HUB, &[row], &[]);
+    entry.core().apply_instances(HUB, &[row], &[]);
     assert_eq!(calls(&entry, 10).await, [200; 10]);
     assert_eq!(two.arrivals().len(), 10);
     assert_eq!((one.arrivals().len(), late.arrivals().len()), (0, 0));
@@ -90,7 +90,7 @@
         phase: Phase::Ready.into(),
         ..instance(&late, "status")
     };
-    entry.core().take_instances(HUB, &[again], &[]);
+    entry.core().apply_instances(HUB, &[again], &[]);
     assert_eq!(calls(&entry, 10).await, [200; 10]);
     assert_eq!(late.arrivals().len(), 0);
 }
--- a/crates/entry/tests/test_flow.rs
+++ b/crates/entry/tests/test_flow.rs
@@ -193,7 +193,7 @@
     let entry = bare().await;
     entry
         .core()
-        .take_instances(HUB, &[instance(&upstream, "status")], &[]);
+        .apply_instances(HUB, &[instance(&upstream, "status")], &[]);
     let mut caller = Caller::connect(entry.front()).await;
     caller.send("GET", READ, "r-1", "").await;
     entry.core().set_table(fakes::table(1));
@@ -215,7 +215,7 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
     entry
         .core()
-        .take_instances(HUB, &[instance(&upstream, "status")], &[]);
+        .apply_instances(HUB, &[instance(&upstream, "status")], &[]);
     let answer = caller.answer().await.expect("an answer");
     assert_eq!(answer.status, 200);
 }
@@ -242,11 +242,11 @@
         sequence: 2,
         ..instance(&one, "status")
     };
-    entry.core().take_instances(HUB, &[leaving], &[]);
+    entry.core().apply_instances(HUB, &[leaving], &[]);
     // A late announcement from before doesn't bring it back.
     entry
         .core()
-        .take_instances(HUB, &[instance(&one, "status")], &[]);
+        .apply_instances(HUB, &[instance(&one, "status")], &[]);
     for n in 0..10 {
         let answer = call(entry.front(), "GET", READ, &format!("r-{n}")).await;
         assert_eq!(answer.status, 200);
@@ -269,19 +269,19 @@
     };
     entry
         .core()
-        .take_instances(HUB, &[life(&before, 1, 7, Phase::Ready)], &[]);
+        .apply_instances(HUB, &[life(&before, 1, 7, Phase::Ready)], &[]);
     let answer = call(entry.front(), "GET", READ, "r-1").await;
     assert_eq!(answer.status, 200);
     entry
         .core()
-        .take_instances(HUB, &[life(&before, 1, 8, Phase::Draining)], &[]);
+        .apply_instances(HUB, &[life(&before, 1, 8, Phase::Draining)], &[]);
     entry
         .core()
-        .take_instances(HUB, &[life(&after, 2, 1, Phase::Ready)], &[]);
+        .apply_instances(HUB, &[life(&after, 2, 1, Phase::Ready)], &[]);
     // Late news of the earlier one.
     entry
         .core()
-        .take_instances(HUB, &[life(&before, 1, 9, Phase::Gone)], &[]);
+        .apply_instances(HUB, &[life(&before, 1, 9, Phase::Gone)], &[]);
     for n in 2..6 {
         let answer = call(entry.front(), "GET", READ, &format!("r-{n}")).await;
         assert_eq!(answer.status, 200);
@@ -308,7 +308,7 @@
     assert!(found <= 1, "{found} requests went there");
     entry
         .core()
-        .take_instances(HUB, &[instance(&two, "status")], &[]);
+        .apply_instances(HUB, &[instance(&two, "status")], &[]);
     let answer = caller.call("GET", READ, "r-41", "").await;
     assert_eq!(answer.status, 200);
 }
@@ -325,7 +325,7 @@
         assert_eq!(answer.status, 504);
     }
     let rows = [instance(&mute, "status"), instance(&well, "status")];
-    entry.core().take_instances(HUB, &rows, &[]);
+    entry.core().apply_instances(HUB, &rows, &[]);
     for n in 3..23 {
         // Long enough that both are asked anew.
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -361,7 +361,7 @@
     let entry = bare().await;
     entry.core().set_table(split(1, [3, 1]));
     let rows = [instance(&status, "status"), instance(&other, "other")];
-    entry.core().take_instances(HUB, &rows, &[]);
+    entry.core().apply_instances(HUB, &rows, &[]);
     let mut caller = Caller::connect(entry.front()).await;
     for n in 0..40 {
         let answer = caller.call("GET", READ, &format!("r-{n}"), "").await;
@@ -378,7 +378,7 @@
     let entry = bare().await;
     entry.core().set_table(split(1, [1, 1]));
     let rows = [instance(&status, "status"), instance(&other, "other")];
-    entry.core().take_instances(HUB, &rows, &[]);
+    entry.core().apply_instances(HUB, &rows, &[]);
     let mut statuses = Vec::new();
     for n in 0..4 {
         let answer = call(entry.front(), "GET", READ, &format!("r-{n}")).await;
--- a/crates/entry/tests/test_placing.rs
+++ b/crates/entry/tests/test_placing.rs
@@ -56,7 +56,7 @@
     let entry = Entry::start(settings, Dialect::default(), log).await;
     let entry = entry.expect("starts");
     entry.core().set_table(table(1));
-    entry.core().take_instances(HUB, rows, &[]);
+    entry.core().apply_instances(HUB, rows, &[]);
     entry
 }
 
--- a/crates/entry/tests/test_progress.rs
+++ b/crates/entry/tests/test_progress.rs
@@ -129,10 +129,10 @@
             rows.extend(registry::unpack(&reply.whole).expect("a list"));
         }
         for row in &rows {
-            self.instances.take(address(hub), row);
+            self.instances.apply(address(hub), row);
         }
         for hearing in &reply.heard {
-            self.instances.hear(address(hub), hearing);
+            self.instances.apply_hearing(address(hub), hearing);
         }
         let reached = progress.answered(asked.news, &reply);
         self.reached = self.reached.max(reached);
@@ -172,7 +172,7 @@
     /// Phases by id, as the process holds them.
     fn held(&self) -> HashMap<String, Phase> {
         let service = ServiceName::new("status").expect("a name");
-        let rows = self.instances.of(&service);
+        let rows = self.instances.of_service(&service);
         rows.map(|row| (row.upstream.id.to_string(), row.phase))
             .collect()
     }
@@ -204,7 +204,7 @@
         }
         let follows = |told: &Instance| match held.get(&told.id) {
             Some(phase) => *phase >= told.phase(),
-            None => told.phase() == Phase::Gone || world.instances.has_left(&told.id),
+            None => told.phase() == Phase::Gone || world.instances.is_removed(&told.id),
         };
         let mut rows = known.all();
         rows.all(follows)
--- a/crates/entry/tests/test_quarantine.rs
+++ b/crates/entry/tests/test_quarantine.rs
@@ -36,7 +36,7 @@
             refused_ms: REFUSED_MS,
         }],
     };
-    entry.core().take_suspects(HUB, &told);
+    entry.core().apply_suspects(HUB, &told);
 }
 
 async fn crashing(count: usize) -> (Vec<Upstream>, Entry) {
@@ -157,7 +157,7 @@
     counted(&entry, 2).await;
     let well = Upstream::start("i-well", Manner::Answer).await;
     let row = fakes::instance(&well, "status");
-    entry.core().take_instances(HUB, &[row], &[]);
+    entry.core().apply_instances(HUB, &[row], &[]);
     assert_eq!(call(entry.front(), "GET", READ, "r-2").await.status, 200);
     assert!(!entry.core().concerns(Head::new(CALLER, "GET", HOST, READ)));
     upstreams.push(well);
--- a/crates/entry/tests/test_view.rs
+++ b/crates/entry/tests/test_view.rs
@@ -32,38 +32,44 @@
 }
 
 fn silent(instances: &Instances) -> Vec<bool> {
-    instances.of(&service("status")).map(|l| l.silent).collect()
+    instances
+        .of_service(&service("status"))
+        .map(|l| l.silent)
+        .collect()
 }
 
 #[test]
 fn test_view_instance_is_silent_while_no_hub_has_heard_it() {
     let mut instances = Instances::default();
     let changed = vec![service("status")];
-    assert_eq!(instances.take(hub(1), &told(1, 1, false)), changed);
+    assert_eq!(instances.apply(hub(1), &told(1, 1, false)), changed);
     assert_eq!(silent(&instances), [true]);
-    assert_eq!(instances.take(hub(2), &told(1, 2, true)), changed);
+    assert_eq!(instances.apply(hub(2), &told(1, 2, true)), changed);
     assert_eq!(silent(&instances), [false]);
     // What another hub hasn't heard says nothing.
-    assert!(instances.take(hub(1), &told(1, 1, false)).is_empty());
-    assert!(instances.take(hub(1), &told(1, 3, true)).is_empty());
-    assert!(instances.take(hub(2), &told(1, 3, false)).is_empty());
+    assert!(instances.apply(hub(1), &told(1, 1, false)).is_empty());
+    assert!(instances.apply(hub(1), &told(1, 3, true)).is_empty());
+    assert!(instances.apply(hub(2), &told(1, 3, false)).is_empty());
     assert_eq!(silent(&instances), [false]);
     // The only hub that heard it is gone.
     let kept = BTreeSet::from([hub(2)]);
-    assert_eq!(instances.keep_hearers(&kept), changed);
+    assert_eq!(instances.retain_reporting_hubs(&kept), changed);
     assert_eq!(silent(&instances), [true]);
 }
 
 #[test]
 fn test_view_later_incarnation_has_yet_to_be_heard() {
     let mut instances = Instances::default();
-    instances.take(hub(1), &told(1, 9, true));
-    instances.take(hub(2), &told(2, 1, false));
+    instances.apply(hub(1), &told(1, 9, true));
+    instances.apply(hub(2), &told(2, 1, false));
     assert_eq!(silent(&instances), [true]);
-    instances.take(hub(1), &told(2, 2, true));
+    instances.apply(hub(1), &told(2, 2, true));
     assert_eq!(silent(&instances), [false]);
     // What the first hub heard before the news of it reached it.
-    instances.take(hub(2), &told(1, 10, true));
-    let newest = instances.of(&service("status")).next().expect("listed");
+    instances.apply(hub(2), &told(1, 10, true));
+    let newest = instances
+        .of_service(&service("status"))
+        .next()
+        .expect("listed");
     assert_eq!(newest.upstream.incarnation, 2);
 }
