--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -1,4 +1,5 @@
-//! Bodies on their way: kept where they are short, passed on as they come.
+//! Request and response bodies, which are forwarded as they arrive. Short request bodies are
+//! buffered for retries.
 
 mod spool;
 
@@ -24,7 +25,7 @@
 pub use self::spool::Spool;
 
 quick_error! {
-    /// Why a body ends early.
+    /// Why a body ended early.
     #[derive(Debug)]
     pub enum BodyError {
         /// Its sender broke off.
@@ -33,90 +34,90 @@
             source(err)
             display("{err}")
         }
-        /// Its sender broke off before it was sent again.
+        /// Its sender broke off during an earlier attempt.
         Broken {
-            display("the body had broken off")
+            display("request body ended before it was complete")
         }
-        /// Nothing more came, and its request's time was up.
+        /// No data arrived for too long after the request's deadline.
         Stalled {
-            display("nothing more came in time")
+            display("response body stalled past the request deadline")
         }
-        /// It is sent again elsewhere.
+        /// A newer attempt reads the body.
         Superseded {
-            display("the body is sent elsewhere")
+            display("request body superseded by a newer attempt")
         }
     }
 }
 
-/// Bytes up to which a body is kept. A request that is kept can be sent again, an answer
-/// kept whole can be asked for again.
-pub const WHOLE: usize = 256 * 1024;
+/// Maximum size of a body that is buffered. A buffered request can be retried, and a request
+/// whose response is buffered can be retried if the response breaks off.
+pub const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// A body on its way to an upstream.
+/// A body that is forwarded.
 #[derive(Debug)]
 pub enum ForwardedBody {
-    /// All of it.
+    /// The complete body.
     Whole(Option<Bytes>),
-    /// Passed on as it comes, and kept.
-    Kept(Reader),
-    /// What was read, and the rest.
+    /// Forwarded as it arrives, and buffered.
+    Spooled(Reader),
+    /// The bytes that were read already, and the rest.
     Stream(Option<Bytes>, Incoming),
 }
 
 impl ForwardedBody {
-    /// The same body once more, where it was kept whole.
+    /// The same body from its beginning, if it is buffered.
     #[must_use]
     pub fn replay(&self) -> Option<Self> {
         match self {
             Self::Whole(bytes) => Some(Self::Whole(bytes.clone())),
-            Self::Kept(reader) => Some(Self::Kept(reader.replay())),
+            Self::Spooled(reader) => Some(Self::Spooled(reader.replay())),
             Self::Stream(..) => None,
         }
     }
 
-    /// Where what was passed on is kept, while more may come.
+    /// The spool of a body that may still be arriving.
     #[must_use]
     pub fn spool(&self) -> Option<Spool> {
         match self {
-            Self::Kept(reader) => Some(reader.spool().clone()),
+            Self::Spooled(reader) => Some(reader.spool().clone()),
             Self::Whole(_) | Self::Stream(..) => None,
         }
     }
 
-    /// What tells the request from others.
+    /// The part of the body that identifies the request.
     #[must_use]
     pub fn content(&self) -> Content {
         match self {
             Self::Whole(bytes) => Content::Whole(bytes.clone()),
-            Self::Kept(reader) => Content::Kept(reader.spool().clone()),
-            Self::Stream(first, _) => Content::Begun(first.clone()),
+            Self::Spooled(reader) => Content::Spooled(reader.spool().clone()),
+            Self::Stream(first, _) => Content::Prefix(first.clone()),
         }
     }
 
-    /// Whether nothing more comes, as far as its length tells.
+    /// Whether no more data follows, as far as the declared length tells.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn is_exhausted(&self) -> bool {
         match self {
             Self::Whole(bytes) => bytes.is_none(),
-            Self::Kept(reader) => reader.left() == 0,
+            Self::Spooled(reader) => reader.remaining() == 0,
             Self::Stream(first, rest) => first.is_none() && rest.is_end_stream(),
         }
     }
 
-    /// Bytes of all of it, where that is known.
+    /// The length of the whole body in bytes, if it is known.
     #[must_use]
     pub fn known_length(&self) -> Option<u64> {
         match self {
             Self::Whole(bytes) => Some(length(bytes.as_ref())),
-            Self::Kept(reader) => Some(reader.length()),
+            Self::Spooled(reader) => Some(reader.length()),
             Self::Stream(..) => None,
         }
     }
 
-    fn step(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+    fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let (first, rest) = match self {
             Self::Whole(bytes) => (bytes.take(), None),
-            Self::Kept(reader) => {
+            Self::Spooled(reader) => {
                 let part = reader.poll_part(cx);
                 return part.map(|part| part.map(|part| part.map(Frame::data)));
             }
@@ -132,48 +133,48 @@
         }
     }
 
-    fn rest_hint(&self) -> SizeHint {
+    fn remaining_size_hint(&self) -> SizeHint {
         match self {
             Self::Whole(bytes) => SizeHint::with_exact(length(bytes.as_ref())),
-            Self::Kept(reader) => SizeHint::with_exact(reader.left()),
+            Self::Spooled(reader) => SizeHint::with_exact(reader.remaining()),
             Self::Stream(bytes, rest) => match rest.size_hint().exact() {
-                Some(left) => SizeHint::with_exact(left + length(bytes.as_ref())),
+                Some(remaining) => SizeHint::with_exact(remaining + length(bytes.as_ref())),
                 None => SizeHint::new(),
             },
         }
     }
 }
 
-/// What is kept of a request's body, by which the request is told from others.
+/// The part of a request's body that its fingerprint is computed from.
 #[derive(Clone, Debug)]
 pub enum Content {
-    /// All of it.
+    /// The complete body.
     Whole(Option<Bytes>),
-    /// All of it once it has come.
-    Kept(Spool),
-    /// The beginning of a long one.
-    Begun(Option<Bytes>),
+    /// The complete body, once it has arrived.
+    Spooled(Spool),
+    /// The first bytes of a long body.
+    Prefix(Option<Bytes>),
 }
 
 impl Content {
-    /// The request's fingerprint, where all that counts of the body has come.
+    /// The request's fingerprint, if the part of the body that it covers has arrived.
     #[must_use]
     pub fn known_fingerprint(&self, head: Head) -> Option<Fingerprint> {
         match self {
-            Self::Whole(bytes) | Self::Begun(bytes) => {
+            Self::Whole(bytes) | Self::Prefix(bytes) => {
                 let bytes = bytes.as_deref().unwrap_or_default();
-                // How much was read of a long one differs from time to time.
-                let most = bytes.len().min(WHOLE);
-                Some(Fingerprint::new(head, [&bytes[..most]]))
+                // The number of bytes that were read of a long body varies.
+                let counted = bytes.len().min(MAX_BUFFERED_BYTES);
+                Some(Fingerprint::new(head, [&bytes[..counted]]))
             }
-            Self::Kept(spool) => spool.fingerprint(head),
+            Self::Spooled(spool) => spool.fingerprint(head),
         }
     }
 
-    /// The request's fingerprint, once as much of the body has come as counts; none where it
-    /// breaks off before.
+    /// The request's fingerprint, once the part of the body that it covers has arrived. Returns
+    /// `None` if the body breaks off before.
     pub async fn fingerprint(&self, head: Head) -> Option<Fingerprint> {
-        if let Self::Kept(spool) = self {
+        if let Self::Spooled(spool) = self {
             spool.fill().await;
         }
         self.known_fingerprint(head)
@@ -192,27 +193,26 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        self.step(cx)
+        self.poll_data(cx)
     }
 
     fn is_end_stream(&self) -> bool {
-        self.is_over()
+        self.is_exhausted()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.rest_hint()
+        self.remaining_size_hint()
     }
 }
 
-/// A body on its way to a caller; one that is yet to come holds its connection until it
-/// ends.
+/// The body of a response. A streamed one keeps its upstream connection until it ends.
 pub struct ResponseBody {
     body: ForwardedBody,
     tail: Option<Tail>,
 }
 
 impl ResponseBody {
-    /// A body that is here whole.
+    /// A complete body.
     #[must_use]
     pub fn whole(bytes: Bytes) -> Self {
         let bytes = Some(bytes).filter(|bytes| !bytes.is_empty());
@@ -222,7 +222,7 @@
         }
     }
 
-    /// A body of which `first` was read.
+    /// A body whose beginning `first` was read already.
     #[must_use]
     pub fn stream(first: Bytes, rest: Incoming, tail: Tail) -> Self {
         let first = Some(first).filter(|first| !first.is_empty());
@@ -232,20 +232,20 @@
         }
     }
 
-    /// Takes what a step led to: a part, the end, or that the sender broke off.
-    fn note(&mut self, step: Option<&Result<Frame<Bytes>, BodyError>>) {
-        match step {
+    /// Records the result of a poll: data, the end, or an error.
+    fn record_frame(&mut self, frame: Option<&Result<Frame<Bytes>, BodyError>>) {
+        match frame {
             Some(Ok(frame)) => {
                 let bytes = frame.data_ref().map_or(0, Bytes::len);
                 if let Some(tail) = &mut self.tail {
                     tail.came(bytes);
                 }
-                // The last part of a body whose length was told; nobody asks for more.
-                if self.body.is_over() {
-                    self.end();
+                // The last bytes of a body with a declared length: it isn't polled again.
+                if self.body.is_exhausted() {
+                    self.record_end();
                 }
             }
-            None => self.end(),
+            None => self.record_end(),
             Some(Err(err)) => {
                 if let Some(tail) = self.tail.take() {
                     tail.broke_off(err);
@@ -254,7 +254,7 @@
         }
     }
 
-    fn end(&mut self) {
+    fn record_end(&mut self) {
         if let Some(tail) = self.tail.take() {
             tail.whole();
         }
@@ -269,8 +269,8 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        let step = match self.body.step(cx) {
-            Poll::Ready(step) => step,
+        let frame = match self.body.poll_data(cx) {
+            Poll::Ready(frame) => frame,
             Poll::Pending => {
                 let stalled = self.tail.as_mut().map(|tail| tail.poll_stalled(cx));
                 if stalled != Some(Poll::Ready(())) {
@@ -279,38 +279,40 @@
                 Some(Err(BodyError::Stalled))
             }
         };
-        self.note(step.as_ref());
-        Poll::Ready(step)
+        self.record_frame(frame.as_ref());
+        Poll::Ready(frame)
     }
 
     fn is_end_stream(&self) -> bool {
-        self.body.is_over()
+        self.body.is_exhausted()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.body.rest_hint()
+        self.body.remaining_size_hint()
     }
 }
 
-/// What was read of a body.
+/// The result of reading a body.
 #[derive(Debug)]
 pub enum ReadBody {
-    /// It ended.
+    /// The complete body.
     Whole(Bytes),
-    /// The rest is yet to come.
+    /// The beginning, and the body that the rest comes from.
     Part(Bytes, Incoming),
 }
 
-/// A request's body as it is passed on: while it comes, where its length is told, and
-/// else once it is here, so that an instance is told its length.
+/// Prepares a request's body for forwarding. A short body with a declared length is forwarded as
+/// it arrives; others are read up to [`MAX_BUFFERED_BYTES`] first, so that a short one gets a
+/// length.
 ///
 /// # Errors
 ///
-/// Fails when one that is read first breaks off.
+/// Fails if a body that is read first breaks off.
 pub async fn request_body(incoming: Incoming) -> Result<ForwardedBody, hyper::Error> {
-    let told = incoming.size_hint().exact();
-    if let Some(length) = told.filter(|length| (1..=WHOLE as u64).contains(length)) {
-        return Ok(ForwardedBody::Kept(Reader::new(
+    let declared = incoming.size_hint().exact();
+    if let Some(length) = declared.filter(|length| (1..=MAX_BUFFERED_BYTES as u64).contains(length))
+    {
+        return Ok(ForwardedBody::Spooled(Reader::new(
             Spool::new(incoming),
             length,
         )));
@@ -322,11 +324,11 @@
     })
 }
 
-/// Reads what has come of a body already.
+/// Reads the part of a body that has already arrived, without waiting for more.
 ///
 /// # Errors
 ///
-/// Fails when it breaks off.
+/// Fails if the body breaks off.
 pub async fn read_available(mut body: Incoming) -> Result<ReadBody, hyper::Error> {
     let mut first = BytesMut::new();
     loop {
@@ -340,35 +342,35 @@
                 }
             }
         }
-        if first.len() > WHOLE {
+        if first.len() > MAX_BUFFERED_BYTES {
             return Ok(ReadBody::Part(first.freeze(), body));
         }
     }
 }
 
-/// Reads a body up to [`WHOLE`] bytes.
+/// Reads a body up to [`MAX_BUFFERED_BYTES`].
 ///
 /// # Errors
 ///
-/// Fails when it breaks off.
+/// Fails if the body breaks off.
 pub async fn read(mut body: Incoming) -> Result<ReadBody, hyper::Error> {
     let mut first: Option<Bytes> = None;
-    let mut more = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame?.into_data() else {
             continue;
         };
-        if first.is_none() && more.is_empty() {
+        if first.is_none() && buffer.is_empty() {
             first = Some(data);
         } else {
             if let Some(first) = first.take() {
-                more.extend_from_slice(&first);
+                buffer.extend_from_slice(&first);
             }
-            more.extend_from_slice(&data);
+            buffer.extend_from_slice(&data);
         }
-        if more.len() > WHOLE {
-            return Ok(ReadBody::Part(more.freeze(), body));
+        if buffer.len() > MAX_BUFFERED_BYTES {
+            return Ok(ReadBody::Part(buffer.freeze(), body));
         }
     }
-    Ok(ReadBody::Whole(first.unwrap_or_else(|| more.freeze())))
+    Ok(ReadBody::Whole(first.unwrap_or_else(|| buffer.freeze())))
 }
--- a/crates/entry/src/body/spool.rs
+++ b/crates/entry/src/body/spool.rs
@@ -1,7 +1,7 @@
-//! A request's body that is passed on while it comes, and kept so that it can be sent again.
+//! A request's body that is forwarded as it arrives, and buffered for retries.
 //!
-//! On a thin link a body takes longer to arrive than an instance takes to be chosen: read
-//! whole before it is passed on, it would be on the way twice, one after the other.
+//! On a slow link a body takes longer to arrive than an instance takes to be selected. Reading
+//! it completely before forwarding it would transfer it twice in sequence.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -20,16 +20,16 @@
 
 use super::BodyError;
 
-/// What has come of a body, and where the rest comes from.
+/// The received part of a body, and the source of the rest.
 ///
-/// Invariant: one reader at a time takes from `incoming`, the newest that was ever polled.
+/// Invariant: only the newest reader that was ever polled reads from `incoming`.
 #[derive(Debug)]
 struct Source {
     incoming: Incoming,
-    kept: Vec<Bytes>,
-    /// How it ended; none while more comes.
+    chunks: Vec<Bytes>,
+    /// How the body ended; `None` while it may continue.
     end: Option<End>,
-    /// The newest reader that was polled.
+    /// The number of the newest reader that was polled.
     reader: u32,
 }
 
@@ -39,37 +39,38 @@
     Broken,
 }
 
-/// A body that is kept as it comes.
+/// A body that is buffered as it arrives.
 #[derive(Clone, Debug)]
 pub struct Spool(Arc<Mutex<Source>>);
 
 impl Spool {
-    /// Keeps `incoming`.
+    /// Buffers `incoming`.
     #[must_use]
     pub fn new(incoming: Incoming) -> Self {
         Self(Arc::new(Mutex::new(Source {
             incoming,
-            kept: Vec::new(),
+            chunks: Vec::new(),
             end: None,
             reader: 0,
         })))
     }
 
-    /// Whether all of it has come.
+    /// Whether the complete body has arrived.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.source().end == Some(End::Whole)
     }
 
-    /// The request's fingerprint; none while more of the body may come.
+    /// The request's fingerprint; `None` while the body may continue.
     #[must_use]
     pub fn fingerprint(&self, head: Head) -> Option<Fingerprint> {
         let source = self.source();
-        let parts = source.kept.iter().map(|part| &part[..]);
-        (source.end == Some(End::Whole)).then(|| Fingerprint::new(head, parts))
+        let chunks = source.chunks.iter().map(|chunk| &chunk[..]);
+        (source.end == Some(End::Whole)).then(|| Fingerprint::new(head, chunks))
     }
 
-    /// Takes what comes while nobody passes it on; ends when nothing more comes.
+    /// Buffers the rest of the body while nobody reads it. Completes when the body ends or
+    /// breaks off.
     pub async fn fill(&self) {
         std::future::poll_fn(|cx| {
             let mut source = self.source();
@@ -85,7 +86,7 @@
 }
 
 impl Source {
-    /// Takes one more part; none at the end of a whole body.
+    /// Buffers the next chunk. Yields `None` at the end of a complete body.
     fn poll_more(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<(), BodyError>>> {
         loop {
             match self.end {
@@ -100,9 +101,9 @@
                     return Poll::Ready(Some(Err(err.into())));
                 }
                 Some(Ok(frame)) => {
-                    // Trailers aren't passed on.
+                    // Trailers are not forwarded.
                     if let Ok(data) = frame.into_data() {
-                        self.kept.push(data);
+                        self.chunks.push(data);
                         return Poll::Ready(Some(Ok(())));
                     }
                 }
@@ -111,19 +112,19 @@
     }
 }
 
-/// Passes a body on from its beginning.
+/// Reads a spooled body from its beginning.
 #[derive(Debug)]
 pub struct Reader {
     spool: Spool,
     number: u32,
     next: usize,
-    /// All of it, in bytes.
+    /// The length of the whole body in bytes.
     length: u64,
-    left: u64,
+    remaining: u64,
 }
 
 impl Reader {
-    /// The first one, of a body of `length` bytes.
+    /// The first reader of a body of `length` bytes.
     #[must_use]
     pub fn new(spool: Spool, length: u64) -> Self {
         Self {
@@ -131,11 +132,11 @@
             number: 0,
             next: 0,
             length,
-            left: length,
+            remaining: length,
         }
     }
 
-    /// One that begins again; from its first poll on, earlier ones get nothing more.
+    /// A new reader from the beginning. Once it is polled, earlier readers fail.
     #[must_use]
     pub fn replay(&self) -> Self {
         Self {
@@ -144,45 +145,45 @@
         }
     }
 
-    /// What it reads.
+    /// The spool that it reads.
     #[must_use]
     pub fn spool(&self) -> &Spool {
         &self.spool
     }
 
-    /// All of the body, in bytes.
+    /// The length of the whole body in bytes.
     #[must_use]
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// Bytes that are yet to be passed on.
+    /// The number of bytes that are yet to be read.
     #[must_use]
-    pub fn left(&self) -> u64 {
-        self.left
+    pub fn remaining(&self) -> u64 {
+        self.remaining
     }
 
-    /// The next part; none at the end.
+    /// Polls for the next chunk. Yields `None` at the end.
     pub fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         let mut source = self.spool.source();
         if self.number < source.reader {
             return Poll::Ready(Some(Err(BodyError::Superseded)));
         }
         source.reader = self.number;
-        if self.next == source.kept.len() {
+        if self.next == source.chunks.len() {
             match ready!(source.poll_more(cx)) {
                 None => return Poll::Ready(None),
                 Some(Err(err)) => return Poll::Ready(Some(Err(err))),
                 Some(Ok(())) => {}
             }
         }
-        let part = source.kept[self.next].clone();
+        let chunk = source.chunks[self.next].clone();
         self.next += 1;
-        self.left = self.left.saturating_sub(part.len() as u64);
-        // Nobody asks for more of a body whose length was told.
-        if self.left == 0 {
+        self.remaining = self.remaining.saturating_sub(chunk.len() as u64);
+        // A body with a declared length isn't polled beyond that length.
+        if self.remaining == 0 {
             source.end = Some(End::Whole);
         }
-        Poll::Ready(Some(Ok(part)))
+        Poll::Ready(Some(Ok(chunk)))
     }
 }
