--- a/crates/entry/src/sync.rs
+++ b/crates/entry/src/sync.rs
@@ -1,7 +1,7 @@
-//! Watches every hub for the table and the instances.
+//! Watches every hub for the route table, the instances and the hub's other state.
 //!
-//! A change of any hub counts, so that one cut path doesn't matter. While no
-//! hub answers, the process serves on with what it knows.
+//! All hubs are watched, so that a lost connection to some of them doesn't matter. While no hub
+//! answers, the process keeps serving with its last known state.
 
 pub mod beacon;
 pub mod hosts;
@@ -31,58 +31,59 @@
 
 use crate::core::Core;
 
+use self::hubs::HubStatus;
 use self::hubs::Hubs;
-use self::hubs::Seen;
 use self::progress::Progress;
 
-/// Beyond its wait, a watch may take this long before the connection counts as dead.
-const SLACK: Duration = Duration::from_millis(600);
-/// Pause after a watch that failed.
-const PAUSE: Duration = Duration::from_millis(50);
-/// The same while there is no table: callers wait, and a hub may start at any moment.
-const QUICK_PAUSE: Duration = Duration::from_millis(10);
-/// Longest wait for a connection while there is no table. A host that is without power
-/// answers nothing, so that the wait for it goes on after it is back: up to
-/// [`CONNECT_TIMEOUT`] of the callers' time. Over two ways between regions.
-const QUICK_CONNECT: Duration = Duration::from_millis(40);
-/// Longest wait for a table: 400 KB over a link of 2.3 Mbit/s.
+/// How much longer than its agreed duration a watch may take before it fails.
+const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_millis(600);
+/// Delay after a failed watch.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The same while there is no route table: requests wait for it, and a hub may start at any
+/// moment.
+const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Connect timeout while there is no route table. A host without power doesn't answer, and a
+/// connection attempt to it may go on after it is back; [`CONNECT_TIMEOUT`] would be too much of
+/// the requests' time.
+const STARTUP_CONNECT_TIMEOUT: Duration = Duration::from_millis(40);
+/// Timeout for fetching a route table over a slow link.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A table that no majority has confirmed is taken only after so long, as it
-/// may be older than one that was in force here before a restart. One that a hub has
-/// from its disk before there is a leader is taken at once: all have restarted then, or
-/// the other hubs tell of a newer one within milliseconds.
-const UNCONFIRMED: Duration = Duration::from_secs(3);
-/// Between two looks at the settings and at who has gone.
-const LOOK: Duration = Duration::from_secs(1);
+/// How long the process waits before it accepts a table that no majority has confirmed, as it
+/// may be older than the table before a restart. A table that a hub recovered from its disk
+/// before there was a leader is accepted at once: either all hubs have restarted, or others
+/// report a newer table within milliseconds.
+const UNCONFIRMED_TABLE_DELAY: Duration = Duration::from_secs(3);
+/// Interval at which settings and hubs are checked.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The watch of one hub.
-struct Follower {
+/// Watches one hub.
+struct HubWatcher {
     core: Arc<Core>,
     hubs: Arc<Hubs>,
     address: SocketAddr,
     link: Arc<HubLink>,
-    begun: Instant,
+    started_at: Instant,
     progress: Progress,
-    /// The hub's process.
+    /// The epoch of the hub's process.
     epoch: watch::Sender<u64>,
-    /// The revision of the suspects that it told.
+    /// The revision of the suspects last received from the hub.
     suspects: u64,
-    /// The version of the newest table that it told of.
+    /// The newest table version reported by the hub.
     table: u64,
-    /// The hubs that it named, and the mark of that list.
-    named: Vec<SocketAddr>,
+    /// The members of the hub group as the hub reported them, and the id of that list.
+    members: Vec<SocketAddr>,
     group: u64,
 }
 
-/// How a watch ended.
-enum Answer {
-    /// The hub answered the question.
+/// The result of a watch that didn't fail.
+enum WatchOutcome {
+    /// The hub answered.
     Reply(Box<(Watch, WatchReply)>),
-    /// It was given up, as something else is asked now.
-    Again,
+    /// The watch was cancelled because the request is out of date.
+    Superseded,
 }
 
-/// Watches all hubs; `beacons` is where they make themselves known. Never ends.
+/// Watches all hubs; they announce themselves by datagrams to `beacons`. Runs forever.
 pub async fn run(core: Arc<Core>, beacons: Option<UdpSocket>) {
     let hubs = Arc::new(Hubs::new(
         core.settings().domain.clone(),
@@ -92,44 +93,44 @@
         let (core, hubs) = (Arc::clone(&core), Arc::clone(&hubs));
         AbortOnDropHandle::new(tokio::spawn(beacon::listen(core, hubs, socket)))
     });
-    let mut renamed = hubs.renamed.subscribe();
+    let mut members_changed = hubs.members_changed.subscribe();
     let mut watches: HashMap<SocketAddr, AbortOnDropHandle<()>> = HashMap::new();
     loop {
         let settings = core.settings();
         let seeds = settings.seeds.iter();
         let seeds: Vec<SocketAddr> = seeds.map(|seed| settings.hub_at(seed.ip())).collect();
-        let wanted = hubs.wanted(&seeds);
-        let live = hubs.live();
-        hubs.rank();
+        let targets = hubs.targets(&seeds);
+        let live_hubs = hubs.live_hubs();
+        hubs.select_primary();
         core.evict_removed_instances();
-        // While no hub answers, what they have heard last is all that is known.
-        if !live.is_empty() {
-            core.retain_reporting_hubs(&live);
+        // While no hub answers, the last known heartbeats stay valid.
+        if !live_hubs.is_empty() {
+            core.retain_reporting_hubs(&live_hubs);
         }
-        watches.retain(|address, _| wanted.contains(address));
-        for address in wanted {
+        watches.retain(|address, _| targets.contains(address));
+        for address in targets {
             watches.entry(address).or_insert_with(|| {
-                let follower = Follower::new(&core, &hubs, address);
-                AbortOnDropHandle::new(tokio::spawn(follower.run()))
+                let watcher = HubWatcher::new(&core, &hubs, address);
+                AbortOnDropHandle::new(tokio::spawn(watcher.run()))
             });
         }
-        let _ = tokio::time::timeout(LOOK, renamed.changed()).await;
+        let _ = tokio::time::timeout(CHECK_INTERVAL, members_changed.changed()).await;
     }
 }
 
-impl Follower {
+impl HubWatcher {
     fn new(core: &Arc<Core>, hubs: &Arc<Hubs>, address: SocketAddr) -> Self {
         Self {
             core: Arc::clone(core),
             hubs: Arc::clone(hubs),
             address,
             link: Arc::new(peer::hub(address)),
-            begun: Instant::now(),
+            started_at: Instant::now(),
             progress: Progress::default(),
             epoch: watch::Sender::default(),
             suspects: 0,
             table: 0,
-            named: Vec::new(),
+            members: Vec::new(),
             group: 0,
         }
     }
@@ -143,9 +144,9 @@
         let _reporting = AbortOnDropHandle::new(tokio::spawn(reports));
         let mut up = false;
         loop {
-            let reply = match self.ask().await {
-                Some(Answer::Reply(reply)) => Some(reply),
-                Some(Answer::Again) => continue,
+            let reply = match self.send_watch().await {
+                Some(WatchOutcome::Reply(reply)) => Some(reply),
+                Some(WatchOutcome::Superseded) => continue,
                 None => None,
             };
             if reply.is_some() != up {
@@ -154,61 +155,65 @@
                 info!(self.core.log, "hub"; "address" => %self.address, "outcome" => outcome);
             }
             let Some(reply) = reply else {
-                self.hubs.missed(self.address);
-                tokio::time::sleep(self.pause()).await;
+                self.hubs.record_failure(self.address);
+                tokio::time::sleep(self.retry_delay()).await;
                 continue;
             };
             let (asked, reply) = *reply;
-            self.take(&asked, &reply);
+            self.apply(&asked, &reply);
         }
     }
 
-    /// How long to wait for a connection to the hub.
-    fn patience(&self) -> Duration {
+    /// The timeout for connecting to the hub.
+    fn connect_timeout(&self) -> Duration {
         if self.is_waiting() {
-            QUICK_CONNECT
+            STARTUP_CONNECT_TIMEOUT
         } else {
             CONNECT_TIMEOUT
         }
     }
 
-    /// How long to wait after a watch that failed.
-    fn pause(&self) -> Duration {
+    /// The delay after a failed watch.
+    fn retry_delay(&self) -> Duration {
         if self.is_waiting() {
-            QUICK_PAUSE
+            STARTUP_RETRY_DELAY
         } else {
-            PAUSE
+            RETRY_DELAY
         }
     }
 
-    /// Whether requests wait for the first table.
+    /// Whether requests may be waiting for the first table.
     fn is_waiting(&self) -> bool {
         !*self.core.table_known.borrow()
     }
 
-    /// What the hub is asked next.
-    fn next(&self) -> Watch {
+    /// The next watch request.
+    fn next_request(&self) -> Watch {
         let settings = self.core.settings();
-        let held = self.core.routes().table.version;
-        // While a table is on its way, being told of it again helps nobody.
+        let current = self.core.routes().table.version;
+        // While a table is being fetched, the hub need not report it again.
         let fetching = self.hubs.is_fetching();
-        let table = if fetching { held.max(self.table) } else { held };
-        let part = self.hubs.part(self.address);
-        let question = self
+        let table = if fetching {
+            current.max(self.table)
+        } else {
+            current
+        };
+        let role = self.hubs.role(self.address);
+        let query = self
             .progress
-            .next(part, &self.core.digest(), self.hubs.reached());
+            .next_query(role, &self.core.digest(), self.hubs.applied_index());
         Watch {
             host: settings.host.to_string(),
             domain: settings.domain.to_string(),
             region: settings.region.to_string(),
             address: settings.front.to_string(),
             ready: self.core.is_ready(),
-            epoch: question.epoch,
-            cursor: question.cursor,
-            news: question.news.into(),
-            buckets: question.buckets,
-            list: self.hubs.hosts().mark(),
-            lists: self.hubs.is_first(self.address),
+            epoch: query.epoch,
+            cursor: query.cursor,
+            news: query.news.into(),
+            buckets: query.buckets,
+            list: self.hubs.hosts().list_id(),
+            lists: self.hubs.is_primary(self.address),
             place: settings
                 .place
                 .map_or_else(String::new, |place| place.to_string()),
@@ -216,54 +221,55 @@
             group: self.group,
             evacuations: self.core.evacuations(),
             suspects: self.suspects,
-            wait_ms: u32::try_from(self.hubs.wait(self.address).as_millis()).unwrap_or(u32::MAX),
+            wait_ms: u32::try_from(self.hubs.watch_timeout(self.address).as_millis())
+                .unwrap_or(u32::MAX),
         }
     }
 
-    async fn ask(&self) -> Option<Answer> {
-        let client = self.link.client_within(self.patience()).await.ok()?;
+    async fn send_watch(&self) -> Option<WatchOutcome> {
+        let client = self.link.client_within(self.connect_timeout()).await.ok()?;
         let mut table_known = self.core.table_known.subscribe();
         let mut stage = self.core.stage.subscribe();
-        let mut stalled = self.hubs.stalled.subscribe();
-        let mut first = self.hubs.first.subscribe();
+        let mut fetch_incomplete = self.hubs.fetch_incomplete.subscribe();
+        let mut primary = self.hubs.primary.subscribe();
         let mut instances_known = self.core.instances_known.subscribe();
-        let asked = self.next();
+        let asked = self.next_request();
         let (was_first, address) = (asked.lists, self.address);
-        let patience = Duration::from_millis(asked.wait_ms.into()) + SLACK;
-        let call = client.watch(within(patience), asked.clone());
+        let timeout = Duration::from_millis(asked.wait_ms.into()) + WATCH_TIMEOUT_MARGIN;
+        let call = client.watch(within(timeout), asked.clone());
         let result = tokio::select! {
-            result = tokio::time::timeout(patience, call) => match result {
+            result = tokio::time::timeout(timeout, call) => match result {
                 Ok(result) => result,
                 Err(_) => Err(RpcError::DeadlineExceeded),
             },
-            // The hubs learn at once that callers may, or may no longer, be sent here.
-            _ = table_known.changed() => return Some(Answer::Again),
-            _ = stage.changed() => return Some(Answer::Again),
-            _ = stalled.changed() => return Some(Answer::Again),
-            _ = first.wait_for(|first| first.is_none_or(|f| f == address) != was_first) => {
-                return Some(Answer::Again);
+            // Hubs need to know at once whether the process is ready for callers.
+            _ = table_known.changed() => return Some(WatchOutcome::Superseded),
+            _ = stage.changed() => return Some(WatchOutcome::Superseded),
+            _ = fetch_incomplete.changed() => return Some(WatchOutcome::Superseded),
+            _ = primary.wait_for(|primary| primary.is_none_or(|f| f == address) != was_first) => {
+                return Some(WatchOutcome::Superseded);
             }
-            _ = instances_known.changed() => return Some(Answer::Again),
+            _ = instances_known.changed() => return Some(WatchOutcome::Superseded),
         };
         let reply = self.link.judge(result).ok()?;
-        Some(Answer::Reply(Box::new((asked, reply))))
+        Some(WatchOutcome::Reply(Box::new((asked, reply))))
     }
 
-    fn take(&mut self, asked: &Watch, reply: &WatchReply) {
-        // Before the table that comes with them lets the first request in.
+    fn apply(&mut self, asked: &Watch, reply: &WatchReply) {
+        // Before the first table, which lets requests in.
         if let Some(evacuations) = &reply.evacuations {
             self.core.apply_evacuations(self.address, evacuations);
         }
         self.apply_suspects(reply);
-        self.take_news(reply);
-        let reached = self.progress.answered(asked.news(), reply);
-        self.hubs.reach(reached);
-        self.note(asked, reply);
+        self.apply_instance_updates(reply);
+        let applied_index = self.progress.apply(asked.news(), reply);
+        self.hubs.advance_applied_index(applied_index);
+        self.record_status(asked, reply);
         self.table = reply.table;
-        let held = self.core.routes().table.version;
-        let late = self.begun.elapsed() >= UNCONFIRMED;
-        let trusted = reply.confirmed || reply.recovered || held > 0 || late;
-        if reply.table > held && trusted && self.hubs.begin_fetch() {
+        let current = self.core.routes().table.version;
+        let is_overdue = self.started_at.elapsed() >= UNCONFIRMED_TABLE_DELAY;
+        let trusted = reply.confirmed || reply.recovered || current > 0 || is_overdue;
+        if reply.table > current && trusted && self.hubs.begin_fetch() {
             let (core, hubs) = (Arc::clone(&self.core), Arc::clone(&self.hubs));
             tokio::spawn(fetch(core, hubs, Arc::clone(&self.link), reply.table));
         }
@@ -273,7 +279,7 @@
         let epoch = reply.epoch;
         if self
             .epoch
-            .send_if_modified(|held| std::mem::replace(held, epoch) != epoch)
+            .send_if_modified(|current| std::mem::replace(current, epoch) != epoch)
         {
             self.suspects = 0;
         }
@@ -283,83 +289,91 @@
         }
     }
 
-    /// Takes what the hub tells of instances: all or some of them, and which it hears.
-    fn take_news(&self, reply: &WatchReply) {
-        let rows = if reply.whole.is_empty() {
+    /// Applies the instances and heartbeats of a reply.
+    fn apply_instance_updates(&self, reply: &WatchReply) {
+        let instances = if reply.whole.is_empty() {
             Ok(Vec::new())
         } else {
             registry::unpack(&reply.whole)
         };
-        match rows {
-            Ok(mut rows) => {
-                rows.extend(reply.instances.iter().cloned());
-                self.core.apply_instances(self.address, &rows, &reply.heard);
+        match instances {
+            Ok(mut instances) => {
+                instances.extend(reply.instances.iter().cloned());
+                self.core
+                    .apply_instances(self.address, &instances, &reply.heard);
             }
             Err(err) => {
-                warn!(self.core.log, "bad list of instances"; "hub" => %self.address,
+                warn!(self.core.log, "invalid instance list"; "hub" => %self.address,
                     "error" => %err);
             }
         }
     }
 
-    fn note(&mut self, asked: &Watch, reply: &WatchReply) {
+    fn record_status(&mut self, asked: &Watch, reply: &WatchReply) {
         if reply.group != self.group {
-            let named = reply.hubs.iter().filter_map(|hub| hub.parse().ok());
-            self.named = named.collect();
+            let members = reply.hubs.iter().filter_map(|hub| hub.parse().ok());
+            self.members = members.collect();
             self.group = reply.group;
         }
-        let seen = Seen {
-            answered: Instant::now(),
+        let status = HubStatus {
+            answered_at: Instant::now(),
             near: reply.domain == asked.domain,
             table: reply.table,
-            named: self.named.clone(),
-            entries: reply.entries,
-            wait: Duration::from_millis(asked.wait_ms.into()),
-            missed: false,
+            members: self.members.clone(),
+            entry_count: reply.entries,
+            watch_timeout: Duration::from_millis(asked.wait_ms.into()),
+            failed: false,
         };
-        self.hubs.note(self.address, seen);
-        let entries = self.hubs.entries();
-        if entries > 0 {
-            self.core.set_entry_count(entries);
+        self.hubs.record(self.address, status);
+        let entry_count = self.hubs.entry_count();
+        if entry_count > 0 {
+            self.core.set_entry_count(entry_count);
         }
         if asked.lists {
-            self.take_hosts(asked.list, reply);
+            self.apply_hosts(asked.list, reply);
         }
     }
 
-    fn take_hosts(&self, held: u64, reply: &WatchReply) {
-        let taken = self.hubs.hosts().take(held, reply);
-        match taken {
+    fn apply_hosts(&self, base: u64, reply: &WatchReply) {
+        let hosts = self.hubs.hosts().apply(base, reply);
+        match hosts {
             Ok(Some(hosts)) => self.core.set_hosts(hosts),
             Ok(None) => {}
             Err(err) => {
-                warn!(self.core.log, "bad list of entry hosts"; "hub" => %self.address,
+                warn!(self.core.log, "invalid entry host list"; "hub" => %self.address,
                     "error" => %err);
             }
         }
     }
 }
 
-/// Fetches the newest table that a hub has, of `told` at least.
-async fn fetch(core: Arc<Core>, hubs: Arc<Hubs>, link: Arc<HubLink>, told: u64) {
-    let have = core.routes().table.version;
-    match fetched(&link, have).await {
-        Some(row) if row.version > have => match table::codec::decode(&row.content) {
-            Ok(table) => core.set_table(table),
-            Err(err) => {
-                warn!(core.log, "bad route table"; "version" => row.version, "error" => %err);
+/// Fetches the hub's newest table; `announced_version` is the version that the hub reported.
+async fn fetch(core: Arc<Core>, hubs: Arc<Hubs>, link: Arc<HubLink>, announced_version: u64) {
+    let current_version = core.routes().table.version;
+    match fetch_table(&link, current_version).await {
+        Some(table) if table.version > current_version => {
+            match table::codec::decode(&table.content) {
+                Ok(table) => core.set_table(table),
+                Err(err) => {
+                    warn!(core.log, "invalid route table"; "version" => table.version, "error" => %err);
+                }
             }
-        },
+        }
         Some(_) => {}
         None => {
-            info!(core.log, "route table not fetched"; "hub" => %link.address(), "told" => told);
+            info!(core.log, "failed to fetch route table"; "hub" => %link.address(), "told" => announced_version);
         }
     }
     hubs.end_fetch(core.routes().table.version);
 }
 
-async fn fetched(link: &HubLink, have: u64) -> Option<wire::hub::Table> {
+async fn fetch_table(link: &HubLink, current_version: u64) -> Option<wire::hub::Table> {
     let client = link.client().await.ok()?;
-    let call = client.fetch(within(FETCH_TIMEOUT), Fetch { have });
+    let call = client.fetch(
+        within(FETCH_TIMEOUT),
+        Fetch {
+            have: current_version,
+        },
+    );
     link.judge(call.await).ok()
 }
--- a/crates/entry/src/sync/beacon.rs
+++ b/crates/entry/src/sync/beacon.rs
@@ -1,5 +1,5 @@
-//! Hubs that make themselves known: a process that starts knows the seeds only, and these
-//! may be the last to come back after a loss of everything.
+//! Receives beacons, by which hubs announce themselves. A process that starts knows only the
+//! seeds, which may be the last to return after an outage of the whole system.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,29 +13,29 @@
 use super::hubs::Hubs;
 use crate::core::Core;
 
-/// Longest datagram: the addresses of thirty hubs, within one packet.
-const MOST_BYTES: usize = 1_400;
+/// Maximum size of a beacon: one packet.
+const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// Takes what hubs tell unasked. Never ends.
+/// Adds the hubs from received beacons. Runs forever.
 pub async fn listen(core: Arc<Core>, hubs: Arc<Hubs>, socket: UdpSocket) {
-    let mut bytes = [0; MOST_BYTES];
+    let mut bytes = [0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.recv_from(&mut bytes).await {
             Ok(received) => received,
             Err(err) => {
-                warn!(core.log, "beacon not received"; "error" => %err);
+                warn!(core.log, "failed to receive beacon"; "error" => %err);
                 continue;
             }
         };
         match Beacon::decode(&bytes[..length]) {
             Ok(beacon) => {
-                let named = beacon.hubs.iter().filter_map(|hub| hub.parse().ok());
-                let named: Vec<SocketAddr> = named.collect();
-                if hubs.hint(&named) {
-                    info!(core.log, "hubs by a beacon"; "from" => %from, "named" => named.len());
+                let addresses = beacon.hubs.iter().filter_map(|hub| hub.parse().ok());
+                let addresses: Vec<SocketAddr> = addresses.collect();
+                if hubs.add_hints(&addresses) {
+                    info!(core.log, "hubs by a beacon"; "from" => %from, "named" => addresses.len());
                 }
             }
-            Err(err) => warn!(core.log, "bad beacon"; "from" => %from, "error" => %err),
+            Err(err) => warn!(core.log, "invalid beacon"; "from" => %from, "error" => %err),
         }
     }
 }
--- a/crates/entry/src/sync/hosts.rs
+++ b/crates/entry/src/sync/hosts.rs
@@ -1,35 +1,35 @@
-//! The entry hosts as hubs tell them: whole once, then what changes.
+//! The list of entry hosts, which hubs send as a full list first and then as changes.
 
 use registry::PackError;
 use wire::hub::EntryHost;
 use wire::hub::WatchReply;
 
-/// The list that is held, and its mark at the hubs.
+/// The current list of entry hosts.
 #[derive(Debug, Default)]
 pub struct HostList {
-    mark: u64,
+    list_id: u64,
     hosts: Vec<EntryHost>,
 }
 
 impl HostList {
-    /// The mark of the list that is held; 0 before the first.
+    /// The id that hubs gave to the current list; 0 before the first list.
     #[must_use]
-    pub fn mark(&self) -> u64 {
-        self.mark
+    pub fn list_id(&self) -> u64 {
+        self.list_id
     }
 
-    /// Takes the answer to a watch that named the list `held`; gives all entry hosts if
-    /// they changed. Changes of another list than the one that is held by now are left out.
+    /// Applies the reply to a watch that named the list `base`. Returns all entry hosts if they
+    /// changed. Changes to a list that is no longer the current one are ignored.
     ///
     /// # Errors
     ///
-    /// Fails on a list that can't be unpacked.
-    pub fn take(
+    /// Fails if the list can't be unpacked.
+    pub fn apply(
         &mut self,
-        held: u64,
+        base: u64,
         reply: &WatchReply,
     ) -> Result<Option<Vec<EntryHost>>, PackError> {
-        if reply.list == self.mark || held != self.mark {
+        if reply.list == self.list_id || base != self.list_id {
             return Ok(None);
         }
         if reply.packed.is_empty() {
@@ -39,12 +39,12 @@
             self.hosts = registry::unpack_hosts(&reply.packed)?;
         }
         self.hosts.sort_by(|a, b| a.address.cmp(&b.address));
-        self.mark = reply.list;
+        self.list_id = reply.list;
         Ok(Some(self.hosts.clone()))
     }
 }
 
-/// Whether the answer takes the host off, or names it anew.
+/// Whether the reply removes the host or replaces its entry.
 fn is_replaced(reply: &WatchReply, host: &EntryHost) -> bool {
     reply.lost.contains(&host.address) || reply.hosts.iter().any(|new| new.address == host.address)
 }
--- a/crates/entry/src/sync/hubs.rs
+++ b/crates/entry/src/sync/hubs.rs
@@ -1,9 +1,9 @@
-//! What the hubs last told, and who is asked for what.
+//! The state of all watched hubs, and which hub provides what.
 //!
-//! Each hub is watched, as an acknowledgement of any of them binds. What is long comes
-//! from one hub only: changes of instances and the list of entry hosts from the nearest
-//! that answers, a table from the one that told of it first, all instances from the first
-//! that is reached. All hubs sending everything would fill thin links for seconds.
+//! All hubs are watched, because an acknowledgement by any of them is binding. Bulk data comes
+//! from a single hub, to spare slow links: instance updates and entry hosts from the primary
+//! hub, a table from the hub that reported it first, the first full instance list from the first
+//! hub that is reached.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -22,286 +22,292 @@
 use tokio::time::Instant;
 
 use super::hosts::HostList;
-use super::progress::Part;
+use super::progress::Role;
 
-/// What a hub told counts for so much longer than its watch is held: until that is given
-/// up.
-const RECENT: Duration = Duration::from_millis(800);
-/// How long a hub nearby holds a watch while nothing changes, for each hub that is
-/// watched: renewing them costs processor time for nothing.
-const WAIT_PART: Duration = Duration::from_millis(167);
-/// Shortest and longest of these waits: a hub counts an entry host as lost soon after
-/// one, and callers keep addresses for 5 s.
-const WAITS: [Duration; 2] = [Duration::from_millis(500), Duration::from_secs(1)];
-/// How long the others hold one. Callers here are told of entry hosts by hubs nearby, and
-/// what instances do ends a watch at once; so these find nothing out by its end.
-const FAR_WAIT: Duration = Duration::from_secs(4);
-/// A hub that was asked for all instances has so long to send them before another one
-/// is asked: over the time of 40 KB over a link of 2 Mbit/s.
-const LISTING: Duration = Duration::from_millis(400);
-/// A hub that no other hub names and that doesn't answer is let go after so long.
-const FORGET: Duration = Duration::from_secs(10);
-/// Hubs that are taken from those that make themselves known; twice as many as a group
-/// of the largest size has.
-const MOST_HINTS: usize = 32;
-/// A table that takes longer is fetched from another hub too: over the time in
-/// which 60 KB come over a link of 2.3 Mbit/s.
-const PATIENCE: Duration = Duration::from_millis(400);
+/// How long a hub's status stays valid after the end of its watch.
+const STATUS_MARGIN: Duration = Duration::from_millis(800);
+/// Watch duration per hub, for hubs in the same failure domain: the more hubs, the less often
+/// each watch is renewed.
+const WAIT_PER_HUB: Duration = Duration::from_millis(167);
+/// Minimum and maximum of these durations. A hub considers an entry host lost soon after a watch
+/// was due for renewal, and callers cache addresses for 5 s.
+const WAIT_RANGE: [Duration; 2] = [Duration::from_millis(500), Duration::from_secs(1)];
+/// Watch duration for other hubs. Local hubs report entry hosts, and instance changes end a
+/// watch at once.
+const REMOTE_WAIT: Duration = Duration::from_secs(4);
+/// How long a hub may take to send all instances before another hub is asked.
+const FULL_LIST_TIMEOUT: Duration = Duration::from_millis(400);
+/// A hub that isn't a known member is forgotten after not answering for this long.
+const FORGET_AFTER: Duration = Duration::from_secs(10);
+/// Maximum number of hub addresses accepted from beacons: twice the size of the largest group.
+const MAX_HINTS: usize = 32;
+/// How long a table fetch may take before another hub is asked too.
+const FETCH_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// One hub as last heard.
-pub struct Seen {
-    /// When it last answered.
-    pub answered: Instant,
-    /// It is in this process's failure domain.
+/// The last known status of a hub.
+pub struct HubStatus {
+    /// When the hub last answered.
+    pub answered_at: Instant,
+    /// Whether the hub is in this process's failure domain.
     pub near: bool,
-    /// The version of the newest table that it told of.
+    /// The newest table version that the hub reported.
     pub table: u64,
-    /// The hubs that it named.
-    pub named: Vec<SocketAddr>,
-    /// Entry hosts that share what is shared out among all, as far as it knows.
-    pub entries: u32,
-    /// How long it holds the next watch.
-    pub wait: Duration,
-    /// It has failed to answer since.
-    pub missed: bool,
+    /// The members of the hub group, as reported by the hub.
+    pub members: Vec<SocketAddr>,
+    /// The number of entry hosts known to the hub.
+    pub entry_count: u32,
+    /// The duration of the next watch.
+    pub watch_timeout: Duration,
+    /// Whether the hub has failed to answer since.
+    pub failed: bool,
 }
 
-impl Seen {
+impl HubStatus {
     fn is_recent(&self) -> bool {
-        !self.missed && self.answered.elapsed() < self.wait + RECENT
+        !self.failed && self.answered_at.elapsed() < self.watch_timeout + STATUS_MARGIN
     }
 }
 
-/// All hubs as last heard.
+/// The last known status of all hubs.
 pub struct Hubs {
     domain: DomainName,
-    seen: Mutex<HashMap<SocketAddr, Seen>>,
-    /// When the fetch of a table began that is under way.
+    statuses: Mutex<HashMap<SocketAddr, HubStatus>>,
+    /// When the current table fetch started.
     fetching: Mutex<Option<Instant>>,
-    /// Whether the process holds instances.
+    /// Whether the process knows any instance.
     instances_known: watch::Receiver<bool>,
-    /// Who was asked for all instances, and when, while it holds none.
-    listing: Mutex<Option<(SocketAddr, Instant)>>,
+    /// The hub that was asked for all instances, and when, while the process knows none.
+    full_list: Mutex<Option<(SocketAddr, Instant)>>,
     hosts: Mutex<HostList>,
-    /// Hubs that made themselves known, to be asked while none is live.
+    /// Hub addresses from beacons, used while no hub is live.
     hints: Mutex<BTreeSet<SocketAddr>>,
-    /// All announcements of the log up to this index are held.
-    reached: AtomicU64,
-    /// Spreads the entry processes over the hubs nearby.
-    order: RandomState,
-    /// The hub that tells changes.
-    pub first: watch::Sender<Option<SocketAddr>>,
-    /// Tells that a fetch ended without the newest table.
-    pub stalled: watch::Sender<()>,
-    /// Tells that the hubs named others than before.
-    pub renamed: watch::Sender<()>,
+    /// All announcements up to this log index have been applied.
+    applied_index: AtomicU64,
+    /// Distributes entry processes over the local hubs.
+    hash_seed: RandomState,
+    /// The hub that provides instance updates and entry hosts.
+    pub primary: watch::Sender<Option<SocketAddr>>,
+    /// Signals that a fetch ended without the newest table.
+    pub fetch_incomplete: watch::Sender<()>,
+    /// Signals that the known members of the hub group changed.
+    pub members_changed: watch::Sender<()>,
 }
 
 impl Hubs {
-    /// None heard yet, for a process in `domain`; `stocked` tells whether it holds instances.
+    /// Creates the state for a process in `domain`; `instances_known` tells whether the process
+    /// knows any instance.
     #[must_use]
     pub fn new(domain: DomainName, instances_known: watch::Receiver<bool>) -> Self {
         Self {
             domain,
             instances_known,
-            seen: Mutex::default(),
+            statuses: Mutex::default(),
             fetching: Mutex::default(),
-            listing: Mutex::default(),
+            full_list: Mutex::default(),
             hosts: Mutex::default(),
             hints: Mutex::default(),
-            reached: AtomicU64::new(0),
-            first: watch::Sender::new(None),
-            order: RandomState::new(),
-            stalled: watch::Sender::new(()),
-            renamed: watch::Sender::new(()),
+            applied_index: AtomicU64::new(0),
+            primary: watch::Sender::new(None),
+            hash_seed: RandomState::new(),
+            fetch_incomplete: watch::Sender::new(()),
+            members_changed: watch::Sender::new(()),
         }
     }
 
-    /// The hubs that any live hub names; the seeds besides while none is live.
+    /// The hubs to watch: all members named by live hubs, and also the seeds and hints if these
+    /// are fewer than the seeds.
     #[must_use]
-    pub fn wanted(&self, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
-        let mut hubs = self.seen();
-        hubs.retain(|_, seen| seen.answered.elapsed() < FORGET);
-        let named = hubs.values().flat_map(|seen| seen.named.iter().copied());
-        let mut wanted: Vec<SocketAddr> = named.chain(hubs.keys().copied()).collect();
-        if wanted.len() < seeds.len() {
-            wanted.extend(seeds);
-            wanted.extend(self.hints().iter());
+    pub fn targets(&self, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
+        let mut hubs = self.statuses();
+        hubs.retain(|_, status| status.answered_at.elapsed() < FORGET_AFTER);
+        let members = hubs
+            .values()
+            .flat_map(|status| status.members.iter().copied());
+        let mut targets: Vec<SocketAddr> = members.chain(hubs.keys().copied()).collect();
+        if targets.len() < seeds.len() {
+            targets.extend(seeds);
+            targets.extend(self.hints().iter());
         }
-        wanted.sort_unstable();
-        wanted.dedup();
-        wanted
+        targets.sort_unstable();
+        targets.dedup();
+        targets
     }
 
-    /// Takes the addresses of hubs that one of them told unasked.
+    /// Adds hub addresses from a beacon.
     ///
-    /// Gives whether any of them is new.
-    pub fn hint(&self, addresses: &[SocketAddr]) -> bool {
+    /// Returns whether any of them is new.
+    pub fn add_hints(&self, addresses: &[SocketAddr]) -> bool {
         let mut hints = self.hints();
         let before = hints.len();
-        hints.extend(addresses.iter().take(MOST_HINTS.saturating_sub(before)));
+        hints.extend(addresses.iter().take(MAX_HINTS.saturating_sub(before)));
         let more = hints.len() > before;
         if more {
-            self.renamed.send_replace(());
+            self.members_changed.send_replace(());
         }
         more
     }
 
-    /// The hubs that answered within the time after which one is let go.
+    /// The hubs that answered within [`FORGET_AFTER`].
     #[must_use]
     pub fn live(&self) -> BTreeSet<SocketAddr> {
-        let hubs = self.seen();
+        let hubs = self.statuses();
         let live = hubs
             .iter()
-            .filter(|(_, seen)| seen.answered.elapsed() < FORGET);
+            .filter(|(_, status)| status.answered_at.elapsed() < FORGET_AFTER);
         live.map(|(address, _)| *address).collect()
     }
 
-    /// How long the hub at `address` holds a watch while nothing changes.
+    /// How long the hub at `address` should hold a watch while nothing changes.
     #[must_use]
-    pub fn wait(&self, address: SocketAddr) -> Duration {
+    pub fn watch_timeout(&self, address: SocketAddr) -> Duration {
         if !*self.instances_known.borrow() {
-            return LISTING;
+            return FULL_LIST_TIMEOUT;
         }
-        let hubs = self.seen();
-        let near = hubs.get(&address).is_none_or(|seen| seen.near);
-        if !near && *self.first.borrow() != Some(address) {
-            return FAR_WAIT;
+        let hubs = self.statuses();
+        let near = hubs.get(&address).is_none_or(|status| status.near);
+        if !near && *self.primary.borrow() != Some(address) {
+            return REMOTE_WAIT;
         }
         let count = u32::try_from(hubs.len()).unwrap_or(u32::MAX);
-        let [least, most] = WAITS;
-        WAIT_PART.saturating_mul(count).clamp(least, most)
+        let [min, max] = WAIT_RANGE;
+        WAIT_PER_HUB.saturating_mul(count).clamp(min, max)
     }
 
-    /// Whether the hub at `address` is the one that tells changes and entry hosts; true
-    /// while none has answered.
+    /// Whether the hub at `address` is the primary; true for all hubs while there is none.
     #[must_use]
-    pub fn is_first(&self, address: SocketAddr) -> bool {
-        let first = *self.first.borrow();
-        first.is_none_or(|first| first == address)
+    pub fn is_primary(&self, address: SocketAddr) -> bool {
+        let primary = *self.primary.borrow();
+        primary.is_none_or(|primary| primary == address)
     }
 
-    /// What the hub at `address` is asked for now. While the process holds no instance,
-    /// one hub at a time is asked for all of them.
+    /// The current role of the hub at `address`. While the process knows no instance, one hub at
+    /// a time is asked for the full list.
     #[must_use]
-    pub fn part(&self, address: SocketAddr) -> Part {
+    pub fn role(&self, address: SocketAddr) -> Role {
         if *self.instances_known.borrow() {
-            return if self.is_first(address) {
-                Part::First
+            return if self.is_primary(address) {
+                Role::Primary
             } else {
-                Part::Other
+                Role::Secondary
             };
         }
-        let mut listing = self.listing();
-        let taken = |(other, at): (SocketAddr, Instant)| other != address && at.elapsed() < LISTING;
-        if listing.is_some_and(taken) {
-            return Part::Waits;
+        let mut full_list = self.full_list();
+        let is_pending = |(other, at): (SocketAddr, Instant)| {
+            other != address && at.elapsed() < FULL_LIST_TIMEOUT
+        };
+        if full_list.is_some_and(is_pending) {
+            return Role::Idle;
         }
-        *listing = Some((address, Instant::now()));
-        Part::Lists
+        *full_list = Some((address, Instant::now()));
+        Role::FullList
     }
 
-    /// The log's index up to which all announcements are held.
+    /// The log index up to which all announcements have been applied.
     #[must_use]
-    pub fn reached(&self) -> u64 {
-        self.reached.load(Ordering::Relaxed)
+    pub fn applied_index(&self) -> u64 {
+        self.applied_index.load(Ordering::Relaxed)
     }
 
-    /// Notes that all announcements of the log up to `index` are held.
-    pub fn reach(&self, index: u64) {
-        self.reached.fetch_max(index, Ordering::Relaxed);
+    /// Records that all announcements up to log index `index` have been applied.
+    pub fn advance_applied_index(&self, index: u64) {
+        self.applied_index.fetch_max(index, Ordering::Relaxed);
     }
 
-    /// Takes what a hub told.
-    pub fn note(&self, address: SocketAddr, seen: Seen) {
-        let named = seen.named.clone();
-        let before = self.seen().insert(address, seen);
-        if before.is_none_or(|before| before.named != named) {
-            self.renamed.send_replace(());
+    /// Records a hub's status.
+    pub fn record(&self, address: SocketAddr, status: HubStatus) {
+        let members = status.members.clone();
+        let before = self.statuses().insert(address, status);
+        if before.is_none_or(|before| before.members != members) {
+            self.members_changed.send_replace(());
         }
-        self.rank();
+        self.select_primary();
     }
 
-    /// Notes that the hub at `address` didn't answer: another one is asked in its place.
-    pub fn missed(&self, address: SocketAddr) {
-        self.listing().take_if(|(asked, _)| *asked == address);
-        if let Some(seen) = self.seen().get_mut(&address) {
-            seen.missed = true;
+    /// Records that the hub at `address` failed to answer, so that another takes its place.
+    pub fn record_failure(&self, address: SocketAddr) {
+        self.full_list().take_if(|(asked, _)| *asked == address);
+        if let Some(status) = self.statuses().get_mut(&address) {
+            status.failed = true;
         }
-        self.rank();
+        self.select_primary();
     }
 
-    /// Names the first hub again: the nearest that answers. Where there is none nearby,
-    /// all processes of a failure domain name the same one, so that it knows them all.
-    pub fn rank(&self) {
-        let rank = |(address, seen): &(&SocketAddr, &Seen)| {
-            let order = if seen.near {
-                self.order.hash_one(address)
+    /// Selects the primary hub: a local hub that answers, or else the one that all processes of
+    /// the failure domain select, so that it knows all of them.
+    pub fn select_primary(&self) {
+        let preference = |(address, status): &(&SocketAddr, &HubStatus)| {
+            let hash_seed = if status.near {
+                self.hash_seed.hash_one(address)
             } else {
                 place::score(self.domain.as_str(), &address.to_string())
             };
-            (!seen.near, order)
+            (!status.near, hash_seed)
         };
-        let first = {
-            let hubs = self.seen();
-            let recent = hubs.iter().filter(|(_, seen)| seen.is_recent());
-            recent.min_by_key(rank).map(|(first, _)| *first)
+        let primary = {
+            let hubs = self.statuses();
+            let recent = hubs.iter().filter(|(_, status)| status.is_recent());
+            recent.min_by_key(preference).map(|(primary, _)| *primary)
         };
-        self.first
-            .send_if_modified(|held| std::mem::replace(held, first) != first);
+        self.primary
+            .send_if_modified(|current| std::mem::replace(current, primary) != primary);
     }
 
-    /// Entry hosts that share what is shared out among all: the most that a hub knows.
-    /// One that has just started knows few, and as few would spend what is for all.
+    /// The number of entry hosts that share budgets: the maximum over the hubs, as a hub that
+    /// has just started knows only a few.
     #[must_use]
-    pub fn entries(&self) -> u32 {
-        let hubs = self.seen();
-        let recent = hubs.values().filter(|seen| seen.is_recent());
-        recent.map(|seen| seen.entries).max().unwrap_or_default()
+    pub fn entry_count(&self) -> u32 {
+        let hubs = self.statuses();
+        let recent = hubs.values().filter(|status| status.is_recent());
+        recent
+            .map(|status| status.entry_count)
+            .max()
+            .unwrap_or_default()
     }
 
-    /// The entry hosts, as they were last told.
+    /// The list of entry hosts.
     pub fn hosts(&self) -> MutexGuard<'_, HostList> {
         self.hosts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a table is being fetched that may still come soon.
+    /// Whether a table is being fetched and the fetch isn't overdue.
     #[must_use]
     pub fn is_fetching(&self) -> bool {
         let fetching = *self.fetching();
-        fetching.is_some_and(|began| began.elapsed() < PATIENCE)
+        fetching.is_some_and(|started_at| started_at.elapsed() < FETCH_RETRY_AFTER)
     }
 
-    /// Begins a fetch, unless one is under way.
+    /// Starts a fetch unless one is in progress. Returns whether it was started.
     pub fn begin_fetch(&self) -> bool {
         let mut fetching = self.fetching();
-        let free = fetching.is_none_or(|began| began.elapsed() >= PATIENCE);
+        let free = fetching.is_none_or(|started_at| started_at.elapsed() >= FETCH_RETRY_AFTER);
         if free {
             *fetching = Some(Instant::now());
         }
         free
     }
 
-    /// Ends a fetch, after which `held` is held. Who was told of a newer one meanwhile
-    /// asks again.
-    pub fn end_fetch(&self, held: u64) {
+    /// Ends a fetch after which the process has table version `current`. If a newer one was
+    /// reported meanwhile, the watches are renewed.
+    pub fn end_fetch(&self, current: u64) {
         *self.fetching() = None;
-        let told = self.seen().values().map(|seen| seen.table).max();
-        if told > Some(held) {
-            self.stalled.send_replace(());
+        let newest = self.statuses().values().map(|status| status.table).max();
+        if newest > Some(current) {
+            self.fetch_incomplete.send_replace(());
         }
     }
 
-    fn seen(&self) -> MutexGuard<'_, HashMap<SocketAddr, Seen>> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn statuses(&self) -> MutexGuard<'_, HashMap<SocketAddr, HubStatus>> {
+        self.statuses.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn fetching(&self) -> MutexGuard<'_, Option<Instant>> {
         self.fetching.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn listing(&self) -> MutexGuard<'_, Option<(SocketAddr, Instant)>> {
-        self.listing.lock().unwrap_or_else(PoisonError::into_inner)
+    fn full_list(&self) -> MutexGuard<'_, Option<(SocketAddr, Instant)>> {
+        self.full_list
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn hints(&self) -> MutexGuard<'_, BTreeSet<SocketAddr>> {
--- a/crates/entry/src/sync/progress.rs
+++ b/crates/entry/src/sync/progress.rs
@@ -1,110 +1,111 @@
-//! What one hub has told of instances, and what it is asked for next.
+//! What a hub has reported about instances, and what to request from it next.
 //!
-//! One hub tells every change at once. Of the others it is enough to know how far in the
-//! log they are, and a digest: these show when one of them knows of something that the
-//! first doesn't tell, as its path is cut or it is behind, and then just the rows that may
-//! differ are asked for. A hub acknowledges that an instance leaves once the log has it, so
-//! whichever hub did, the process learns of it.
+//! The primary hub sends every change. The others send a log index and a digest, which show when
+//! one of them has announcements that the primary doesn't deliver, because it is behind or cut
+//! off. Only then are the instances that may differ requested. A hub acknowledges that an
+//! instance is leaving once the log has it, so the process learns of it whichever hub
+//! acknowledged it.
 //!
-//! Why a hub that is no further in the log than what was taken needs no look, whatever its
-//! digest: instances only ever move forward, so what is held is at least what the log says
-//! up to there. What a hub has heard beyond its log is in the log of all soon. With digests
-//! alone ten hubs that are told of 900 instances within seconds all differ all the time:
-//! 449 processes compared rows 6,000 times a second, and the hubs had no time for the log.
+//! A hub whose log index has already been applied needs no comparison, whatever its digest:
+//! instances only move forward, so the local state is at least as new as the log up to that
+//! index. Comparing digests alone would make hubs that receive many announcements at once differ
+//! all the time, and overload them with comparisons.
 
 use registry::Digest;
 use wire::hub::News;
 use wire::hub::WatchReply;
 
-/// Which part a hub has now.
+/// The role of a hub.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
-    /// It tells every change.
-    First,
-    /// It tells a digest.
-    Other,
-    /// It sends all instances to a process that has none.
-    Lists,
-    /// Another hub does so now.
-    Waits,
+pub enum Role {
+    /// Sends every change.
+    Primary,
+    /// Sends a digest.
+    Secondary,
+    /// Sends all instances to a process that knows none.
+    FullList,
+    /// Sends nothing while another hub sends all instances.
+    Idle,
 }
 
-/// What a hub is asked for of instances.
+/// The part of a watch request that concerns instances.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Question {
-    /// What it is to tell.
+pub struct WatchQuery {
+    /// What the hub should send.
     pub news: News,
-    /// Of the hub's last answer.
+    /// The epoch of the hub's last reply.
     pub epoch: u64,
-    /// The number of the last change that it told.
+    /// The number of the last change that the hub sent.
     pub cursor: u64,
-    /// Of the instances held, if all that differ are wanted.
+    /// The digest of the local instances, if the hub should send all that differ.
     pub buckets: Vec<u64>,
 }
 
-/// How far a hub's news were taken.
+/// How far a hub's changes have been applied.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
     epoch: u64,
     cursor: u64,
-    /// Every change up to the cursor was told, not only digests.
-    whole: bool,
-    /// The hub's digest, as last told.
+    /// Whether every change up to the cursor was received, rather than only digests.
+    complete: bool,
+    /// The hub's last digest.
     digest: Option<u64>,
-    /// The log's index up to which it knows announcements.
+    /// The log index up to which the hub has applied announcements.
     announced: u64,
 }
 
 impl Progress {
-    /// What to ask next; `held` is the digest of the instances that are held, which have
-    /// all announcements of the log up to `reached`.
+    /// The next query; `local` is the digest of the local instances, which include all
+    /// announcements up to log index `applied_index`.
     #[must_use]
-    pub fn next(&self, part: Part, held: &Digest, reached: u64) -> Question {
-        let (news, compare) = match part {
-            Part::Waits => (News::None, false),
-            Part::Lists => (News::Changes, false),
-            Part::First => (News::Changes, !self.whole),
-            Part::Other => (News::Digest, self.is_ahead(held, reached)),
+    pub fn next_query(&self, role: Role, local: &Digest, applied_index: u64) -> WatchQuery {
+        let (news, include_buckets) = match role {
+            Role::Idle => (News::None, false),
+            Role::FullList => (News::Changes, false),
+            Role::Primary => (News::Changes, !self.complete),
+            Role::Secondary => (News::Digest, self.is_ahead(local, applied_index)),
         };
-        // A process that holds nothing asks for all of them.
-        let cursor = if part == Part::Lists && !self.whole {
+        // A process without instances requests all of them.
+        let cursor = if role == Role::FullList && !self.complete {
             0
         } else {
             self.cursor
         };
-        Question {
+        WatchQuery {
             news,
             epoch: self.epoch,
             cursor,
-            buckets: if compare {
-                held.buckets().to_vec()
+            buckets: if include_buckets {
+                local.buckets().to_vec()
             } else {
                 Vec::new()
             },
         }
     }
 
-    /// Whether the hub knows of announcements in the log that may not be held.
-    fn is_ahead(&self, held: &Digest, reached: u64) -> bool {
-        self.announced > reached && self.digest.is_some_and(|told| told != held.total())
+    /// Whether the hub may have announcements from the log that the process lacks.
+    fn is_ahead(&self, local: &Digest, applied_index: u64) -> bool {
+        self.announced > applied_index && self.digest.is_some_and(|digest| digest != local.total())
     }
 
-    /// Takes an answer to what asked for `news`; gives the log's index up to which all
-    /// announcements are held with it.
-    pub fn answered(&mut self, news: News, reply: &WatchReply) -> u64 {
-        let same = reply.epoch == self.epoch;
-        let told = match news {
-            News::Changes | News::Unspecified => !reply.whole.is_empty() || (same && self.whole),
+    /// Applies a reply to a query for `news`. Returns the log index up to which all
+    /// announcements are included in the replies so far, or 0 if that isn't known.
+    pub fn apply(&mut self, news: News, reply: &WatchReply) -> u64 {
+        let same_epoch = reply.epoch == self.epoch;
+        let complete = match news {
+            News::Changes | News::Unspecified => {
+                !reply.whole.is_empty() || (same_epoch && self.complete)
+            }
             News::Digest => false,
-            // Nothing was told that a later answer needn't tell again.
+            // The reply contains no changes, so the cursor must not advance.
             News::None => return 0,
         };
-        self.whole = told;
+        self.complete = complete;
         self.epoch = reply.epoch;
         self.cursor = reply.cursor;
         self.digest = Some(reply.digest);
         self.announced = reply.announced;
-        if told || !reply.whole.is_empty() {
+        if complete || !reply.whole.is_empty() {
             reply.announced
         } else {
             0
--- a/crates/entry/src/sync/report.rs
+++ b/crates/entry/src/sync/report.rs
@@ -1,7 +1,7 @@
-//! Tells one hub of instances that crashed under requests.
+//! Reports crashed instances to a hub.
 //!
-//! Every hub is told, and counts for itself: whichever of them is lost, the others know which
-//! requests are to be refused. One that starts anew is told everything again.
+//! Every hub receives all reports and counts for itself, so that the loss of some hubs doesn't
+//! lift a quarantine. A hub that restarts receives everything again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,24 +14,25 @@
 
 use crate::core::Core;
 
-/// Longest wait for a hub's answer to a report.
-const TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a report that failed.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Timeout for a report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay after a failed report.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Never ends; `epochs` names the hub's process, 0 while none has answered.
+/// Reports events as they occur; `epochs` is the epoch of the hub's process, 0 until it has
+/// answered. Runs forever.
 pub async fn run(core: Arc<Core>, link: Arc<HubLink>, mut epochs: watch::Receiver<u64>) {
     let mut events = core.newest_event.subscribe();
-    let (mut told, mut known) = (0, 0);
-    let mut lost = false;
+    let (mut acknowledged, mut known_epoch) = (0, 0);
+    let mut is_failing = false;
     loop {
         events.mark_unchanged();
         let epoch = *epochs.borrow_and_update();
-        let new = epoch != known;
-        if new {
-            told = 0;
+        let is_new_process = epoch != known_epoch;
+        if is_new_process {
+            acknowledged = 0;
         }
-        let (report, newest) = core.crash_report(told, new);
+        let (report, newest) = core.crash_report(acknowledged, is_new_process);
         if epoch == 0 || is_empty(&report) {
             tokio::select! {
                 _ = events.changed() => {}
@@ -41,20 +42,20 @@
         }
         let sent = send(&core, &link, report).await;
         if sent {
-            (told, known) = (newest, epoch);
-            core.acknowledged_event.send_if_modified(|held| {
-                let more = newest > *held;
-                *held = newest.max(*held);
-                more
+            (acknowledged, known_epoch) = (newest, epoch);
+            core.acknowledged_event.send_if_modified(|current| {
+                let is_newer = newest > *current;
+                *current = newest.max(*current);
+                is_newer
             });
         }
-        if lost == sent {
-            lost = !sent;
+        if is_failing == sent {
+            is_failing = !sent;
             let outcome = if sent { "taken" } else { "failed" };
             info!(core.log, "report of crashes"; "hub" => %link.address(), "outcome" => outcome);
         }
         if !sent {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
@@ -63,12 +64,12 @@
     report.crashes.is_empty() && report.answered.is_empty() && report.refused.is_empty()
 }
 
-/// Whether the hub has taken it.
+/// Sends a report. Returns whether the hub accepted it.
 async fn send(core: &Core, link: &HubLink, report: Report) -> bool {
     let Ok(client) = link.client().await else {
         return false;
     };
-    match link.judge(client.report(within(TIMEOUT), report).await) {
+    match link.judge(client.report(within(REPORT_TIMEOUT), report).await) {
         Ok(suspects) => {
             core.apply_suspects(link.address(), &suspects);
             true
--- a/crates/entry/tests/test_hubs.rs
+++ b/crates/entry/tests/test_hubs.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use base::prelude::*;
+use entry::sync::hubs::HubStatus;
 use entry::sync::hubs::Hubs;
-use entry::sync::hubs::Seen;
-use entry::sync::progress::Part;
+use entry::sync::progress::Role;
 use tokio::sync::watch;
 use tokio::time::Instant;
 use tokio::time::advance;
@@ -28,15 +28,15 @@
     hubs_of().0
 }
 
-fn seen(near: bool, table: u64) -> Seen {
-    Seen {
-        answered: Instant::now(),
+fn status(near: bool, table: u64) -> HubStatus {
+    HubStatus {
+        answered_at: Instant::now(),
         near,
         table,
-        named: vec![hub(1), hub(2)],
-        entries: 3,
-        wait: Duration::from_secs(1),
-        missed: false,
+        members: vec![hub(1), hub(2)],
+        entry_count: 3,
+        watch_timeout: Duration::from_secs(1),
+        failed: false,
     }
 }
 
@@ -60,7 +60,7 @@
 /// The entry hosts after an answer to a watch that named the list `held`; none if nothing
 /// changed.
 fn take(hubs: &Hubs, held: u64, reply: &WatchReply) -> Option<Vec<String>> {
-    let taken = hubs.hosts().take(held, reply).expect("a list");
+    let taken = hubs.hosts().apply(held, reply).expect("a list");
     let hosts = taken?.into_iter();
     Some(hosts.map(|host| host.address).collect())
 }
@@ -73,62 +73,62 @@
 async fn test_hubs_nearest_that_answers_is_asked_for_entry_hosts() {
     let hubs = hubs();
     // Before any has answered, each is.
-    assert!(hubs.is_first(hub(1)) && hubs.is_first(hub(2)));
-    hubs.note(hub(1), seen(false, 0));
-    hubs.note(hub(2), seen(true, 0));
-    assert!(!hubs.is_first(hub(1)) && hubs.is_first(hub(2)));
+    assert!(hubs.is_primary(hub(1)) && hubs.is_primary(hub(2)));
+    hubs.record(hub(1), status(false, 0));
+    hubs.record(hub(2), status(true, 0));
+    assert!(!hubs.is_primary(hub(1)) && hubs.is_primary(hub(2)));
     assert_eq!(take(&hubs, 0, &list(7, &["a:1"])), Some(named(&["a:1"])));
     // The near one falls silent; what it told no longer counts.
     advance(Duration::from_secs(2)).await;
-    hubs.note(hub(1), seen(false, 0));
-    assert!(hubs.is_first(hub(1)) && !hubs.is_first(hub(2)));
+    hubs.record(hub(1), status(false, 0));
+    assert!(hubs.is_primary(hub(1)) && !hubs.is_primary(hub(2)));
     assert_eq!(take(&hubs, 7, &list(8, &["b:1"])), Some(named(&["b:1"])));
 }
 
 #[tokio::test(start_paused = true)]
 async fn test_hubs_one_that_fails_to_answer_is_replaced_at_once() {
     let hubs = hubs();
-    hubs.note(hub(1), seen(false, 0));
-    hubs.note(hub(2), seen(true, 0));
-    let mut first = hubs.first.subscribe();
-    hubs.missed(hub(2));
-    assert!(first.has_changed().expect("the hubs live"));
-    assert_eq!(*first.borrow_and_update(), Some(hub(1)));
-    hubs.note(hub(2), seen(true, 0));
-    assert_eq!(*first.borrow_and_update(), Some(hub(2)));
+    hubs.record(hub(1), status(false, 0));
+    hubs.record(hub(2), status(true, 0));
+    let mut primary = hubs.primary.subscribe();
+    hubs.record_failure(hub(2));
+    assert!(primary.has_changed().expect("the hubs live"));
+    assert_eq!(*primary.borrow_and_update(), Some(hub(1)));
+    hubs.record(hub(2), status(true, 0));
+    assert_eq!(*primary.borrow_and_update(), Some(hub(2)));
 }
 
 /// Processes of one failure domain without a hub of its own go to the same one.
 #[tokio::test(start_paused = true)]
 async fn test_hubs_elsewhere_are_ranked_alike_in_a_domain() {
-    let first = || {
+    let primary = || {
         let hubs = hubs();
         for last in 1..=7 {
-            hubs.note(hub(last), seen(false, 0));
+            hubs.record(hub(last), status(false, 0));
         }
-        let first = *hubs.first.borrow();
-        first.expect("one is first")
+        let primary = *hubs.primary.borrow();
+        primary.expect("one is first")
     };
-    let one = first();
-    assert!((0..20).all(|_| first() == one));
+    let one = primary();
+    assert!((0..20).all(|_| primary() == one));
 }
 
 #[tokio::test(start_paused = true)]
 async fn test_hubs_one_at_a_time_is_asked_for_all_instances() {
     let (hubs, instances_known) = hubs_of();
-    assert_eq!(hubs.part(hub(1)), Part::Lists);
-    assert_eq!(hubs.part(hub(2)), Part::Waits);
-    assert_eq!(hubs.part(hub(1)), Part::Lists);
+    assert_eq!(hubs.role(hub(1)), Role::FullList);
+    assert_eq!(hubs.role(hub(2)), Role::Idle);
+    assert_eq!(hubs.role(hub(1)), Role::FullList);
     // It is slow or gone.
     advance(Duration::from_millis(400)).await;
-    assert_eq!(hubs.part(hub(2)), Part::Lists);
-    assert_eq!(hubs.part(hub(1)), Part::Waits);
-    hubs.missed(hub(2));
-    assert_eq!(hubs.part(hub(3)), Part::Lists);
-    hubs.note(hub(3), seen(true, 0));
+    assert_eq!(hubs.role(hub(2)), Role::FullList);
+    assert_eq!(hubs.role(hub(1)), Role::Idle);
+    hubs.record_failure(hub(2));
+    assert_eq!(hubs.role(hub(3)), Role::FullList);
+    hubs.record(hub(3), status(true, 0));
     instances_known.send_replace(true);
-    assert_eq!(hubs.part(hub(3)), Part::First);
-    assert_eq!(hubs.part(hub(1)), Part::Other);
+    assert_eq!(hubs.role(hub(3)), Role::Primary);
+    assert_eq!(hubs.role(hub(1)), Role::Secondary);
 }
 
 #[tokio::test(start_paused = true)]
@@ -146,78 +146,78 @@
     assert_eq!(take(&hubs, 8, &change), None);
     let other = WatchReply { list: 9, ..change };
     assert_eq!(take(&hubs, 7, &other), None);
-    assert_eq!(hubs.hosts().mark(), 8);
+    assert_eq!(hubs.hosts().list_id(), 8);
     // One that is damaged changes nothing.
     let damaged = WatchReply {
         packed: "other".into(),
         ..other
     };
-    assert!(hubs.hosts().take(8, &damaged).is_err());
-    assert_eq!(hubs.hosts().mark(), 8);
+    assert!(hubs.hosts().apply(8, &damaged).is_err());
+    assert_eq!(hubs.hosts().list_id(), 8);
 }
 
 /// A hub that has just started knows few entry hosts: budgets are for all of them.
 #[tokio::test(start_paused = true)]
 async fn test_hubs_most_entry_hosts_share_what_is_shared_out() {
     let hubs = hubs();
-    hubs.note(hub(1), seen(true, 0));
-    let young = Seen {
-        entries: 1,
-        ..seen(true, 0)
+    hubs.record(hub(1), status(true, 0));
+    let young = HubStatus {
+        entry_count: 1,
+        ..status(true, 0)
     };
-    hubs.note(hub(2), young);
-    assert_eq!(hubs.entries(), 3);
+    hubs.record(hub(2), young);
+    assert_eq!(hubs.entry_count(), 3);
 }
 
 #[tokio::test(start_paused = true)]
 async fn test_hubs_one_table_is_fetched_at_a_time() {
     let hubs = hubs();
-    let mut stalled = hubs.stalled.subscribe();
-    hubs.note(hub(1), seen(true, 7));
+    let mut fetch_incomplete = hubs.fetch_incomplete.subscribe();
+    hubs.record(hub(1), status(true, 7));
     assert!(hubs.begin_fetch());
     assert!(!hubs.begin_fetch() && hubs.is_fetching());
     // A slow one doesn't keep others from trying.
     advance(Duration::from_millis(400)).await;
     assert!(!hubs.is_fetching() && hubs.begin_fetch());
     hubs.end_fetch(7);
-    assert!(!stalled.has_changed().expect("the hubs live"));
+    assert!(!fetch_incomplete.has_changed().expect("the hubs live"));
     // A newer one was told of while an older one came.
     assert!(hubs.begin_fetch());
-    hubs.note(hub(2), seen(false, 8));
+    hubs.record(hub(2), status(false, 8));
     hubs.end_fetch(7);
-    assert!(stalled.has_changed().expect("the hubs live"));
-    stalled.mark_unchanged();
+    assert!(fetch_incomplete.has_changed().expect("the hubs live"));
+    fetch_incomplete.mark_unchanged();
 }
 
 #[tokio::test(start_paused = true)]
 async fn test_hubs_wanted_are_those_that_live_ones_name() {
     let hubs = hubs();
     let seeds = [hub(8), hub(9)];
-    assert_eq!(hubs.wanted(&seeds), seeds);
-    hubs.note(hub(1), seen(true, 0));
-    assert_eq!(hubs.wanted(&seeds), [hub(1), hub(2)]);
+    assert_eq!(hubs.targets(&seeds), seeds);
+    hubs.record(hub(1), status(true, 0));
+    assert_eq!(hubs.targets(&seeds), [hub(1), hub(2)]);
     advance(Duration::from_secs(10)).await;
-    assert_eq!(hubs.wanted(&seeds), seeds);
+    assert_eq!(hubs.targets(&seeds), seeds);
 }
 
 /// Hubs that make themselves known are asked beside the seeds, until others are live.
 #[tokio::test(start_paused = true)]
 async fn test_hubs_hints_are_wanted_while_none_is_live() {
     let hubs = hubs();
-    let mut renamed = hubs.renamed.subscribe();
-    assert!(hubs.hint(&[hub(3), hub(9)]));
-    assert!(renamed.has_changed().expect("the hubs live"));
-    renamed.mark_unchanged();
-    assert!(!hubs.hint(&[hub(3)]));
-    assert!(!renamed.has_changed().expect("the hubs live"));
+    let mut members_changed = hubs.members_changed.subscribe();
+    assert!(hubs.add_hints(&[hub(3), hub(9)]));
+    assert!(members_changed.has_changed().expect("the hubs live"));
+    members_changed.mark_unchanged();
+    assert!(!hubs.add_hints(&[hub(3)]));
+    assert!(!members_changed.has_changed().expect("the hubs live"));
     let seeds = [hub(8), hub(9)];
-    assert_eq!(hubs.wanted(&seeds), [hub(3), hub(8), hub(9)]);
-    hubs.note(hub(1), seen(true, 0));
-    assert_eq!(hubs.wanted(&seeds), [hub(1), hub(2)]);
+    assert_eq!(hubs.targets(&seeds), [hub(3), hub(8), hub(9)]);
+    hubs.record(hub(1), status(true, 0));
+    assert_eq!(hubs.targets(&seeds), [hub(1), hub(2)]);
     let many: Vec<SocketAddr> = (10..100).map(hub).collect();
-    hubs.hint(&many);
+    hubs.add_hints(&many);
     advance(Duration::from_secs(10)).await;
-    assert!(hubs.wanted(&seeds).len() <= 34);
+    assert!(hubs.targets(&seeds).len() <= 34);
 }
 
 #[tokio::test(start_paused = true)]
@@ -226,11 +226,11 @@
     instances_known.send_replace(true);
     let mut waits = Vec::new();
     for last in 1..=9 {
-        hubs.note(hub(last), seen(true, 0));
-        waits.push(hubs.wait(hub(last)).as_millis());
+        hubs.record(hub(last), status(true, 0));
+        waits.push(hubs.watch_timeout(hub(last)).as_millis());
     }
     assert_eq!(waits, [500, 500, 501, 668, 835, 1000, 1000, 1000, 1000]);
     // One elsewhere tells nothing by the end of a watch.
-    hubs.note(hub(10), seen(false, 0));
-    assert_eq!(hubs.wait(hub(10)).as_millis(), 4_000);
+    hubs.record(hub(10), status(false, 0));
+    assert_eq!(hubs.watch_timeout(hub(10)).as_millis(), 4_000);
 }
--- a/crates/entry/tests/test_progress.rs
+++ b/crates/entry/tests/test_progress.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 
 use base::prelude::*;
-use entry::sync::progress::Part;
 use entry::sync::progress::Progress;
-use entry::sync::progress::Question;
+use entry::sync::progress::Role;
+use entry::sync::progress::WatchQuery;
 use entry::view::Instances;
 use quickcheck::quickcheck;
 use registry::Registry;
@@ -53,7 +53,7 @@
         self.applied = index;
     }
 
-    fn answer(&self, asked: &Question) -> WatchReply {
+    fn answer(&self, asked: &WatchQuery) -> WatchReply {
         let cursor = if asked.epoch == self.epoch {
             asked.cursor
         } else {
@@ -94,8 +94,8 @@
     hubs: Vec<FakeHub>,
     progress: Vec<Progress>,
     instances: Instances,
-    reached: u64,
-    first: u8,
+    applied_index: u64,
+    primary: u8,
 }
 
 impl World {
@@ -109,20 +109,20 @@
             hubs: (1..=u64::from(HUBS)).map(hub).collect(),
             progress: (0..HUBS).map(|_| Progress::default()).collect(),
             instances: Instances::default(),
-            reached: 0,
-            first: 0,
+            applied_index: 0,
+            primary: 0,
         }
     }
 
     fn watch(&mut self, hub: u8) {
-        let part = match (self.instances.is_empty(), hub == self.first) {
-            (true, true) => Part::Lists,
-            (true, false) => Part::Waits,
-            (false, true) => Part::First,
-            (false, false) => Part::Other,
+        let role = match (self.instances.is_empty(), hub == self.primary) {
+            (true, true) => Role::FullList,
+            (true, false) => Role::Idle,
+            (false, true) => Role::Primary,
+            (false, false) => Role::Secondary,
         };
         let progress = &mut self.progress[usize::from(hub)];
-        let asked = progress.next(part, self.instances.digest(), self.reached);
+        let asked = progress.next_query(role, self.instances.digest(), self.applied_index);
         let reply = self.hubs[usize::from(hub)].answer(&asked);
         let mut rows = reply.instances.clone();
         if !reply.whole.is_empty() {
@@ -134,8 +134,8 @@
         for hearing in &reply.heard {
             self.instances.apply_hearing(address(hub), hearing);
         }
-        let reached = progress.answered(asked.news, &reply);
-        self.reached = self.reached.max(reached);
+        let applied_index = progress.apply(asked.news, &reply);
+        self.applied_index = self.applied_index.max(applied_index);
     }
 
     fn step(&mut self, (kind, hub, id): (u8, u8, u8)) {
@@ -155,7 +155,7 @@
                 let index = self.log.len().min(fake.applied + 1 + usize::from(id % 4));
                 fake.apply(&self.log, index);
             }
-            6 => self.first = hub % HUBS,
+            6 => self.primary = hub % HUBS,
             // It starts again, with a part of the log at first.
             7 => {
                 *fake = FakeHub {
@@ -194,7 +194,7 @@
         }
         if world.instances.is_empty() {
             // Another hub is asked for the list then.
-            return world.hubs[usize::from(world.first)].registry.all().next().is_none();
+            return world.hubs[usize::from(world.primary)].registry.all().next().is_none();
         }
         let held = world.held();
         let newest = world.hubs.iter().map(|hub| hub.applied).max().unwrap_or_default();
