--- a/crates/entry/src/sync.rs
+++ b/crates/entry/src/sync.rs
@@ -100,7 +100,7 @@
         let seeds = settings.seeds.iter();
         let seeds: Vec<SocketAddr> = seeds.map(|seed| settings.hub_at(seed.ip())).collect();
         let targets = hubs.targets(&seeds);
-        let live_hubs = hubs.live_hubs();
+        let live_hubs = hubs.live();
         hubs.select_primary();
         core.evict_removed_instances();
         // While no hub answers, the last known heartbeats stay valid.
@@ -349,16 +349,14 @@
 
 /// Fetches the hub's newest table; `announced_version` is the version that the hub reported.
 async fn fetch(core: Arc<Core>, hubs: Arc<Hubs>, link: Arc<HubLink>, announced_version: u64) {
-    let current_version = core.routes().table.version;
-    match fetch_table(&link, current_version).await {
-        Some(table) if table.version > current_version => {
-            match table::codec::decode(&table.content) {
-                Ok(table) => core.set_table(table),
-                Err(err) => {
-                    warn!(core.log, "invalid route table"; "version" => table.version, "error" => %err);
-                }
+    let current = core.routes().table.version;
+    match fetch_table(&link, current).await {
+        Some(table) if table.version > current => match table::codec::decode(&table.content) {
+            Ok(table) => core.set_table(table),
+            Err(err) => {
+                warn!(core.log, "invalid route table"; "version" => table.version, "error" => %err);
             }
-        }
+        },
         Some(_) => {}
         None => {
             info!(core.log, "failed to fetch route table"; "hub" => %link.address(), "told" => announced_version);
@@ -367,13 +365,8 @@
     hubs.end_fetch(core.routes().table.version);
 }
 
-async fn fetch_table(link: &HubLink, current_version: u64) -> Option<wire::hub::Table> {
+async fn fetch_table(link: &HubLink, current: u64) -> Option<wire::hub::Table> {
     let client = link.client().await.ok()?;
-    let call = client.fetch(
-        within(FETCH_TIMEOUT),
-        Fetch {
-            have: current_version,
-        },
-    );
+    let call = client.fetch(within(FETCH_TIMEOUT), Fetch { have: current });
     link.judge(call.await).ok()
 }
--- a/crates/entry/src/sync/hubs.rs
+++ b/crates/entry/src/sync/hubs.rs
@@ -36,7 +36,7 @@
 /// watch at once.
 const REMOTE_WAIT: Duration = Duration::from_secs(4);
 /// How long a hub may take to send all instances before another hub is asked.
-const FULL_LIST_TIMEOUT: Duration = Duration::from_millis(400);
+const LIST_TIMEOUT: Duration = Duration::from_millis(400);
 /// A hub that isn't a known member is forgotten after not answering for this long.
 const FORGET_AFTER: Duration = Duration::from_secs(10);
 /// Maximum number of hub addresses accepted from beacons: twice the size of the largest group.
@@ -161,7 +161,7 @@
     #[must_use]
     pub fn watch_timeout(&self, address: SocketAddr) -> Duration {
         if !*self.instances_known.borrow() {
-            return FULL_LIST_TIMEOUT;
+            return LIST_TIMEOUT;
         }
         let hubs = self.statuses();
         let near = hubs.get(&address).is_none_or(|status| status.near);
@@ -192,9 +192,8 @@
             };
         }
         let mut full_list = self.full_list();
-        let is_pending = |(other, at): (SocketAddr, Instant)| {
-            other != address && at.elapsed() < FULL_LIST_TIMEOUT
-        };
+        let is_pending =
+            |(other, at): (SocketAddr, Instant)| other != address && at.elapsed() < LIST_TIMEOUT;
         if full_list.is_some_and(is_pending) {
             return Role::Idle;
         }
--- a/crates/entry/src/sync/progress.rs
+++ b/crates/entry/src/sync/progress.rs
@@ -91,11 +91,9 @@
     /// Applies a reply to a query for `news`. Returns the log index up to which all
     /// announcements are included in the replies so far, or 0 if that isn't known.
     pub fn apply(&mut self, news: News, reply: &WatchReply) -> u64 {
-        let same_epoch = reply.epoch == self.epoch;
+        let same = reply.epoch == self.epoch;
         let complete = match news {
-            News::Changes | News::Unspecified => {
-                !reply.whole.is_empty() || (same_epoch && self.complete)
-            }
+            News::Changes | News::Unspecified => !reply.whole.is_empty() || (same && self.complete),
             News::Digest => false,
             // The reply contains no changes, so the cursor must not advance.
             News::None => return 0,
