--- a/crates/entry/src/bin/rwr-entry.rs
+++ b/crates/entry/src/bin/rwr-entry.rs
@@ -1,4 +1,4 @@
-//! `rwr-entry`: takes callers' requests and passes them to upstreams by the route table.
+//! `rwr-entry` forwards callers' requests to upstreams according to the route table.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -19,7 +19,7 @@
     const NAME: &'static str = "rwr-entry";
     const VERSION: &'static str = env!("CARGO_PKG_VERSION");
     const SUMMARY: &'static str =
-        "Takes callers' requests and passes them to upstreams by the route table.";
+        "Forwards callers' requests to upstreams according to the route table.";
     type Settings = Settings;
     type Error = EntryError;
 
--- a/crates/entry/src/counters.rs
+++ b/crates/entry/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the process counts, for the metrics.
+//! The metrics of the entry process.
 
 use std::time::Duration;
 
@@ -8,35 +8,34 @@
 use cadence::StatsdClient;
 use cadence::Timed;
 
-/// Names and tags of what is counted. A metric that can't be sent is lost, and
-/// holds nobody up.
+/// Sends metrics. A metric that can't be sent is dropped without delaying the caller.
 #[derive(Debug)]
 pub struct Counters {
     client: StatsdClient,
 }
 
 impl Counters {
-    /// Counts by way of `client`.
+    /// Sends metrics through `client`.
     #[must_use]
     pub fn new(client: StatsdClient) -> Self {
         Self { client }
     }
 
-    /// A request that was answered, after `span`.
-    pub fn request(&self, service: &str, outcome: &str, span: Duration) {
+    /// Counts a request that ended after `elapsed`.
+    pub fn request(&self, service: &str, outcome: &str, elapsed: Duration) {
         self.client
             .count_with_tags("entry.requests", 1)
             .with_tag("service", service)
             .with_tag("outcome", outcome)
             .send();
         self.client
-            .time_with_tags("entry.request", span)
+            .time_with_tags("entry.request", elapsed)
             .with_tag("service", service)
             .with_tag("outcome", outcome)
             .send();
     }
 
-    /// An attempt at an instance, ended so.
+    /// Counts an attempt, which ended as `end` tells.
     pub fn attempt(&self, service: &ServiceName, end: &str) {
         self.client
             .count_with_tags("entry.attempts", 1)
@@ -45,7 +44,7 @@
             .send();
     }
 
-    /// An answer that broke off after its head was passed on.
+    /// Counts a response that broke off after its head was forwarded.
     pub fn broke_off(&self, service: &ServiceName) {
         self.client
             .count_with_tags("entry.answers.broken", 1)
@@ -53,7 +52,7 @@
             .send();
     }
 
-    /// An attempt that broke off, and what became of its instance.
+    /// Counts an attempt that broke off; `fate` is what happened to the instance.
     pub fn broken(&self, service: &ServiceName, fate: &str) {
         self.client
             .count_with_tags("entry.attempts.broken", 1)
@@ -62,24 +61,24 @@
             .send();
     }
 
-    /// A request that waited for room.
-    pub fn waited(&self, service: &ServiceName, span: Duration) {
+    /// Records how long a request waited for a free slot.
+    pub fn waited(&self, service: &ServiceName, elapsed: Duration) {
         self.client
-            .time_with_tags("entry.waited", span)
+            .time_with_tags("entry.waited", elapsed)
             .with_tag("service", service.as_str())
             .send();
     }
 
-    /// A question to a dispatcher.
-    pub fn placed(&self, service: &ServiceName, outcome: &str, span: Duration) {
+    /// Records a placement request to a dispatcher.
+    pub fn placed(&self, service: &ServiceName, outcome: &str, elapsed: Duration) {
         self.client
-            .time_with_tags("entry.placing", span)
+            .time_with_tags("entry.placing", elapsed)
             .with_tag("service", service.as_str())
             .with_tag("outcome", outcome)
             .send();
     }
 
-    /// How many failure domains get nothing.
+    /// Sets the number of evacuated failure domains.
     pub fn evacuated(&self, domains: usize) {
         let domains = u64::try_from(domains).unwrap_or(u64::MAX);
         self.client
@@ -87,12 +86,12 @@
             .send();
     }
 
-    /// A request that is refused from now on, as it crashes instances.
+    /// Counts a request that becomes quarantined.
     pub fn quarantined(&self) {
         self.client.count_with_tags("entry.quarantined", 1).send();
     }
 
-    /// A retry that no allowance was left for.
+    /// Counts a retry that exceeded the budget.
     pub fn retry_denied(&self, service: &ServiceName) {
         self.client
             .count_with_tags("entry.retries.unpaid", 1)
@@ -100,7 +99,7 @@
             .send();
     }
 
-    /// A probe, answered or not.
+    /// Counts a probe.
     pub fn probe(&self, service: &ServiceName, answered: bool) {
         let result = if answered { "answered" } else { "failed" };
         self.client
--- a/crates/entry/src/dialect.rs
+++ b/crates/entry/src/dialect.rs
@@ -1,5 +1,5 @@
-//! The names of headers that callers and upstreams use, and the form of load
-//! reports. An adapter for other names brings its own.
+//! The header names that callers and upstreams use, and the format of load reports. An adapter
+//! for another protocol brings its own.
 
 use std::time::Duration;
 
@@ -7,33 +7,33 @@
 use http::HeaderName;
 use route::LoadReport;
 
-/// Names of headers, and how a load report is read.
+/// Header names and parsers of their values.
 #[derive(Clone, Debug)]
 pub struct Dialect {
-    /// Names one request; an upstream's answer repeats it.
+    /// Identifies a request; the upstream repeats it in its response.
     pub request: HeaderName,
-    /// Names the caller, where callers have names.
+    /// Identifies the caller, in protocols that have a header for it.
     pub caller: Option<HeaderName>,
-    /// Milliseconds that are left for the answer.
+    /// The time remaining for the response, in milliseconds.
     pub deadline: HeaderName,
-    /// To an upstream: the one instance that may run the request.
+    /// To an upstream: the only instance that may run the request.
     pub expected: HeaderName,
     /// From an upstream: the instance that answers.
     pub instance: HeaderName,
     /// From an upstream: its load.
     pub load: HeaderName,
-    /// From an upstream, on its health page: how much longer it is cold.
+    /// From an upstream, on its health page: how much longer it will be cold.
     pub cold: HeaderName,
     /// From an upstream: the request was not run.
     pub refused: HeaderName,
-    /// Reads the load header.
+    /// Parses the load header.
     pub read_load: fn(&str) -> Option<LoadReport>,
-    /// Reads the header that says how much longer the upstream is cold.
+    /// Parses the header that tells how much longer the upstream will be cold.
     pub read_cold: fn(&str) -> Option<Duration>,
 }
 
 impl Default for Dialect {
-    /// The product's own names.
+    /// The header names of redwingridge.
     fn default() -> Self {
         Self {
             request: HeaderName::from_static(header::REQUEST_ID),
@@ -50,18 +50,19 @@
     }
 }
 
-/// Reads milliseconds.
+/// Parses milliseconds.
 fn read_cold(text: &str) -> Option<Duration> {
     text.trim().parse().ok().map(Duration::from_millis)
 }
 
-/// Reads `in-flight/slots`.
+/// Parses `in-flight/slots`.
 fn read_load(text: &str) -> Option<LoadReport> {
-    let (busy, slots) = text.split_once('/')?;
-    let (busy, slots): (u32, u32) = (busy.trim().parse().ok()?, slots.trim().parse().ok()?);
+    let (in_flight, slots) = text.split_once('/')?;
+    let (in_flight, slots): (u32, u32) =
+        (in_flight.trim().parse().ok()?, slots.trim().parse().ok()?);
     Some(LoadReport {
-        running: busy.min(slots),
-        waiting: busy.saturating_sub(slots),
+        running: in_flight.min(slots),
+        waiting: in_flight.saturating_sub(slots),
         slots,
         pace: 100,
     })
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! Starts an entry process from its settings, and stops it.
+//! Starts and stops an entry process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -34,23 +34,23 @@
 use crate::settings::Settings;
 use crate::sync;
 
-/// Left of the grace period for the last answers to reach their callers.
-const LAST: std::time::Duration = std::time::Duration::from_millis(300);
+/// Part of the grace period that is reserved for the last responses to reach their callers.
+const RESPONSE_FLUSH_TIME: std::time::Duration = std::time::Duration::from_millis(300);
 
-/// Most connections of other entry processes at once: some hundred with one each, and
-/// room for those that reconnect.
-const MAX_ASKERS: usize = 1024;
+/// Maximum number of connections from other entry processes: one each for some hundreds of
+/// processes, with room for reconnections.
+const MAX_PEER_CONNECTIONS: usize = 1024;
 
 quick_error! {
     /// Why an entry process can't start.
     #[derive(Debug)]
     pub enum EntryError {
-        /// A port.
+        /// An address could not be bound.
         Bind(address: SocketAddr, err: io::Error) {
             source(err)
             display("bind {address}: {err}")
         }
-        /// The metrics.
+        /// The metrics could not be set up.
         Metrics(err: MetricsError) {
             from()
             source(err)
@@ -69,11 +69,11 @@
 }
 
 impl Entry {
-    /// Binds both ports and starts; port 0 takes a free one.
+    /// Binds the configured addresses and starts the process; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// Fails when a port can't be bound.
+    /// Fails if an address can't be bound or the metrics can't be set up.
     pub async fn start(
         mut settings: Settings,
         dialect: Dialect,
@@ -84,11 +84,11 @@
         settings.front = front_address;
         settings.ready = ready_address;
         let client = telemetry::metrics::start(settings.telemetry.sink, settings.host.as_str())?;
-        let placing = match settings.place {
+        let placement = match settings.place {
             Some(place) => Some(listen(place).await?),
             None => None,
         };
-        settings.place = placing.as_ref().map(Questions::local_addr);
+        settings.place = placement.as_ref().map(PlacementRequests::local_addr);
         let beacons = match settings.place {
             Some(place) => {
                 let bound = UdpSocket::bind(place).await;
@@ -104,10 +104,10 @@
             spawn(sync::run(Arc::clone(&core), beacons)),
             spawn(probe::bring_back(Arc::clone(&core))),
         ];
-        tasks.extend(placing.map(|incoming| spawn(place(Arc::clone(&core), incoming))));
-        let shown = core.settings().place;
+        tasks.extend(placement.map(|incoming| spawn(serve_placement(Arc::clone(&core), incoming))));
+        let place_address = core.settings().place;
         info!(core.log, "entry serves"; "front" => %front_address, "ready" => %ready_address,
-            "place" => shown.map_or_else(|| "-".to_owned(), |place| place.to_string()));
+            "place" => place_address.map_or_else(|| "-".to_owned(), |place| place.to_string()));
         Ok(Self {
             core,
             open,
@@ -117,25 +117,25 @@
         })
     }
 
-    /// Where callers connect.
+    /// The address for callers.
     #[must_use]
     pub fn front(&self) -> SocketAddr {
         self.front
     }
 
-    /// Where readiness is asked for.
+    /// The address of the readiness page.
     #[must_use]
     pub fn ready(&self) -> SocketAddr {
         self.ready
     }
 
-    /// The shared state.
+    /// The state shared by all tasks of the process.
     #[must_use]
     pub fn core(&self) -> &Arc<Core> {
         &self.core
     }
 
-    /// Takes settings that were read again.
+    /// Applies settings that were read again.
     pub fn reload(&self, read: Result<Settings, ConfError>) {
         match read {
             Ok(settings) => self.core.set_settings(&settings),
@@ -143,33 +143,34 @@
         }
     }
 
-    /// Serves on while callers still come, finishes what is open, and stops.
+    /// Keeps serving for the linger time, then finishes open requests and stops at the end of
+    /// the grace period.
     pub async fn shut_down(&self) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let stop = self.core.settings().stop;
         info!(self.core.log, "leaving"; "linger_ms" => stop.linger.as_millis());
         self.core.stage.send_replace(Stage::Draining);
-        tokio::time::sleep_until(begun + stop.linger).await;
+        tokio::time::sleep_until(started_at + stop.linger).await;
         self.core.stage.send_replace(Stage::Closing);
         self.open.close();
-        let end = begun + stop.grace.saturating_sub(LAST);
-        let whole = tokio::time::timeout_at(end, self.open.wait()).await.is_ok();
-        info!(self.core.log, "stopped"; "whole" => whole, "open" => self.open.len(),
-            "after_ms" => begun.elapsed().as_millis());
+        let end = started_at + stop.grace.saturating_sub(RESPONSE_FLUSH_TIME);
+        let finished = tokio::time::timeout_at(end, self.open.wait()).await.is_ok();
+        info!(self.core.log, "stopped"; "whole" => finished, "open" => self.open.len(),
+            "after_ms" => started_at.elapsed().as_millis());
     }
 }
 
-type Questions = Incoming<ClientMessage<PlaceApiRequest>, Response<PlaceApiResponse>>;
+type PlacementRequests = Incoming<ClientMessage<PlaceApiRequest>, Response<PlaceApiResponse>>;
 
-async fn listen(address: SocketAddr) -> Result<Questions, EntryError> {
+async fn listen(address: SocketAddr) -> Result<PlacementRequests, EntryError> {
     let incoming = wire::link::listen(address).await;
     incoming.map_err(|err| EntryError::Bind(address, err))
 }
 
-/// Answers other entry processes that ask for instances.
-async fn place(core: Arc<Core>, incoming: Questions) {
+/// Answers placement requests from other entry processes.
+async fn serve_placement(core: Arc<Core>, incoming: PlacementRequests) {
     let acceptor = Acceptor {
-        limit: MAX_ASKERS,
+        limit: MAX_PEER_CONNECTIONS,
         stop: CancellationToken::new(),
         log: core.log.clone(),
     };
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers are passed on.
+//! Handling of HTTP headers.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use http::HeaderName;
 use http::header;
 
-/// Headers that concern one connection only.
-const HOP: [HeaderName; 8] = [
+/// Hop-by-hop headers.
+const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -18,8 +18,7 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Takes out what concerns one connection only, the headers that `Connection`
-/// names among it.
+/// Removes hop-by-hop headers, including those named in `Connection`.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -28,21 +27,21 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in HOP.iter().chain(&named) {
+    for name in HOP_BY_HOP.iter().chain(&named) {
         headers.remove(name);
     }
 }
 
-/// Whether the connection is closed after the message.
+/// Whether the connection closes after the message.
 #[must_use]
 pub fn closes_connection(headers: &HeaderMap) -> bool {
     let values = headers.get_all(header::CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
-    let mut words = texts.flat_map(|text| text.split(','));
-    words.any(|word| word.trim().eq_ignore_ascii_case("close"))
+    let mut options = texts.flat_map(|text| text.split(','));
+    options.any(|word| word.trim().eq_ignore_ascii_case("close"))
 }
 
-/// How long the sender keeps the connection, where it says so.
+/// The timeout of the `Keep-Alive` header.
 #[must_use]
 pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
@@ -51,7 +50,7 @@
     secs.parse().ok().map(Duration::from_secs)
 }
 
-/// A header as a number.
+/// Parses a header as a number.
 #[must_use]
 pub fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,14 +1,13 @@
-//! The entry process: takes callers' requests and passes them to upstreams by
-//! the route table.
+//! The entry process, which forwards callers' requests to upstreams according to the route
+//! table.
 //!
-//! A request goes through [`serve`], [`flow`] and, for each attempt,
-//! [`exchange`] over a connection of [`pool`]. Which instance it goes to is
-//! decided in [`desk`], by the crate `route`. What is known of table and
-//! instances comes from the hubs through [`sync`] into one [`view`].
+//! A request passes through [`serve`], [`flow`] and, for each attempt, [`exchange`] over a
+//! connection from [`pool`]. [`desk`] selects the instance, by means of the crate `route`. Hubs
+//! provide the route table and the instances through [`sync`] and [`view`].
 //!
-//! It speaks plain HTTP/1.1 on the library that `salvo` and `reqwest` are built
-//! on: it has to see when a caller leaves, which bytes of a request have left,
-//! and whether an answer was whole.
+//! The process speaks plain HTTP/1.1 and uses hyper directly: it must notice when a caller
+//! disconnects, know which bytes of a request have been sent, and know whether a response was
+//! complete.
 
 pub mod body;
 pub mod core;
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -1,7 +1,7 @@
-//! Connections to one instance, kept open between requests.
+//! A pool of keep-alive connections to one instance.
 //!
-//! A kept connection is watched all the time: one on which bytes come unasked,
-//! or that the instance closes, is never used again.
+//! Idle connections are monitored all the time: a connection that is closed by the instance, or
+//! that receives unsolicited bytes, is never reused.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,36 +21,36 @@
 
 use crate::body::ForwardedBody;
 
-/// Longest wait for a connection: over a hundred times the way between failure
-/// domains, and short beside the aim of any request.
+/// Connect timeout. It allows for the round trip between failure domains many times over, and is
+/// short compared to the aim of any request.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Kept connections that one instance gets at most from this process, as all
-/// entry processes share what an instance takes.
+/// Maximum number of idle connections to an instance from this process, as all entry processes
+/// share the instance's capacity.
 const MAX_IDLE: usize = 8;
-/// How long a connection is kept for which the instance named no time.
-const UNNAMED_IDLE: Duration = Duration::from_millis(300);
-/// Taken off the time that an instance names, as its clock starts earlier.
+/// Idle timeout if the instance didn't announce a keep-alive timeout.
+const DEFAULT_IDLE: Duration = Duration::from_millis(300);
+/// Subtracted from the announced keep-alive timeout, which starts earlier at the instance.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_500);
-/// A silent connection is probed after so long,
-const PROBE_IDLE: Duration = Duration::from_secs(1);
-/// and so often a second, before the system gives it up.
-const PROBES: u32 = 2;
+/// TCP keep-alive: idle time before the first probe, and interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// TCP keep-alive: number of unanswered probes after which the connection is dropped.
+const KEEPALIVE_RETRIES: u32 = 2;
 
 quick_error! {
-    /// Why there is no connection; no byte of the request has left then.
+    /// Why no connection could be opened. No byte of the request has been sent.
     #[derive(Debug)]
     pub enum ConnectError {
-        /// The system refused or the instance did.
+        /// The operating system or the instance refused the connection.
         Io(err: io::Error) {
             from()
             source(err)
             display("{err}")
         }
-        /// No answer in time.
+        /// The connection wasn't established in time.
         Timeout {
-            display("no answer within {CONNECT_TIMEOUT:?}")
+            display("no connection within {CONNECT_TIMEOUT:?}")
         }
-        /// The connection closed at once.
+        /// The HTTP handshake failed.
         Handshake(err: hyper::Error) {
             from()
             source(err)
@@ -59,10 +59,10 @@
     }
 }
 
-/// One connection, closed when dropped.
+/// A connection, which is closed when dropped.
 #[derive(Debug)]
 pub struct Connection {
-    /// Sends one request at a time.
+    /// Sends requests, one at a time.
     pub sender: SendRequest<ForwardedBody>,
     _driver: AbortOnDropHandle<()>,
 }
@@ -70,10 +70,10 @@
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// The kept connections to one instance.
+/// The idle connections to an instance.
 #[derive(Debug)]
 pub struct Pool {
     address: SocketAddr,
@@ -81,7 +81,7 @@
 }
 
 impl Pool {
-    /// No connection yet.
+    /// Creates an empty pool.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self {
@@ -90,14 +90,14 @@
         }
     }
 
-    /// The connection that was used last, if one is still good.
+    /// Takes the most recently used connection that is still open.
     pub fn take(&self) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.retain(|kept| kept.until > now && !kept.connection.sender.is_closed());
+        idle.retain(|entry| entry.expires_at > now && !entry.connection.sender.is_closed());
         let ready = idle
             .iter()
-            .rposition(|kept| kept.connection.sender.is_ready())?;
+            .rposition(|entry| entry.connection.sender.is_ready())?;
         Some(idle.remove(ready).connection)
     }
 
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the instance doesn't take it in time.
+    /// Fails if the connection isn't established within [`CONNECT_TIMEOUT`].
     pub async fn connect(&self) -> Result<Connection, ConnectError> {
         let connecting = TcpStream::connect(self.address);
         let stream = match tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
@@ -114,15 +114,16 @@
         };
         stream.set_nodelay(true)?;
         let keepalive = TcpKeepalive::new()
-            .with_time(PROBE_IDLE)
-            .with_interval(PROBE_IDLE)
-            .with_retries(PROBES);
+            .with_time(KEEPALIVE_INTERVAL)
+            .with_interval(KEEPALIVE_INTERVAL)
+            .with_retries(KEEPALIVE_RETRIES);
         SockRef::from(&stream).set_tcp_keepalive(&keepalive)?;
         let (sender, driver) = http1::Builder::new()
             .handshake(TokioIo::new(stream))
             .await?;
         let driver = tokio::spawn(async move {
-            // Whoever waits for an answer on it is told; a kept one is just gone.
+            // An error is reported to the request on the connection; without one, the connection
+            // is just closed.
             let _ = driver.await;
         });
         Ok(Connection {
@@ -131,14 +132,18 @@
         })
     }
 
-    /// Keeps a connection whose answer was whole; `named` is how long the
-    /// instance keeps it.
-    pub fn keep(&self, connection: Connection, named: Option<Duration>) {
-        let span = named.map_or(UNNAMED_IDLE, |named| named.saturating_sub(IDLE_MARGIN));
-        let until = Instant::now() + span;
+    /// Returns a connection to the pool after a complete response; `announced` is the instance's
+    /// keep-alive timeout.
+    pub fn keep(&self, connection: Connection, announced: Option<Duration>) {
+        let idle_timeout =
+            announced.map_or(DEFAULT_IDLE, |timeout| timeout.saturating_sub(IDLE_MARGIN));
+        let expires_at = Instant::now() + idle_timeout;
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        if idle.len() < MAX_IDLE && !span.is_zero() {
-            idle.push(Idle { connection, until });
+        if idle.len() < MAX_IDLE && !idle_timeout.is_zero() {
+            idle.push(Idle {
+                connection,
+                expires_at,
+            });
         }
     }
 }
--- a/crates/entry/src/processes.rs
+++ b/crates/entry/src/processes.rs
@@ -1,12 +1,12 @@
-//! The entry processes that send to the same instances.
+//! The entry processes that send requests to the same instances.
 
-/// All of them, by where each answers questions for instances.
+/// The current entry processes, by the addresses at which they answer placement requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Processes {
-    /// This one; empty where it answers none.
+    /// The address of this process; empty if it doesn't answer placement requests.
     pub own: String,
-    /// Every one that callers may be sent to.
+    /// The addresses of all processes that serve callers.
     pub all: Vec<String>,
-    /// Rises with each change.
+    /// Increases with each change.
     pub revision: u64,
 }
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -1,4 +1,4 @@
-//! Takes callers' connections, and answers whether the process is ready.
+//! Serves callers' connections and the readiness page.
 
 use std::convert::Infallible;
 use std::net::IpAddr;
@@ -27,40 +27,40 @@
 use crate::core::Stage;
 use crate::flow;
 
-/// Bytes that a connection may buffer of a head; the library asks for 8 KiB at least.
-const LEAST_BUFFER: usize = 8 * 1024;
-/// Pause after the system refused to accept.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Minimum size of the read buffer of a connection; hyper requires at least 8 KiB.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts callers until the process closes; connections run in `open`.
+/// Accepts callers' connections until the process is closing; `open` tracks the connections.
 pub async fn front(core: Arc<Core>, listener: TcpListener, open: TaskTracker) {
     let mut stage = core.stage.subscribe();
     loop {
         let accepted = tokio::select! {
             biased;
-            () = closing(&mut stage) => return,
+            () = wait_until_closing(&mut stage) => return,
             accepted = listener.accept() => accepted,
         };
         match accepted {
             Ok((stream, peer)) => {
-                open.spawn(connection(Arc::clone(&core), stream, peer.ip()));
+                open.spawn(serve_connection(Arc::clone(&core), stream, peer.ip()));
             }
             Err(err) => {
                 warn!(core.log, "accept failed"; "error" => %err);
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn closing(stage: &mut watch::Receiver<Stage>) {
-    // The sender lives as long as the process.
+async fn wait_until_closing(stage: &mut watch::Receiver<Stage>) {
+    // The sender is never dropped while the process runs.
     let _ = stage.wait_for(|stage| *stage == Stage::Closing).await;
 }
 
-async fn connection(core: Arc<Core>, stream: TcpStream, caller: IpAddr) {
+async fn serve_connection(core: Arc<Core>, stream: TcpStream, caller: IpAddr) {
     if let Err(err) = stream.set_nodelay(true) {
-        debug!(core.log, "connection failed"; "error" => %err);
+        debug!(core.log, "failed to set up connection"; "error" => %err);
         return;
     }
     let limits = core.routes().table.limits;
@@ -69,13 +69,13 @@
         http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
-            .max_buf_size(limits.header_bytes.max(LEAST_BUFFER))
+            .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
             .serve_connection(TokioIo::new(stream), service)
     );
     let mut stage = core.stage.subscribe();
     let result = tokio::select! {
         result = &mut serving => result,
-        () = closing(&mut stage) => {
+        () = wait_until_closing(&mut stage) => {
             serving.as_mut().graceful_shutdown();
             serving.await
         }
@@ -85,7 +85,7 @@
     }
 }
 
-/// Answers one request; while the process leaves, the connection closes after it.
+/// Answers a request. During a shutdown the connection closes after the response.
 async fn answer(
     core: Arc<Core>,
     caller: IpAddr,
@@ -99,17 +99,17 @@
     Ok(response)
 }
 
-/// Answers whether callers may be sent here, until the process ends.
+/// Serves the readiness page. Runs forever.
 pub async fn readiness(core: Arc<Core>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let core = Arc::clone(&core);
         tokio::spawn(async move {
             let service = service_fn(|request: Request<Incoming>| {
-                let response = page(&core, request.uri().path());
+                let response = readiness_response(&core, request.uri().path());
                 async move { Ok::<_, Infallible>(response) }
             });
             let serving = http1::Builder::new()
@@ -122,7 +122,7 @@
     }
 }
 
-fn page(core: &Core, path: &str) -> Response<ResponseBody> {
+fn readiness_response(core: &Core, path: &str) -> Response<ResponseBody> {
     let mut response = Response::new(flow::empty());
     *response.status_mut() = if path != &*core.settings().ready_path {
         StatusCode::NOT_FOUND
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one entry process, typed and checked.
+//! The settings of an entry process.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -22,39 +22,38 @@
 const COST: &str = "cost";
 const COLD: &str = "cold";
 
-/// Path of the readiness page, by default.
+/// Default path of the readiness page.
 const READY_PATH: &str = "/ready";
-/// How long callers may keep a list of entry hosts, by default.
+/// Default time for which callers may cache a list of entry hosts.
 const TTL: Duration = Duration::from_secs(2);
-/// Probes an instance and second, by default: a twentieth of what an instance
-/// with a probe of 1 ms could answer.
+/// Default number of probes per instance and second.
 const PROBES: u32 = 50;
-/// Entry hosts that a caller is told at least, by default: one may be lost, and one
-/// may be stopping.
+/// Default minimum number of entry hosts in an answer to a caller, so that one may be lost while
+/// another is stopping.
 const SPREAD: u32 = 3;
-/// Most instances that one entry process dispatches, by default: it asks each some 36
-/// times a second, which with 400 questions of others is about a tenth of a core.
+/// Default for the maximum number of instances of a service that one entry process dispatches.
+/// The dispatcher probes each of them many times a second.
 const DISPATCHED: u32 = 24;
-/// First port of local hubs.
+/// The first hub port of a local installation.
 const PORT: u16 = 7010;
-/// Region of a local entry process.
+/// The region of a local entry process.
 const REGION: &str = "local";
-/// Offset of a hub's own port from the first one.
+/// Offset of the port for entry processes from the first hub port.
 const HUB_PORT: u16 = 2;
 
-/// What retries all entry processes together may spend on a service.
+/// The budget for retries of a service, shared by all entry processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retry {
-    /// Extra attempts as a share of requests, in percent.
+    /// Retries as a share of requests, in percent.
     pub percent: u32,
-    /// Extra attempts beyond the share, in each window, for all entry hosts together.
+    /// Retries per window beyond that share, for all entry hosts together.
     pub base: u32,
-    /// The window.
+    /// The length of the window.
     pub window: Duration,
 }
 
 impl Default for Retry {
-    /// A fifth of the requests is the usual bound on retries.
+    /// Twenty percent, the usual limit for retries.
     fn default() -> Self {
         Self {
             percent: 20,
@@ -64,31 +63,30 @@
     }
 }
 
-/// What the sharing of budgets among entry processes rests on.
+/// The budgets that entry processes share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharedBudgets {
-    /// Retries.
+    /// The budget for retries.
     pub retry: Retry,
-    /// Probes that one instance may get a second.
+    /// Maximum number of probes per instance and second.
     pub probes: u32,
-    /// The entry processes that share, 0 while that isn't known.
+    /// The number of entry processes that share the budgets; 0 while unknown.
     pub entries: u32,
 }
 
-/// How long a graceful stop takes.
+/// The timing of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stop {
-    /// Callers still come for so long, as they keep old addresses.
+    /// How long the process keeps accepting connections, for callers with cached addresses.
     pub linger: Duration,
-    /// All is over after this.
+    /// The time after which the process stops, counted from the start of the shutdown.
     pub grace: Duration,
 }
 
 impl Default for Stop {
-    /// Most callers ask the directory again within two seconds; one that comes
-    /// later finds the port closed and goes elsewhere at once. Requests taken
-    /// until then have the rest of the grace period to finish: slow work
-    /// takes some seconds.
+    /// Most callers refresh their addresses within two seconds; a later caller is refused and
+    /// tries another host. Requests accepted until then have the rest of the grace period to
+    /// finish.
     fn default() -> Self {
         Self {
             linger: Duration::from_millis(2_500),
@@ -97,17 +95,17 @@
     }
 }
 
-/// How far beyond what a cold instance takes all entry hosts together may go.
+/// How far all entry hosts together may exceed the rate of a cold instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdBound {
-    /// In thousandths of its rate.
+    /// The maximum rate, in thousandths of the instance's rate.
     pub overshoot: u32,
-    /// Requests in a second beyond that.
+    /// Additional requests per second.
     pub slack: u32,
 }
 
 impl Default for ColdBound {
-    /// What it says that it takes, and nothing beyond.
+    /// No more than the instance's rate.
     fn default() -> Self {
         Self {
             overshoot: 1_000,
@@ -116,52 +114,54 @@
     }
 }
 
-/// All settings of one entry process.
+/// All settings of an entry process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Its host.
+    /// The name of its host.
     pub host: HostName,
     /// Its failure domain.
     pub domain: DomainName,
     /// Its region.
     pub region: RegionName,
-    /// Where callers connect.
+    /// The address for callers.
     pub front: SocketAddr,
-    /// Where readiness is asked for.
+    /// The address of the readiness page.
     pub ready: SocketAddr,
     /// The path of the readiness page.
     pub ready_path: Arc<str>,
-    /// The first of the ports that hubs use, the same on every host.
+    /// The first port of the hubs, which is the same on every host.
     pub port: u16,
-    /// Hosts that run hubs; of each only the address counts, not the port.
+    /// Hosts that run hubs; the ports are ignored.
     pub seeds: Vec<SocketAddr>,
-    /// How long callers may keep a list of entry hosts.
+    /// How long callers may cache a list of entry hosts.
     pub ttl: Duration,
-    /// Entry hosts that a caller is told where its failure domain has fewer.
+    /// Minimum number of entry hosts in an answer to a caller; used if the caller's failure
+    /// domain has fewer.
     pub spread: usize,
-    /// Retries.
+    /// The budget for retries.
     pub retry: Retry,
-    /// Probes that one instance may get a second from all entry hosts together;
-    /// 0 allows none.
+    /// Maximum number of probes per instance and second from all entry hosts together; 0
+    /// disables probes.
     pub probes: u32,
-    /// Where other entry processes ask for instances; none where each decides alone.
+    /// The address for placement requests from other entry processes; without it, each process
+    /// selects instances by itself.
     pub place: Option<SocketAddr>,
-    /// Most instances of a service that one entry process dispatches.
+    /// Maximum number of instances of a service that one entry process dispatches.
     pub dispatched: usize,
-    /// The graceful stop.
+    /// The graceful shutdown.
     pub stop: Stop,
-    /// Price of a megabyte between failure domains, in thousandths of the worth
-    /// of a request; 0 where such bytes are free.
+    /// The cost of a megabyte sent between failure domains, in thousandths of a request's value;
+    /// 0 if it is free.
     pub crossing: u32,
-    /// How far beyond their rate cold instances may be sent to.
+    /// How far cold instances may be loaded beyond their rate.
     pub cold: ColdBound,
     /// Log and metrics.
     pub telemetry: telemetry::Settings,
 }
 
-struct Text(Arc<str>);
+struct UrlPath(Arc<str>);
 
-impl conf::Value for Text {
+impl conf::Value for UrlPath {
     const FORM: &'static str = "a path";
 
     fn read(text: &str) -> Option<Self> {
@@ -170,8 +170,8 @@
 }
 
 impl Settings {
-    /// An entry process with every default that takes callers at `front`, on free
-    /// ports where that has port 0, and knows no hub.
+    /// Default settings for an entry process that listens at `front` and knows no hubs. The
+    /// readiness page gets a free port.
     #[must_use]
     pub fn local(host: HostName, domain: DomainName, front: SocketAddr) -> Self {
         Self {
@@ -196,34 +196,34 @@
         }
     }
 
-    /// Reads the file at `path`.
+    /// Reads the settings file at `path`.
     ///
     /// # Errors
     ///
-    /// Fails with every fault of the file.
+    /// Fails with all faults of the file.
     pub fn open(path: &Path) -> Result<Self, ConfError> {
         Self::read(Reader::open(path)?)
     }
 
-    /// Reads all keys of `reader`.
+    /// Reads the settings from `reader`.
     ///
     /// # Errors
     ///
-    /// Fails with every fault noted.
+    /// Fails with all recorded faults.
     pub fn read(mut reader: Reader) -> Result<Self, ConfError> {
         let settings = Self::take(&mut reader);
         reader.finish()?;
         Ok(settings.unwrap_or_else(|| unreachable!("what is missing is a fault of its own")))
     }
 
-    /// Reads its own sections; faults are noted in the reader.
+    /// Reads the sections of the entry process. Faults are recorded in the reader.
     pub fn take(r: &mut Reader) -> Option<Self> {
         let host = r.required(ENTRY, "host");
         let domain = r.required(ENTRY, "domain");
         let region = r.required(ENTRY, "region");
         let front = r.required(ENTRY, "front");
         let ready = r.required(ENTRY, "ready");
-        let ready_path = r.or(ENTRY, "ready-path", Text(READY_PATH.into())).0;
+        let ready_path = r.or(ENTRY, "ready-path", UrlPath(READY_PATH.into())).0;
         let port: Option<u32> = r.required(ENTRY, "port");
         let seeds = r.list(ENTRY, "seeds");
         let ttl = r.or(ENTRY, "ttl", TTL);
@@ -236,10 +236,15 @@
         let crossing = r.or(COST, "crossing", 0);
         let cold = read_cold(r);
         let telemetry = telemetry::Settings::read(r);
-        let last = u32::from(u16::MAX - HUB_PORT);
-        if let Some(port) = port.filter(|p| *p > last) {
+        let max_port = u32::from(u16::MAX - HUB_PORT);
+        if let Some(port) = port.filter(|p| *p > max_port) {
             let problem = Problem::Form(port.to_string());
-            r.fault(ENTRY, "port", problem, "a port with two more after it");
+            r.fault(
+                ENTRY,
+                "port",
+                problem,
+                "a port followed by two more valid ports",
+            );
         }
         Some(Self {
             host: host?,
@@ -263,7 +268,7 @@
         })
     }
 
-    /// How budgets are shared among `entries` processes.
+    /// The budgets shared by `entries` processes.
     #[must_use]
     pub fn shared_budgets(&self, entries: u32) -> SharedBudgets {
         SharedBudgets {
@@ -273,13 +278,13 @@
         }
     }
 
-    /// Price of a megabyte between failure domains, in the worth of a request.
+    /// The cost of a megabyte sent between failure domains, in units of a request's value.
     #[must_use]
     pub fn crossing(&self) -> f64 {
         f64::from(self.crossing) / 1000.0
     }
 
-    /// Where the hub at `ip` serves entry processes.
+    /// The address at which the hub at `ip` serves entry processes.
     #[must_use]
     pub fn hub_at(&self, ip: IpAddr) -> SocketAddr {
         SocketAddr::new(ip, self.port + HUB_PORT)
@@ -287,11 +292,11 @@
 }
 
 fn read_retry(r: &mut Reader) -> Retry {
-    let preset = Retry::default();
+    let defaults = Retry::default();
     let retry = Retry {
-        percent: r.or(RETRY, "percent", preset.percent),
-        base: r.or(RETRY, "base", preset.base),
-        window: r.or(RETRY, "window", preset.window),
+        percent: r.or(RETRY, "percent", defaults.percent),
+        base: r.or(RETRY, "base", defaults.base),
+        window: r.or(RETRY, "window", defaults.window),
     };
     if retry.window.is_zero() {
         r.fault(RETRY, "window", Problem::Form("0ms".into()), "over 0");
@@ -300,22 +305,22 @@
 }
 
 fn read_cold(r: &mut Reader) -> ColdBound {
-    let preset = ColdBound::default();
-    let bound = ColdBound {
-        overshoot: r.or(COLD, "overshoot", Decimal(preset.overshoot)).0,
-        slack: r.or(COLD, "slack", preset.slack),
+    let defaults = ColdBound::default();
+    let limit = ColdBound {
+        overshoot: r.or(COLD, "overshoot", Decimal(defaults.overshoot)).0,
+        slack: r.or(COLD, "slack", defaults.slack),
     };
-    if bound.overshoot < preset.overshoot {
-        let problem = Problem::Form(Decimal(bound.overshoot).to_string());
+    if limit.overshoot < defaults.overshoot {
+        let problem = Problem::Form(Decimal(limit.overshoot).to_string());
         r.fault(COLD, "overshoot", problem, "1 or more");
     }
-    bound
+    limit
 }
 
 fn read_stop(r: &mut Reader) -> Stop {
-    let preset = Stop::default();
-    let grace = r.or(STOP, "grace", preset.grace);
-    let linger = r.or(STOP, "linger", preset.linger.min(grace * 5 / 12));
+    let defaults = Stop::default();
+    let grace = r.or(STOP, "grace", defaults.grace);
+    let linger = r.or(STOP, "linger", defaults.linger.min(grace * 5 / 12));
     if linger > grace {
         r.fault(
             STOP,
--- a/crates/entry/src/sync.rs
+++ b/crates/entry/src/sync.rs
@@ -234,7 +234,7 @@
         let mut primary = self.hubs.primary.subscribe();
         let mut instances_known = self.core.instances_known.subscribe();
         let asked = self.next_request();
-        let (was_first, address) = (asked.lists, self.address);
+        let (was_primary, address) = (asked.lists, self.address);
         let timeout = Duration::from_millis(asked.wait_ms.into()) + WATCH_TIMEOUT_MARGIN;
         let call = client.watch(within(timeout), asked.clone());
         let result = tokio::select! {
@@ -246,7 +246,7 @@
             _ = table_known.changed() => return Some(WatchOutcome::Superseded),
             _ = stage.changed() => return Some(WatchOutcome::Superseded),
             _ = fetch_incomplete.changed() => return Some(WatchOutcome::Superseded),
-            _ = primary.wait_for(|primary| primary.is_none_or(|f| f == address) != was_first) => {
+            _ = primary.wait_for(|primary| primary.is_none_or(|hub| hub == address) != was_primary) => {
                 return Some(WatchOutcome::Superseded);
             }
             _ = instances_known.changed() => return Some(WatchOutcome::Superseded),
