--- a/crates/entry/tests/fakes/caller.rs
+++ b/crates/entry/tests/fakes/caller.rs
@@ -1,4 +1,4 @@
-//! A caller over a bare socket.
+//! A caller on a plain socket.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 
 use super::HOST;
 
-/// An answer as it came.
+/// A received response.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub status: u16,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A caller with an address of its own.
+    /// Connects from a given source address.
     pub async fn connect_from(from: [u8; 4], address: SocketAddr) -> Self {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind(SocketAddr::from((from, 0))).expect("binds");
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Sends bytes as they are.
-    pub async fn raw(&mut self, bytes: &[u8]) {
+    /// Sends raw bytes.
+    pub async fn send_raw(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).await.expect("writes");
     }
 
-    /// Sends a request without waiting for the answer.
+    /// Sends a request without waiting for the response.
     pub async fn send(&mut self, method: &str, path: &str, id: &str, body: &str) {
         let length = body.len();
         let text = format!(
@@ -66,10 +66,10 @@
              rwr-deadline-ms: 20000\r\nx-own: kept\r\nconnection: x-hop\r\nx-hop: 1\r\n\
              content-length: {length}\r\n\r\n{body}"
         );
-        self.raw(text.as_bytes()).await;
+        self.send_raw(text.as_bytes()).await;
     }
 
-    /// The head of the next answer, which is left to be read whole.
+    /// Waits for the head of the next response, without consuming it.
     pub async fn head(&mut self) -> Option<Answer> {
         let end = loop {
             if let Some(end) = self.rest.windows(4).position(|four| four == b"\r\n\r\n") {
@@ -86,7 +86,7 @@
         })
     }
 
-    /// The next answer; none when the connection ended before it was whole.
+    /// Reads the next response; `None` if the connection ends before it is complete.
     pub async fn answer(&mut self) -> Option<Answer> {
         let mut answer = self.head().await?;
         let end = answer.head.len();
@@ -106,8 +106,8 @@
         self.answer().await.expect("an answer")
     }
 
-    /// Waits until the other side has closed.
-    pub async fn closed(&mut self) {
+    /// Waits until the peer has closed the connection.
+    pub async fn wait_until_closed(&mut self) {
         while self.more().await.is_some() {}
     }
 
@@ -122,7 +122,7 @@
     }
 }
 
-/// One request on a connection of its own.
+/// Sends one request on a new connection.
 pub async fn call(address: SocketAddr, method: &str, path: &str, id: &str) -> Answer {
     Caller::connect(address)
         .await
--- a/crates/entry/tests/fakes/mod.rs
+++ b/crates/entry/tests/fakes/mod.rs
@@ -1,4 +1,4 @@
-//! An entry process with a table of its own, and upstreams that do as told.
+//! An entry process with a test table, and upstreams with scripted behavior.
 #![allow(dead_code, reason = "each test binary uses its own part")]
 
 pub mod caller;
@@ -28,11 +28,11 @@
 
 /// The host name of all routes.
 pub const HOST: &str = "example.org";
-/// The hub that tells of instances.
+/// The hub that reports instances.
 pub const HUB: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 7012);
-/// A route whose requests may run more than once.
+/// A route with idempotent requests.
 pub const READ: &str = "/read/";
-/// A route whose requests may not.
+/// A route whose requests must not run twice.
 pub const ONCE: &str = "/once/";
 /// A route with a short timeout.
 pub const SHORT: &str = "/short/";
@@ -54,7 +54,7 @@
     }
 }
 
-/// A table with one service and a route of each kind.
+/// A table with two services and a route of each kind.
 pub fn table(version: u64) -> Table {
     let long = Duration::from_secs(30);
     let short = Duration::from_millis(200);
@@ -83,7 +83,7 @@
     }
 }
 
-/// The same with the read route split between two services.
+/// The same table with the read route split between two services.
 pub fn split(version: u64, weights: [u32; 2]) -> Table {
     let mut table = table(version);
     let parts = ["status", "other"].into_iter().zip(weights);
@@ -109,16 +109,16 @@
     }
 }
 
-/// An entry process that knows nothing.
-pub async fn bare() -> Entry {
+/// Starts an entry process without a table or instances.
+pub async fn start_unconfigured() -> Entry {
     let log = telemetry::log::silent();
     let entry = Entry::start(settings(), Dialect::default(), log).await;
     entry.expect("starts")
 }
 
-/// An entry process with the table, and the upstreams as its instances.
+/// Starts an entry process with the test table, and the upstreams as instances of one service.
 pub async fn entry(upstreams: &[&Upstream]) -> Entry {
-    let entry = bare().await;
+    let entry = start_unconfigured().await;
     entry.core().set_table(table(1));
     let rows: Vec<Instance> = upstreams.iter().map(|u| instance(u, "status")).collect();
     entry.core().apply_instances(HUB, &rows, &[]);
--- a/crates/entry/tests/fakes/upstream.rs
+++ b/crates/entry/tests/fakes/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream over bare sockets, so that it can break every rule of HTTP.
+//! An upstream on plain sockets, which can violate HTTP in any way.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,51 +12,51 @@
 use tokio::sync::watch;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Bytes added to answers that are halved: several packets.
+/// Bytes added to responses that are sent in halves; more than a packet.
 pub const LONG: usize = 8_000;
 
-/// What it does with a request.
+/// How the upstream handles a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum Behavior {
     /// Answers it.
     Answer,
-    /// Answers with a failure of its own.
+    /// Answers with a server error.
     Fail,
-    /// Refuses it unrun.
+    /// Refuses it without running it.
     Shed,
-    /// Says that another instance has the address.
-    Elsewhere,
-    /// Closes the connection without an answer.
+    /// Answers that another instance has the address.
+    AddressTaken,
+    /// Closes the connection without a response.
     Close,
-    /// Breaks off in the middle of the body.
+    /// Closes the connection in the middle of the response body.
     Truncate,
-    /// Answers with the name of another request.
-    Stranger,
-    /// Answers, and once more.
+    /// Answers with the id of another request.
+    WrongId,
+    /// Answers twice.
     Twice,
     /// Never answers.
     Hang,
-    /// Answers without a length, and closes.
+    /// Answers without a length and closes the connection.
     Unframed,
-    /// Refuses a request unrun at its head, and reads on.
+    /// Refuses the request after its head, and reads its body.
     ShedEarly,
-    /// Ends: all connections close, and nothing listens any more.
+    /// Crashes: all connections close, and the listener too.
     Crash,
-    /// Answers with half of the body, and the rest once it is told to.
+    /// Sends half of the response body, and the rest on a signal.
     Halves,
-    /// Answers with half of the body, and closes once it is told to send the rest.
+    /// Sends half of the response body, and closes the connection on a signal.
     HalfThenClose,
 }
 
-/// A request as it came.
+/// A received request.
 #[derive(Clone, Debug)]
-pub struct Arrival {
+pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl Arrival {
-    /// A header's value.
+impl ReceivedRequest {
+    /// The value of a header.
     pub fn header(&self, name: &str) -> Option<String> {
         let mut lines = self.head.lines().skip(1);
         lines.find_map(|line| {
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Method and path.
+    /// The method and path.
     pub fn line(&self) -> String {
         let first = self.head.lines().next().unwrap_or_default();
         first.trim_end_matches(" HTTP/1.1").to_owned()
@@ -76,22 +76,22 @@
 
 struct Shared {
     id: String,
-    manner: Mutex<Manner>,
-    arrivals: watch::Sender<Vec<Arrival>>,
-    /// Requests whose connection closed while they were worked on.
-    left: watch::Sender<usize>,
-    /// Heads of requests that have come.
+    behavior: Mutex<Behavior>,
+    received_requests: watch::Sender<Vec<ReceivedRequest>>,
+    /// Number of requests whose caller disconnected before the response.
+    disconnects: watch::Sender<usize>,
+    /// Number of received request heads.
     heads: watch::Sender<usize>,
-    /// Bytes of bodies that have come.
-    received: watch::Sender<usize>,
-    /// Connections that were taken.
+    /// Number of received body bytes.
+    body_bytes: watch::Sender<usize>,
+    /// Number of accepted connections.
     connections: watch::Sender<usize>,
-    /// Whether the rest of halved answers may be sent.
-    rest: watch::Sender<bool>,
-    /// Whether a request has crashed it.
+    /// Whether the rest of halved responses may be sent.
+    rest_allowed: watch::Sender<bool>,
+    /// Whether a request has crashed the upstream.
     crashed: watch::Sender<bool>,
-    /// Whether nothing listens any more.
-    gone: watch::Sender<bool>,
+    /// Whether the listener is closed.
+    is_closed: watch::Sender<bool>,
 }
 
 pub struct Upstream {
@@ -102,20 +102,20 @@
 }
 
 impl Upstream {
-    pub async fn start(id: &str, manner: Manner) -> Self {
+    pub async fn start(id: &str, behavior: Behavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds");
         let address = listener.local_addr().expect("an address");
         let shared = Arc::new(Shared {
             id: id.to_owned(),
-            manner: Mutex::new(manner),
-            arrivals: watch::Sender::default(),
-            left: watch::Sender::default(),
+            behavior: Mutex::new(behavior),
+            received_requests: watch::Sender::default(),
+            disconnects: watch::Sender::default(),
             heads: watch::Sender::default(),
-            received: watch::Sender::default(),
+            body_bytes: watch::Sender::default(),
             connections: watch::Sender::default(),
-            rest: watch::Sender::default(),
+            rest_allowed: watch::Sender::default(),
             crashed: watch::Sender::default(),
-            gone: watch::Sender::default(),
+            is_closed: watch::Sender::default(),
         });
         let task = tokio::spawn(accept(listener, Arc::clone(&shared)));
         Self {
@@ -126,54 +126,54 @@
         }
     }
 
-    pub fn set(&self, manner: Manner) {
-        *lock(&self.shared.manner) = manner;
+    pub fn set_behavior(&self, behavior: Behavior) {
+        *lock(&self.shared.behavior) = behavior;
     }
 
-    pub fn arrivals(&self) -> Vec<Arrival> {
-        self.shared.arrivals.borrow().clone()
+    pub fn received_requests(&self) -> Vec<ReceivedRequest> {
+        self.shared.received_requests.borrow().clone()
     }
 
-    /// Waits until so many requests have come.
-    pub async fn reached(&self, count: usize) {
-        let mut arrivals = self.shared.arrivals.subscribe();
-        let reached = arrivals.wait_for(|found| found.len() >= count);
+    /// Waits until `count` requests have been received.
+    pub async fn wait_for_requests(&self, count: usize) {
+        let mut received_requests = self.shared.received_requests.subscribe();
+        let reached = received_requests.wait_for(|found| found.len() >= count);
         reached.await.expect("the upstream lives");
     }
 
-    /// Waits until so many bytes of bodies have come.
-    pub async fn received(&self, bytes: usize) {
-        let mut received = self.shared.received.subscribe();
+    /// Waits until `bytes` body bytes have been received.
+    pub async fn wait_for_body_bytes(&self, bytes: usize) {
+        let mut received = self.shared.body_bytes.subscribe();
         let reached = received.wait_for(|found| *found >= bytes);
         reached.await.expect("the upstream lives");
     }
 
-    /// How many heads of requests have come.
+    /// The number of received request heads.
     pub fn heads(&self) -> usize {
         *self.shared.heads.borrow()
     }
 
-    /// Waits until so many heads of requests have come.
-    pub async fn headed(&self, count: usize) {
+    /// Waits until `count` request heads have been received.
+    pub async fn wait_for_heads(&self, count: usize) {
         let mut heads = self.shared.heads.subscribe();
         let reached = heads.wait_for(|found| *found >= count);
         reached.await.expect("the upstream lives");
     }
 
-    /// How many connections were taken.
+    /// The number of accepted connections.
     pub fn connections(&self) -> usize {
         *self.shared.connections.borrow()
     }
 
-    /// Sends the rest of halved answers.
+    /// Lets the rest of halved responses be sent.
     pub fn send_rest(&self) {
-        self.shared.rest.send_replace(true);
+        self.shared.rest_allowed.send_replace(true);
     }
 
-    /// Waits until so many callers have left during the work.
-    pub async fn left(&self, count: usize) {
-        let mut left = self.shared.left.subscribe();
-        let reached = left.wait_for(|found| *found >= count);
+    /// Waits until `count` callers have disconnected before the response.
+    pub async fn wait_for_disconnects(&self, count: usize) {
+        let mut disconnects = self.shared.disconnects.subscribe();
+        let reached = disconnects.wait_for(|found| *found >= count);
         reached.await.expect("the upstream lives");
     }
 }
@@ -193,133 +193,139 @@
         shared.connections.send_modify(|count| *count += 1);
         let shared = Arc::clone(&shared);
         tokio::spawn(async move {
-            let mut gone = shared.gone.subscribe();
+            let mut is_closed = shared.is_closed.subscribe();
             tokio::select! {
                 () = serve(stream, Arc::clone(&shared)) => {}
-                _ = gone.wait_for(|gone| *gone) => {}
+                _ = is_closed.wait_for(|is_closed| *is_closed) => {}
             }
         });
     }
     drop(listener);
-    shared.gone.send_replace(true);
+    shared.is_closed.send_replace(true);
 }
 
 async fn serve(mut stream: TcpStream, shared: Arc<Shared>) {
     let mut rest = Vec::new();
-    while let Some(arrival) = read(&mut stream, &mut rest, &shared).await {
-        let health = arrival.line() == "GET /health";
-        let manner = if health {
-            Manner::Answer
+    while let Some(request) = read(&mut stream, &mut rest, &shared).await {
+        let health = request.line() == "GET /health";
+        let behavior = if health {
+            Behavior::Answer
         } else {
-            shared.arrivals.send_modify(|all| all.push(arrival.clone()));
-            *lock(&shared.manner)
+            shared
+                .received_requests
+                .send_modify(|all| all.push(request.clone()));
+            *lock(&shared.behavior)
         };
-        if !respond(&mut stream, &shared, &arrival, manner).await {
+        if !respond(&mut stream, &shared, &request, behavior).await {
             return;
         }
     }
 }
 
-/// Reads one request with its body; none when the connection ended.
-async fn read(stream: &mut TcpStream, rest: &mut Vec<u8>, shared: &Shared) -> Option<Arrival> {
+/// Reads a request with its body; `None` if the connection ended.
+async fn read(
+    stream: &mut TcpStream,
+    rest: &mut Vec<u8>,
+    shared: &Shared,
+) -> Option<ReceivedRequest> {
     let mut buffer = [0; 4096];
     loop {
         if let Some(end) = rest.windows(4).position(|four| four == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&rest[..end]).into_owned();
-            let arrival = Arrival {
+            let request = ReceivedRequest {
                 head,
                 body: Vec::new(),
             };
-            let length = arrival.header("content-length");
+            let length = request.header("content-length");
             let length: usize = length.map_or(0, |text| text.parse().expect("a number"));
-            if arrival.line() != "GET /health" {
+            if request.line() != "GET /health" {
                 shared.heads.send_modify(|heads| *heads += 1);
             }
-            if length > 0 && *lock(&shared.manner) == Manner::ShedEarly {
+            if length > 0 && *lock(&shared.behavior) == Behavior::ShedEarly {
                 let text = "HTTP/1.1 503 Service Unavailable\r\nrwr-shed: 1\r\n\
                             content-length: 0\r\n\r\n";
                 stream.write_all(text.as_bytes()).await.ok()?;
             }
-            let mut told = rest.len() - end - 4;
-            shared.received.send_modify(|bytes| *bytes += told);
+            let mut received = rest.len() - end - 4;
+            shared.body_bytes.send_modify(|bytes| *bytes += received);
             while rest.len() < end + 4 + length {
                 let count = stream.read(&mut buffer).await.ok().filter(|c| *c > 0)?;
                 rest.extend_from_slice(&buffer[..count]);
-                told += count;
-                shared.received.send_modify(|bytes| *bytes += count);
+                received += count;
+                shared.body_bytes.send_modify(|bytes| *bytes += count);
             }
-            debug_assert!(told >= length, "all of the body");
+            debug_assert!(received >= length, "all of the body");
             let body = rest[end + 4..end + 4 + length].to_vec();
             rest.drain(..end + 4 + length);
-            return Some(Arrival { body, ..arrival });
+            return Some(ReceivedRequest { body, ..request });
         }
         let count = stream.read(&mut buffer).await.ok().filter(|c| *c > 0)?;
         rest.extend_from_slice(&buffer[..count]);
     }
 }
 
-/// Does as told; false when the connection is over.
+/// Responds to a request. Returns whether the connection stays open.
 async fn respond(
     stream: &mut TcpStream,
     shared: &Shared,
-    arrival: &Arrival,
-    manner: Manner,
+    request: &ReceivedRequest,
+    behavior: Behavior,
 ) -> bool {
-    let id = arrival.header("rwr-request-id").unwrap_or_default();
+    let id = request.header("rwr-request-id").unwrap_or_default();
     let own = format!(
         "rwr-request-id: {id}\r\nrwr-instance: {}\r\nrwr-load: 0/6\r\nsignature: s-{id}\r\n",
         shared.id
     );
     let mut body = format!("answer to {id} by {}", shared.id);
-    if matches!(manner, Manner::Halves | Manner::HalfThenClose) {
+    if matches!(behavior, Behavior::Halves | Behavior::HalfThenClose) {
         body.push_str(&".".repeat(LONG));
     }
     let length = body.len();
     let answer = format!(
         "HTTP/1.1 200 OK\r\n{own}keep-alive: timeout=30\r\ncontent-length: {length}\r\n\r\n{body}"
     );
-    let text = match manner {
-        Manner::Answer => answer,
-        Manner::Fail => answer.replace("200 OK", "500 Internal Server Error"),
-        Manner::Shed => format!(
+    let text = match behavior {
+        Behavior::Answer => answer,
+        Behavior::Fail => answer.replace("200 OK", "500 Internal Server Error"),
+        Behavior::Shed => format!(
             "HTTP/1.1 503 Service Unavailable\r\n{own}rwr-shed: 1\r\ncontent-length: 0\r\n\r\n"
         ),
-        Manner::Elsewhere => {
+        Behavior::AddressTaken => {
             "HTTP/1.1 421 Misdirected Request\r\nrwr-instance: i-x\r\nrwr-shed: 1\r\ncontent-length: 0\r\n\r\n"
                 .to_owned()
         }
-        Manner::Close => return false,
-        Manner::Crash => {
+        Behavior::Close => return false,
+        Behavior::Crash => {
             shared.crashed.send_replace(true);
             return std::future::pending().await;
         }
-        Manner::Truncate => answer[..answer.len() - 4].to_owned(),
-        Manner::Stranger => answer.replace(&id, "another"),
-        Manner::Twice => format!("{answer}{answer}"),
-        Manner::Hang => {
+        Behavior::Truncate => answer[..answer.len() - 4].to_owned(),
+        Behavior::WrongId => answer.replace(&id, "another"),
+        Behavior::Twice => format!("{answer}{answer}"),
+        Behavior::Hang => {
             let mut byte = [0];
-            // Nothing more comes; the read ends when the other side leaves.
+            // Completes when the peer disconnects.
             let _ = stream.read(&mut byte).await;
-            shared.left.send_modify(|left| *left += 1);
+            shared.disconnects.send_modify(|count| *count += 1);
             return false;
         }
-        Manner::ShedEarly => return true,
-        Manner::Halves | Manner::HalfThenClose => {
+        Behavior::ShedEarly => return true,
+        Behavior::Halves | Behavior::HalfThenClose => {
             let half = answer.len() - length / 2;
             if stream.write_all(&answer.as_bytes()[..half]).await.is_err() {
                 return false;
             }
-            let mut rest = shared.rest.subscribe();
+            let mut rest = shared.rest_allowed.subscribe();
             let _ = rest.wait_for(|rest| *rest).await;
-            if manner == Manner::HalfThenClose {
+            if behavior == Behavior::HalfThenClose {
                 return false;
             }
             return stream.write_all(&answer.as_bytes()[half..]).await.is_ok();
         }
-        Manner::Unframed => format!("HTTP/1.1 200 OK\r\n{own}connection: close\r\n\r\n{body}"),
+        Behavior::Unframed => format!("HTTP/1.1 200 OK\r\n{own}connection: close\r\n\r\n{body}"),
     };
     if stream.write_all(text.as_bytes()).await.is_err() {
         return false;
     }
-    !matches!(manner, Manner::Truncate | Manner::Unframed)
+    !matches!(behavior, Behavior::Truncate | Behavior::Unframed)
 }
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/simulation/mod.rs
@@ -1,8 +1,8 @@
-//! Desks and instances on plain values: no network, one clock, everything from a seed.
+//! A simulation of balancers and instances, without a network and from a seed.
 //!
-//! Instances work at a pace that shifts in stretches, and slower when nearly full. Requests
-//! come at random and each has its own process, whose desk decides as in a running system:
-//! it probes, sends, waits, is handed room and gives up.
+//! The pace of an instance changes at intervals, and an almost full instance is slower. Requests
+//! arrive at random times, each at a random process, whose balancer handles it as in the real
+//! process: it probes, sends, waits, is handed a free slot, or gives up.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -34,21 +34,23 @@
 use tokio::sync::oneshot;
 use wire::hub::Phase;
 
-/// Time between two looks of a request that waits, as in the process.
-const LOOK: u64 = 40_000;
-/// How long a connection is kept that nothing uses.
-const KEPT: u64 = 8_500_000;
-/// Usual works that must be left of the aim to wait, as in the process.
-const MARGIN: f64 = 1.3;
+/// Interval at which a waiting request searches again, as in the real process.
+const POLL: u64 = 40_000;
+/// Keep-alive time of an idle connection.
+const KEEP_ALIVE: u64 = 8_500_000;
+/// Multiple of the typical work that must remain of the aim for a request to wait, as in the
+/// real process.
+const WORK_MARGIN: f64 = 1.3;
 
-/// A service and its callers. Times are in microseconds.
+/// A service and its callers. All times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub instances: usize,
     pub slots: u32,
     pub work: u64,
     pub aim: u64,
-    /// Length of a stretch of one pace, the share of slow ones, and how slow these are.
+    /// The length of an interval of constant pace, the share of slow intervals, and their
+    /// slowdown.
     pub stretch: u64,
     pub slow_share: f64,
     pub slowdown: f64,
@@ -57,26 +59,26 @@
     pub seconds: u64,
 }
 
-/// What callers got, as parts of all requests.
+/// The results of a simulation, as shares of all requests.
 #[derive(Clone, Copy, Debug)]
-pub struct Got {
+pub struct SimulationResult {
     pub in_time: f64,
     pub late: f64,
     pub refused: f64,
-    /// Probes an instance and second.
+    /// Probes per instance and second.
     pub probes: f64,
-    /// Connections opened for each request.
+    /// Opened connections per request.
     pub opened: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Come(usize),
-    Look(usize),
+    Arrive(usize),
+    Search(usize),
     End(usize),
 }
 
-struct Fake {
+struct SimulatedInstance {
     busy: u32,
     queue: VecDeque<usize>,
     seed: u64,
@@ -84,28 +86,28 @@
 
 struct Job {
     process: usize,
-    came: u64,
+    arrived_at: u64,
     work: f64,
     instance: usize,
     ticket: Option<Ticket>,
-    told: Option<oneshot::Receiver<Pick>>,
-    settled: bool,
+    slot: Option<oneshot::Receiver<Pick>>,
+    done: bool,
 }
 
-struct Rig {
+struct Simulation {
     case: Case,
     rng: SmallRng,
     desks: Vec<Desk>,
-    fakes: Vec<Fake>,
+    instances: Vec<SimulatedInstance>,
     upstreams: Vec<Arc<Upstream>>,
     jobs: Vec<Job>,
     events: BinaryHeap<Reverse<(u64, Event)>>,
     now: u64,
     probes: u64,
     /// When a process last used its connection to an instance.
-    used: HashMap<(usize, usize), u64>,
+    last_used: HashMap<(usize, usize), u64>,
     opened: u64,
-    ends: [u64; 3],
+    outcomes: [u64; 3],
 }
 
 fn at(micros: u64) -> Moment {
@@ -126,13 +128,13 @@
     })
 }
 
-/// Plays the case; where `dispatched`, one process decides for all.
-pub fn play(case: Case, dispatched: bool, seed: u64) -> Got {
+/// Simulates a case. With `dispatched`, one process dispatches all requests.
+pub fn simulate(case: Case, dispatched: bool, seed: u64) -> SimulationResult {
     let upstreams: Vec<Arc<Upstream>> = (0..case.instances)
         .map(|index| {
-            let mut made = upstream(index);
-            Arc::get_mut(&mut made).expect("new").slots = case.slots;
-            made
+            let mut upstream = upstream(index);
+            Arc::get_mut(&mut upstream).expect("new").slots = case.slots;
+            upstream
         })
         .collect();
     let processes = if dispatched { 1 } else { case.processes };
@@ -155,10 +157,10 @@
         }
         desk
     };
-    let mut rig = Rig {
+    let mut simulation = Simulation {
         desks: (0..processes).map(desk).collect(),
-        fakes: (0..case.instances as u64)
-            .map(|n| Fake {
+        instances: (0..case.instances as u64)
+            .map(|n| SimulatedInstance {
                 busy: 0,
                 queue: VecDeque::new(),
                 seed: seed * 1_000 + n,
@@ -170,72 +172,72 @@
         events: BinaryHeap::new(),
         now: 0,
         probes: 0,
-        used: HashMap::new(),
+        last_used: HashMap::new(),
         opened: 0,
-        ends: [0; 3],
+        outcomes: [0; 3],
         case,
     };
-    rig.run()
+    simulation.run()
 }
 
-impl Rig {
-    fn run(&mut self) -> Got {
+impl Simulation {
+    fn run(&mut self) -> SimulationResult {
         let end = self.case.seconds * 1_000_000;
         let mut next = 0.0;
         while next < end as f64 {
             let process = self.rng.random_range(0..self.desks.len());
-            // Work times spread as the sum of some even ones does.
+            // The sum of uniform values approximates a normal distribution.
             let spread: f64 = (0..4).map(|_| self.rng.random::<f64>()).sum::<f64>() - 2.0;
             self.jobs.push(Job {
                 process,
-                came: next as u64,
+                arrived_at: next as u64,
                 work: self.case.work as f64 * (0.5 * spread).exp(),
                 instance: 0,
                 ticket: None,
-                told: None,
-                settled: false,
+                slot: None,
+                done: false,
             });
             let job = self.jobs.len() - 1;
-            self.events.push(Reverse((next as u64, Event::Come(job))));
+            self.events.push(Reverse((next as u64, Event::Arrive(job))));
             next -= (1.0 - self.rng.random::<f64>()).ln() / self.case.calls * 1e6;
         }
         while let Some(Reverse((now, event))) = self.events.pop() {
             self.now = now;
             match event {
-                Event::Come(job) | Event::Look(job) => self.look(job),
+                Event::Arrive(job) | Event::Search(job) => self.search(job),
                 Event::End(job) => self.end(job),
             }
         }
         let all = self.jobs.len() as f64;
-        let [in_time, late, refused] = self.ends.map(|count| count as f64 / all);
-        let spans = (self.case.instances as u64 * self.case.seconds) as f64;
-        Got {
+        let [in_time, late, refused] = self.outcomes.map(|count| count as f64 / all);
+        let instance_seconds = (self.case.instances as u64 * self.case.seconds) as f64;
+        SimulationResult {
             in_time,
             late,
             refused,
-            probes: self.probes as f64 / spans,
+            probes: self.probes as f64 / instance_seconds,
             opened: self.opened as f64 / all,
         }
     }
 
     fn pace(&self, instance: usize) -> f64 {
         let stretch = self.now / self.case.stretch;
-        let seed = self.fakes[instance].seed.wrapping_mul(1_000_003) + stretch;
+        let seed = self.instances[instance].seed.wrapping_mul(1_000_003) + stretch;
         let slow = SmallRng::seed_from_u64(seed).random::<f64>() < self.case.slow_share;
         if slow { self.case.slowdown } else { 1.0 }
     }
 
     fn report(&self, instance: usize) -> LoadReport {
         LoadReport {
-            running: self.fakes[instance].busy,
-            waiting: self.fakes[instance].queue.len() as u32,
+            running: self.instances[instance].busy,
+            waiting: self.instances[instance].queue.len() as u32,
             slots: self.case.slots,
             pace: (self.pace(instance) * 100.0) as u32,
         }
     }
 
     fn need(&self, job: usize) -> Need {
-        let spent = self.now - self.jobs[job].came;
+        let spent = self.now - self.jobs[job].arrived_at;
         Need {
             work: Duration::from_micros(self.case.work),
             aim: Duration::from_micros(self.case.aim.saturating_sub(spent).max(self.case.aim / 4)),
@@ -245,20 +247,20 @@
         }
     }
 
-    /// How long the request still waits for room.
+    /// How long the request may still wait for a free slot.
     fn patience(&self, job: usize) -> u64 {
-        let margin = (self.case.work as f64 * MARGIN) as u64;
-        let spent = self.now - self.jobs[job].came;
+        let margin = (self.case.work as f64 * WORK_MARGIN) as u64;
+        let spent = self.now - self.jobs[job].arrived_at;
         self.case.aim.saturating_sub(margin).saturating_sub(spent)
     }
 
-    fn index(&self, upstream: &Upstream) -> usize {
+    fn index_of(&self, upstream: &Upstream) -> usize {
         let found = self.upstreams.iter().position(|u| u.id == upstream.id);
         found.expect("one of them")
     }
 
-    fn look(&mut self, job: usize) {
-        if self.jobs[job].settled || self.jobs[job].ticket.is_some() {
+    fn search(&mut self, job: usize) {
+        if self.jobs[job].done || self.jobs[job].ticket.is_some() {
             return;
         }
         let (process, need, now) = (self.jobs[job].process, self.need(job), at(self.now));
@@ -269,7 +271,7 @@
             }
             for (pick, upstream) in asked {
                 self.probes += 1;
-                let instance = self.index(&upstream);
+                let instance = self.index_of(&upstream);
                 self.connect(process, instance);
                 let report = self.report(instance);
                 self.desks[process].probed(now, pick, Some(report));
@@ -279,80 +281,80 @@
         match self.desks[process].choose(now, &need, &[]) {
             Verdict::Send(chosen) => self.send(job, &chosen),
             Verdict::Slow(chosen) if patience == 0 => self.send(job, &chosen),
-            Verdict::Slow(_) | Verdict::Wait if patience > 0 => self.wait(job, patience.min(LOOK)),
+            Verdict::Slow(_) | Verdict::Wait if patience > 0 => self.wait(job, patience.min(POLL)),
             _ => {
-                self.jobs[job].settled = true;
-                self.ends[2] += 1;
+                self.jobs[job].done = true;
+                self.outcomes[2] += 1;
             }
         }
     }
 
-    fn wait(&mut self, job: usize, span: u64) {
-        let until = self.now + span;
+    fn wait(&mut self, job: usize, duration: u64) {
+        let until = self.now + duration;
         let process = self.jobs[job].process;
-        self.jobs[job].told = Some(self.desks[process].wait(0, at(until)));
-        self.events.push(Reverse((until, Event::Look(job))));
+        self.jobs[job].slot = Some(self.desks[process].wait(0, at(until)));
+        self.events.push(Reverse((until, Event::Search(job))));
     }
 
     fn send(&mut self, job: usize, chosen: &Chosen) {
         let process = self.jobs[job].process;
         let ticket = self.desks[process].started(at(self.now), chosen.choice.pick);
-        let instance = self.index(&chosen.upstream);
+        let instance = self.index_of(&chosen.upstream);
         self.connect(process, instance);
         self.jobs[job].ticket = Some(ticket);
         self.jobs[job].instance = instance;
-        self.fakes[instance].queue.push_back(job);
-        self.begin(instance);
+        self.instances[instance].queue.push_back(job);
+        self.start_queued(instance);
     }
 
-    /// Uses the process's connection to an instance, a new one where none was kept.
+    /// Uses the process's connection to an instance, or opens one if none is alive.
     fn connect(&mut self, process: usize, instance: usize) {
-        let before = self.used.insert((process, instance), self.now);
-        let kept = before.is_some_and(|at| self.now - at < KEPT);
-        self.opened += u64::from(!kept);
+        let before = self.last_used.insert((process, instance), self.now);
+        let is_alive = before.is_some_and(|at| self.now - at < KEEP_ALIVE);
+        self.opened += u64::from(!is_alive);
     }
 
-    /// Begins what waits at the instance, as far as it has slots.
-    fn begin(&mut self, instance: usize) {
-        while self.fakes[instance].busy < self.case.slots {
-            let Some(job) = self.fakes[instance].queue.pop_front() else {
+    /// Starts requests that are queued at the instance while it has free slots.
+    fn start_queued(&mut self, instance: usize) {
+        while self.instances[instance].busy < self.case.slots {
+            let Some(job) = self.instances[instance].queue.pop_front() else {
                 return;
             };
-            self.fakes[instance].busy += 1;
-            let full = f64::from(self.fakes[instance].busy) > 0.8 * f64::from(self.case.slots);
-            let knee = if full { 1.7 } else { 1.0 };
-            let span = self.jobs[job].work * self.pace(instance) * knee;
+            self.instances[instance].busy += 1;
+            let full = f64::from(self.instances[instance].busy) > 0.8 * f64::from(self.case.slots);
+            let slowdown = if full { 1.7 } else { 1.0 };
+            let duration = self.jobs[job].work * self.pace(instance) * slowdown;
             self.events
-                .push(Reverse((self.now + span as u64, Event::End(job))));
+                .push(Reverse((self.now + duration as u64, Event::End(job))));
         }
     }
 
     fn end(&mut self, job: usize) {
         let (instance, process) = (self.jobs[job].instance, self.jobs[job].process);
-        self.fakes[instance].busy -= 1;
-        let in_time = self.now - self.jobs[job].came <= self.case.aim;
-        self.ends[usize::from(!in_time)] += 1;
-        self.jobs[job].settled = true;
+        self.instances[instance].busy -= 1;
+        let in_time = self.now - self.jobs[job].arrived_at <= self.case.aim;
+        self.outcomes[usize::from(!in_time)] += 1;
+        self.jobs[job].done = true;
         let ticket = self.jobs[job].ticket.take().expect("it was sent");
         let report = self.report(instance);
         self.desks[process].finished(at(self.now), ticket, Kind::Ok, Some(report));
-        self.begin(instance);
-        self.hand_on();
+        self.start_queued(instance);
+        self.offer_slots();
     }
 
-    /// Sends those that were handed room.
-    fn hand_on(&mut self) {
+    /// Sends the requests that were handed a free slot.
+    fn offer_slots(&mut self) {
         for job in 0..self.jobs.len() {
-            let told = self.jobs[job]
-                .told
+            let slot = self.jobs[job]
+                .slot
                 .as_mut()
                 .map(oneshot::Receiver::try_recv);
-            let Some(Ok(pick)) = told else { continue };
-            self.jobs[job].told = None;
+            let Some(Ok(pick)) = slot else { continue };
+            self.jobs[job].slot = None;
             let (process, need) = (self.jobs[job].process, self.need(job));
             let verdict = self.desks[process].choose_this(at(self.now), &need, pick);
             match verdict {
-                Verdict::Send(chosen) if !self.jobs[job].settled => self.send(job, &chosen),
+                Verdict::Send(chosen) if !self.jobs[job].done => self.send(job, &chosen),
                 _ => {}
             }
         }
--- a/crates/entry/tests/test_desk.rs
+++ b/crates/entry/tests/test_balancer.rs
@@ -1,4 +1,4 @@
-//! What all entry processes together spend on retries of one service.
+//! The retries of a service that all entry processes spend together.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use rand::rngs::SmallRng;
 
 const PROCESSES: usize = 16;
-/// Steps of 100 ms in one schedule.
+/// Number of steps in a schedule.
 const STEPS: usize = 600;
 const STEP: Duration = Duration::from_millis(100);
 const WINDOW: usize = 100;
@@ -34,21 +34,21 @@
     Desk::new(domain, &shared(), 1, now)
 }
 
-/// Requests and retries in each step.
-struct Day {
+/// The requests and retries of each step.
+struct Traffic {
     requests: Vec<u64>,
     retries: Vec<u64>,
 }
 
-/// Plays traffic that moves between processes and changes in volume, where all requests
-/// or hardly any fail for a while, and all processes are replaced at once now and then.
-fn play(seed: u64) -> Day {
+/// Simulates traffic that moves between processes and changes in volume, phases in which all
+/// requests or hardly any fail, and occasional restarts of all processes.
+fn simulate(seed: u64) -> Traffic {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut now = Moment::from_millis(1_000);
     let mut desks: Vec<Desk> = (0..PROCESSES).map(|_| desk(now)).collect();
     let mut shares = [1.0_f64; PROCESSES];
     let (mut volume, mut failing) = (30.0, 0.5);
-    let mut day = Day {
+    let mut traffic = Traffic {
         requests: vec![0; STEPS],
         retries: vec![0; STEPS],
     };
@@ -74,26 +74,26 @@
             let count = mean.trunc() as u32 + extra;
             for _ in 0..count {
                 desk.request(now);
-                day.requests[step] += 1;
+                traffic.requests[step] += 1;
                 if rng.random_bool(failing) && desk.pay(now) {
-                    day.retries[step] += 1;
+                    traffic.retries[step] += 1;
                 }
             }
         }
     }
-    day
+    traffic
 }
 
 fn sum(steps: &[u64], from: usize) -> u64 {
     steps[from..].iter().take(WINDOW).sum()
 }
 
-/// The first window with more retries than its requests, or those just before, allow.
-fn excess(day: &Day) -> Option<String> {
+/// The first window whose retries exceed the budget of its requests or of those just before.
+fn find_excess(traffic: &Traffic) -> Option<String> {
     (WINDOW..STEPS - WINDOW).find_map(|from| {
-        let before = [0, WINDOW / 2, WINDOW].map(|back| sum(&day.requests, from - back));
+        let before = [0, WINDOW / 2, WINDOW].map(|back| sum(&traffic.requests, from - back));
         let requests = before.into_iter().max().unwrap_or(0);
-        let retries = sum(&day.retries, from);
+        let retries = sum(&traffic.retries, from);
         let allowed = requests / 5 + 60;
         let found = format!("step {from}: {retries} retries, {allowed} allowed");
         (retries > allowed).then_some(found)
@@ -101,18 +101,18 @@
 }
 
 quickcheck! {
-    /// In each window the retries of all processes stay within what all requests allow.
-    fn prop_desk_retries_of_all_processes_hold(seed: u64) -> quickcheck::TestResult {
-        match excess(&play(seed)) {
+    /// Guards against processes that together exceed the retry budget in some window.
+    fn prop_balancer_retries_of_all_processes_stay_within_budget(seed: u64) -> quickcheck::TestResult {
+        match find_excess(&simulate(seed)) {
             None => quickcheck::TestResult::passed(),
             Some(found) => quickcheck::TestResult::error(format!("seed {seed}: {found}")),
         }
     }
 }
 
-/// While all requests fail, retries use most of what is allowed.
+/// Guards against a budget that is left mostly unused while all requests fail.
 #[test]
-fn test_desk_retries_use_most_of_what_is_allowed() {
+fn test_balancer_retries_use_most_of_budget() {
     let now = Moment::from_millis(1_000);
     let mut desk = desk(now);
     let mut paid = 0;
--- a/crates/entry/tests/test_burst.rs
+++ b/crates/entry/tests/test_burst.rs
@@ -1,4 +1,4 @@
-//! What callers get as a service fills up, with one dispatcher and without.
+//! Requests answered in time as the load of a service rises, with and without a dispatcher.
 
 #![allow(
     clippy::cast_possible_truncation,
@@ -7,14 +7,14 @@
     reason = "figures of a model"
 )]
 
-mod rig;
+mod simulation;
 
-use rig::Case;
-use rig::Got;
-use rig::play;
+use simulation::Case;
+use simulation::SimulationResult;
+use simulation::simulate;
 
-/// A service of 52 slots that was measured: its heaviest days bring 300 to 450 requests a
-/// second, calm ones 200.
+/// A service with 52 slots. On busy days it receives 300 to 450 requests per second, otherwise
+/// 200.
 const BUSY: Case = Case {
     instances: 13,
     slots: 4,
@@ -28,7 +28,7 @@
     seconds: 10,
 };
 
-/// Services of other shapes; each is given four fifths of what it can take at best.
+/// Services of other shapes, each at about 80 % of its capacity.
 const OTHERS: [Case; 5] = [
     Case {
         instances: 4,
@@ -85,11 +85,14 @@
     },
 ];
 
-/// Means over three seeds.
-fn mean(case: Case, dispatched: bool) -> Got {
-    let got: Vec<Got> = (1..=3).map(|seed| play(case, dispatched, seed)).collect();
-    let part = |of: fn(&Got) -> f64| got.iter().map(of).sum::<f64>() / got.len() as f64;
-    Got {
+/// Averages over three seeds.
+fn mean(case: Case, dispatched: bool) -> SimulationResult {
+    let got: Vec<SimulationResult> = (1..=3)
+        .map(|seed| simulate(case, dispatched, seed))
+        .collect();
+    let part =
+        |of: fn(&SimulationResult) -> f64| got.iter().map(of).sum::<f64>() / got.len() as f64;
+    SimulationResult {
         in_time: part(|got| got.in_time),
         late: part(|got| got.late),
         refused: part(|got| got.refused),
@@ -98,15 +101,15 @@
     }
 }
 
-fn both(name: &str, case: Case) -> (Got, Got) {
-    let (alone, placed) = (mean(case, false), mean(case, true));
-    for (way, got) in [("alone", alone), ("placed", placed)] {
+fn compare(name: &str, case: Case) -> (SimulationResult, SimulationResult) {
+    let (without_dispatcher, with_dispatcher) = (mean(case, false), mean(case, true));
+    for (way, got) in [("alone", without_dispatcher), ("placed", with_dispatcher)] {
         println!(
             "{name} {way}: in time {:.3}, late {:.3}, refused {:.3}, probes {:.0}",
             got.in_time, got.late, got.refused, got.probes
         );
     }
-    (alone, placed)
+    (without_dispatcher, with_dispatcher)
 }
 
 #[test]
@@ -119,17 +122,24 @@
         (450.0, 0.05),
     ];
     for (calls, gain) in loads {
-        let (alone, placed) = both(&format!("{calls} a second"), Case { calls, ..BUSY });
-        assert!(placed.in_time > alone.in_time + gain, "{calls} a second");
-        assert!(placed.probes <= 24.5, "{calls} a second");
+        let (without_dispatcher, with_dispatcher) =
+            compare(&format!("{calls} a second"), Case { calls, ..BUSY });
+        assert!(
+            with_dispatcher.in_time > without_dispatcher.in_time + gain,
+            "{calls} a second"
+        );
+        assert!(with_dispatcher.probes <= 24.5, "{calls} a second");
     }
 }
 
-/// Nothing of it rests on one deployment's figures.
+/// Guards against a dispatcher that helps only services shaped like [`BUSY`].
 #[test]
 fn test_burst_dispatcher_serves_no_other_service_worse() {
     for (number, case) in OTHERS.into_iter().enumerate() {
-        let (alone, placed) = both(&format!("shape {number}"), case);
-        assert!(placed.in_time > alone.in_time - 0.01, "shape {number}");
+        let (without_dispatcher, with_dispatcher) = compare(&format!("shape {number}"), case);
+        assert!(
+            with_dispatcher.in_time > without_dispatcher.in_time - 0.01,
+            "shape {number}"
+        );
     }
 }
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -1,4 +1,4 @@
-//! What an instance that is cold gets from many processes together.
+//! The load that many processes together put on a cold instance.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
     slack: 8,
 };
 const SECOND: u64 = 1_000;
-/// How long processes take to hold the same list after a change.
+/// Time in which all processes learn of a new process list, in milliseconds.
 const SPREAD: u64 = 800;
 const NEED: Need = Need {
     work: Duration::from_millis(10),
@@ -89,7 +89,7 @@
     desk
 }
 
-/// Idle and quick, as an instance that gets little says.
+/// The report of an idle instance at normal pace.
 const IDLE: LoadReport = LoadReport {
     running: 0,
     waiting: 0,
@@ -97,7 +97,7 @@
     pace: 100,
 };
 
-/// Sends one request if the desk lets it, as if it were told that there is room.
+/// Sends a request if the balancer selects an instance; probes report an idle one.
 fn send(desk: &mut Desk, now: Moment) -> bool {
     for (pick, _) in desk.plan(now, &NEED, &[], 0) {
         desk.probed(now, pick, Some(IDLE));
@@ -110,19 +110,19 @@
     true
 }
 
-/// Most starts in any second; `starts` are in order.
-fn busiest(starts: &[u64]) -> usize {
-    let mut most = 0;
+/// Maximum number of starts in any second; `starts` are sorted.
+fn max_starts_per_second(starts: &[u64]) -> usize {
+    let mut max_starts = 0;
     for (index, from) in starts.iter().enumerate() {
         let rest = &starts[index..];
-        most = most.max(rest.partition_point(|at| *at < from + SECOND));
+        max_starts = max_starts.max(rest.partition_point(|at| *at < from + SECOND));
     }
-    most
+    max_starts
 }
 
-/// Plays ten seconds of an instance that is cold all the time, while every process has far
-/// more requests than it may send, lists change and processes restart.
-fn play(seed: u64) -> Vec<u64> {
+/// Simulates ten seconds of a cold instance. Every process has more requests than it may send,
+/// process lists change, and processes restart.
+fn simulate(seed: u64) -> Vec<u64> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let cold = Duration::from_mins(1);
     let mut first = 0;
@@ -132,25 +132,25 @@
         desk
     };
     let mut desks: Vec<Desk> = (0..PROCESSES).map(|own| new(own, 0, 1, 0)).collect();
-    let mut due: Vec<u64> = vec![u64::MAX; desks.len()];
+    let mut update_at: Vec<u64> = vec![u64::MAX; desks.len()];
     let mut starts = Vec::new();
     for now in (0..10 * SECOND).step_by(20) {
         if now % (3 * SECOND) == 0 && now > 0 {
             first = rng.random_range(0..30);
-            due = due
+            update_at = update_at
                 .iter()
                 .map(|_| now + rng.random_range(0..SPREAD))
                 .collect();
         }
         for own in 0..PROCESSES {
             let index = usize::try_from(own).expect("small");
-            if due[index] <= now {
-                due[index] = u64::MAX;
+            if update_at[index] <= now {
+                update_at[index] = u64::MAX;
                 desks[index].set_warmup(Some(WARMUP), &processes(own, first..PROCESSES, now));
             }
             if rng.random_bool(0.001) {
                 desks[index] = new(own, first, now, now);
-                due[index] = u64::MAX;
+                update_at[index] = u64::MAX;
             }
             if send(&mut desks[index], at(now)) {
                 starts.push(now);
@@ -162,15 +162,18 @@
 
 #[test]
 fn test_cold_instance_gets_its_share_and_no_more() {
-    let starts = play(1);
-    let most = usize::try_from(WARMUP.most()).expect("small");
-    assert!(busiest(&starts) <= most, "{} in a second", busiest(&starts));
-    // At least half of what it takes by itself.
+    let starts = simulate(1);
+    let limit = usize::try_from(WARMUP.most()).expect("small");
+    assert!(
+        max_starts_per_second(&starts) <= limit,
+        "{} in a second",
+        max_starts_per_second(&starts)
+    );
+    // At least half of the instance's rate.
     assert!(starts.len() >= 29, "{} in ten seconds", starts.len());
 }
 
-/// One that says that it is cold, of which nothing was told before, is bounded from then on;
-/// one that says that it is warm gets what it can do.
+/// Guards against ignoring what an instance reports about being cold, in either direction.
 #[test]
 fn test_cold_is_what_the_instance_says() {
     let mut desk = desk(at(0), Duration::ZERO);
@@ -179,27 +182,27 @@
     assert!(send(&mut desk, now), "warm");
     let pick = desk.picks(&["i-1".into()])[0];
     desk.told_cold(now, pick, Duration::from_secs(3));
-    assert!(!send(&mut desk, now + Duration::from_secs(1)), "no keeper");
+    assert!(!send(&mut desk, now + Duration::from_secs(1)), "no share");
     assert!(send(&mut desk, now + Duration::from_secs(3)), "warm again");
 }
 
-/// Where nothing says what cold instances take, they are slower and nothing else.
+/// Guards against withholding requests from cold instances of a service without a limit.
 #[test]
-fn test_cold_without_a_bound_is_sent_to() {
+fn test_cold_instance_without_limit_gets_requests() {
     let mut desk = desk(at(0), Duration::from_mins(1));
     desk.set_warmup(None, &processes(0, 0..PROCESSES, 1));
     assert!(send(&mut desk, at(5 * SECOND)));
 }
 
-/// Seeds of one run of the tests; each plays ten seconds of 117 processes.
+/// Number of seeds per test run; each simulates ten seconds of 117 processes.
 const SEEDS: u64 = 12;
 
 #[test]
 fn prop_cold_bound_holds_in_sum() {
-    fn holds(seed: u64) -> bool {
-        busiest(&play(seed)) <= usize::try_from(WARMUP.most()).expect("small")
+    fn stays_within_limit(seed: u64) -> bool {
+        max_starts_per_second(&simulate(seed)) <= usize::try_from(WARMUP.most()).expect("small")
     }
     QuickCheck::new()
         .tests(SEEDS)
-        .quickcheck(holds as fn(u64) -> bool);
+        .quickcheck(stays_within_limit as fn(u64) -> bool);
 }
--- a/crates/entry/tests/test_crash.rs
+++ b/crates/entry/tests/test_crash.rs
@@ -1,4 +1,4 @@
-//! What becomes of instances whose attempts break off.
+//! Detection of crashed instances after attempts that broke off.
 
 mod fakes;
 
@@ -15,7 +15,7 @@
 use fakes::HUB;
 use fakes::entry;
 use fakes::instance;
-use fakes::upstream::Manner;
+use fakes::upstream::Behavior;
 use fakes::upstream::Upstream;
 use quarantine::Head;
 use tokio::net::TcpListener;
@@ -54,26 +54,27 @@
 }
 
 #[tokio::test]
-async fn test_crash_instance_that_takes_connections_runs_on() {
-    let upstream = Upstream::start("i-1", Manner::Close).await;
+async fn test_crash_instance_that_accepts_connections_is_running() {
+    let upstream = Upstream::start("i-1", Behavior::Close).await;
     let entry = entry(&[&upstream]).await;
     assert_eq!(fate(&entry, broken(&upstream)).await, Fate::Runs);
 }
 
 #[tokio::test]
 async fn test_crash_instance_that_refuses_connections_crashed() {
-    let upstream = Upstream::start("i-1", Manner::Close).await;
+    let upstream = Upstream::start("i-1", Behavior::Close).await;
     let entry = entry(&[&upstream]).await;
     let broken = broken(&upstream);
     drop(upstream);
     assert_eq!(fate(&entry, broken).await, Fate::Crashed);
 }
 
-/// Its process is ending: the listener still takes connections, and closes after them.
+/// Guards against missing a crash while the listener of the ending process still accepts
+/// connections.
 #[tokio::test]
 async fn test_crash_instance_that_ends_while_it_takes_connections_crashed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds");
-    let mut upstream = Upstream::start("i-1", Manner::Close).await;
+    let mut upstream = Upstream::start("i-1", Behavior::Close).await;
     upstream.address = listener.local_addr().expect("an address");
     let entry = entry(&[&upstream]).await;
     let looking = fate(&entry, broken(&upstream));
@@ -86,8 +87,8 @@
 }
 
 #[tokio::test]
-async fn test_crash_instance_that_leaves_did_not_crash() {
-    let upstream = Upstream::start("i-1", Manner::Close).await;
+async fn test_crash_draining_instance_did_not_crash() {
+    let upstream = Upstream::start("i-1", Behavior::Close).await;
     let entry = entry(&[&upstream]).await;
     let leaves = Instance {
         phase: Phase::Draining.into(),
--- a/crates/entry/tests/test_evacuation.rs
+++ b/crates/entry/tests/test_evacuation.rs
@@ -1,4 +1,4 @@
-//! What an entry process does with a failure domain that an operator has emptied.
+//! Evacuation of failure domains by an operator.
 
 mod fakes;
 
@@ -7,23 +7,23 @@
 use evacuation::Domains;
 use fakes::HUB;
 use fakes::ONCE;
-use fakes::bare;
 use fakes::caller::call;
 use fakes::instance;
+use fakes::start_unconfigured;
 use fakes::table;
-use fakes::upstream::Manner;
+use fakes::upstream::Behavior;
 use fakes::upstream::Upstream;
 use wire::hub::Instance;
 use wire::hub::Phase;
 use wire::place::Placed;
 
-/// Domains `a` and `b` with an upstream each.
-async fn two() -> (Entry, [Upstream; 2]) {
-    let entry = bare().await;
+/// An entry process with an upstream in each of the domains `a` and `b`.
+async fn two_domains() -> (Entry, [Upstream; 2]) {
+    let entry = start_unconfigured().await;
     entry.core().set_table(table(1));
     let upstreams = [
-        Upstream::start("i-1", Manner::Answer).await,
-        Upstream::start("i-2", Manner::Answer).await,
+        Upstream::start("i-1", Behavior::Answer).await,
+        Upstream::start("i-2", Behavior::Answer).await,
     ];
     let rows = upstreams.iter().zip(["a", "b"]);
     let rows: Vec<Instance> = rows
@@ -40,11 +40,11 @@
     DomainName::new(name).expect("a name")
 }
 
-/// Takes an order as a hub would tell it.
-fn order(entry: &Entry, held: &mut Domains, name: &str, evacuated: bool) {
-    let order = held.order(&domain(name), evacuated);
-    held.apply(&order);
-    entry.core().apply_evacuations(HUB, &held.to_wire());
+/// Applies an order as reported by a hub.
+fn apply_order(entry: &Entry, evacuations: &mut Domains, name: &str, evacuated: bool) {
+    let order = evacuations.order(&domain(name), evacuated);
+    evacuations.apply(&order);
+    entry.core().apply_evacuations(HUB, &evacuations.to_wire());
 }
 
 async fn calls(entry: &Entry, count: usize) -> Vec<u16> {
@@ -57,34 +57,46 @@
 }
 
 #[tokio::test]
-async fn test_evacuation_domain_gets_nothing_until_it_is_taken_back() {
-    let (entry, [one, two]) = two().await;
-    let mut held = Domains::default();
-    order(&entry, &mut held, "a", true);
+async fn test_evacuation_domain_gets_nothing_until_revoked() {
+    let (entry, [one, two]) = two_domains().await;
+    let mut evacuations = Domains::default();
+    apply_order(&entry, &mut evacuations, "a", true);
     assert_eq!(calls(&entry, 20).await, [200; 20]);
-    assert_eq!((one.arrivals().len(), two.arrivals().len()), (0, 20));
-    // Taken back, it is used again; a hub that is behind changes nothing.
-    let before = held.to_wire();
-    order(&entry, &mut held, "a", false);
+    assert_eq!(
+        (one.received_requests().len(), two.received_requests().len()),
+        (0, 20)
+    );
+    // A revoked evacuation no longer applies, and an outdated report of it is ignored.
+    let before = evacuations.to_wire();
+    apply_order(&entry, &mut evacuations, "a", false);
     entry.core().apply_evacuations(HUB, &before);
-    order(&entry, &mut held, "b", true);
+    apply_order(&entry, &mut evacuations, "b", true);
     assert_eq!(calls(&entry, 20).await, [200; 20]);
-    assert_eq!((one.arrivals().len(), two.arrivals().len()), (20, 20));
+    assert_eq!(
+        (one.received_requests().len(), two.received_requests().len()),
+        (20, 20)
+    );
 }
 
-/// Instances that announce themselves while their domain is empty get nothing either.
+/// Guards against using instances that are announced during the evacuation of their domain.
 #[tokio::test]
-async fn test_evacuation_holds_for_instances_that_come_later() {
-    let (entry, [one, two]) = two().await;
-    let mut held = Domains::default();
-    order(&entry, &mut held, "a", true);
-    let late = Upstream::start("i-3", Manner::Answer).await;
+async fn test_evacuation_applies_to_instances_announced_later() {
+    let (entry, [one, two]) = two_domains().await;
+    let mut evacuations = Domains::default();
+    apply_order(&entry, &mut evacuations, "a", true);
+    let late = Upstream::start("i-3", Behavior::Answer).await;
     let row = instance(&late, "status");
     entry.core().apply_instances(HUB, &[row], &[]);
     assert_eq!(calls(&entry, 10).await, [200; 10]);
-    assert_eq!(two.arrivals().len(), 10);
-    assert_eq!((one.arrivals().len(), late.arrivals().len()), (0, 0));
-    // The same announcement once more doesn't bring it back.
+    assert_eq!(two.received_requests().len(), 10);
+    assert_eq!(
+        (
+            one.received_requests().len(),
+            late.received_requests().len()
+        ),
+        (0, 0)
+    );
+    // A newer announcement doesn't lift the evacuation.
     let again = Instance {
         sequence: 2,
         phase: Phase::Ready.into(),
@@ -92,13 +104,13 @@
     };
     entry.core().apply_instances(HUB, &[again], &[]);
     assert_eq!(calls(&entry, 10).await, [200; 10]);
-    assert_eq!(late.arrivals().len(), 0);
+    assert_eq!(late.received_requests().len(), 0);
 }
 
-/// A dispatcher that doesn't know yet grants an instance there; nothing is sent.
+/// Guards against using the grant of a dispatcher that doesn't know of the evacuation yet.
 #[tokio::test]
 async fn test_evacuation_grant_of_a_dispatcher_that_is_behind_is_not_used() {
-    let (entry, _upstreams) = two().await;
+    let (entry, _upstreams) = two_domains().await;
     let service = ServiceName::new("status").expect("a name");
     let placed = |id: &str| Placed {
         instance: id.into(),
@@ -110,19 +122,19 @@
         granted.flatten().is_some()
     };
     assert!(usable("i-1") && usable("i-2"));
-    order(&entry, &mut Domains::default(), "a", true);
+    apply_order(&entry, &mut Domains::default(), "a", true);
     assert!(!usable("i-1") && usable("i-2"));
 }
 
-/// All domains at once: nothing can be served, and callers are told so at once.
+/// Guards against requests that wait although every domain is evacuated.
 #[tokio::test]
 async fn test_evacuation_of_all_domains_refuses_at_once() {
-    let (entry, upstreams) = two().await;
-    let mut held = Domains::default();
-    order(&entry, &mut held, "a", true);
-    order(&entry, &mut held, "b", true);
+    let (entry, upstreams) = two_domains().await;
+    let mut evacuations = Domains::default();
+    apply_order(&entry, &mut evacuations, "a", true);
+    apply_order(&entry, &mut evacuations, "b", true);
     let answer = call(entry.front(), "GET", ONCE, "r-1").await;
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
-    assert!(upstreams.iter().all(|u| u.arrivals().is_empty()));
+    assert!(upstreams.iter().all(|u| u.received_requests().is_empty()));
 }
--- a/crates/entry/tests/test_habit.rs
+++ b/crates/entry/tests/test_habit.rs
@@ -1,4 +1,4 @@
-//! What is learned of a route's requests.
+//! Statistics of a route's requests: the time that callers have already spent elsewhere.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     Duration::from_millis(count)
 }
 
-/// A route, and the time of its next caller, 100 ms after the one before.
+/// A route whose callers arrive at intervals of 100 ms.
 struct Route {
     habit: Habit,
     now: Moment,
@@ -23,23 +23,23 @@
         }
     }
 
-    /// One that has had callers with `left` for a while.
-    fn with_callers(left: u64) -> Self {
+    /// A route that has seen many callers with about `remaining` milliseconds remaining.
+    fn with_callers(remaining: u64) -> Self {
         let mut route = Self::new();
         for step in 0..100 {
-            route.spent(left + step % 4);
+            route.spent(remaining + step % 4);
         }
         route
     }
 
-    fn spent(&mut self, left: u64) -> Duration {
+    fn spent(&mut self, remaining: u64) -> Duration {
         self.now = self.now + millis(100);
-        self.habit.spent(self.now, millis(left))
+        self.habit.spent(self.now, millis(remaining))
     }
 }
 
 #[test]
-fn test_habit_caller_that_asks_again_has_spent_the_difference() {
+fn test_habit_caller_that_retries_has_spent_the_difference() {
     let mut route = Route::with_callers(1_494);
     let spent = route.spent(1_490);
     assert!(spent <= millis(10), "{spent:?}");
@@ -52,9 +52,9 @@
     let mut route = Route::new();
     let mut late = 0;
     for step in 0..1_000 {
-        // From 4.3 to 5 s, in an order that repeats late.
-        let left = 4_300 + step * 383 % 700;
-        late += u32::from(route.spent(left) > Duration::ZERO);
+        // From 4.3 to 5 s, in an order with a long period.
+        let remaining = 4_300 + step * 383 % 700;
+        late += u32::from(route.spent(remaining) > Duration::ZERO);
     }
     assert!(late <= 100, "{late} of 1000 taken for late");
     assert!(route.spent(3_000) > millis(1_400));
@@ -67,7 +67,7 @@
         let spent = route.spent(900 - step * 10);
         assert!(spent > millis(400), "{spent:?} at {step}");
     }
-    // The first ones after it are not.
+    // The first callers after the outage are on time.
     let spent = route.spent(1_495);
     assert!(spent.is_zero(), "{spent:?}");
 }
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn test_habit_longer_patience_of_few_callers_makes_no_other_late() {
+fn test_habit_few_longer_timeouts_make_no_other_caller_late() {
     let mut route = Route::with_callers(1_000);
     for _ in 0..3 {
         route.spent(3_000);
@@ -93,22 +93,23 @@
     assert!(route.spent(500) > millis(400));
 }
 
-/// After a restart of everything; one in twenty-five waits three times as long.
+/// Guards against treating most callers as late after a restart of the whole system, when one in
+/// twenty-five waits three times as long.
 #[test]
-fn test_habit_first_callers_after_a_restart_are_not_measured_by_the_most_patient() {
+fn test_habit_longest_timeout_after_a_restart_makes_no_other_caller_late() {
     let timeout = Some(millis(500));
     let mut habit = Habit::guess(Some(millis(200)), timeout);
     let mut now = Moment::from_millis(1_000);
     for step in 0..50 {
         now = now + millis(20);
-        let left = if step % 25 == 0 {
+        let remaining = if step % 25 == 0 {
             1_430
         } else {
             425 + step * 7 % 75
         };
-        let spent = habit.spent(now, millis(left));
+        let spent = habit.spent(now, millis(remaining));
         assert!(spent.is_zero(), "{spent:?} at {step}");
     }
-    // One that was refused and has come back.
+    // A caller that retries after a refusal.
     assert!(habit.spent(now, millis(300)) >= millis(190));
 }
--- a/crates/entry/tests/test_hubs.rs
+++ b/crates/entry/tests/test_hubs.rs
@@ -1,4 +1,4 @@
-//! Who among the hubs is asked for what.
+//! Selection of the hubs that provide instances, entry hosts and tables.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,15 +17,15 @@
     SocketAddr::from(([10, 0, 0, last], 7012))
 }
 
-/// Of a process that holds instances once the sender says so.
-fn hubs_of() -> (Hubs, watch::Sender<bool>) {
-    let (instances_known, told) = watch::channel(false);
+/// The hubs of a process, and the sender that tells whether it knows any instance.
+fn hubs_with_sender() -> (Hubs, watch::Sender<bool>) {
+    let (instances_known, receiver) = watch::channel(false);
     let domain = DomainName::new("a").expect("a name");
-    (Hubs::new(domain, told), instances_known)
+    (Hubs::new(domain, receiver), instances_known)
 }
 
 fn hubs() -> Hubs {
-    hubs_of().0
+    hubs_with_sender().0
 }
 
 fn status(near: bool, table: u64) -> HubStatus {
@@ -40,11 +40,11 @@
     }
 }
 
-/// A list of entry hosts in whole.
-fn list(mark: u64, addresses: &[&str]) -> WatchReply {
+/// A reply with a full list of entry hosts.
+fn list(list_id: u64, addresses: &[&str]) -> WatchReply {
     let rows = addresses.iter().map(|address| host(address)).collect();
     WatchReply {
-        list: mark,
+        list: list_id,
         packed: registry::pack_hosts(rows).expect("packs").into(),
         ..WatchReply::default()
     }
@@ -57,36 +57,42 @@
     }
 }
 
-/// The entry hosts after an answer to a watch that named the list `held`; none if nothing
+/// The entry hosts after the reply to a watch that named the list `held`; `None` if nothing
 /// changed.
-fn take(hubs: &Hubs, held: u64, reply: &WatchReply) -> Option<Vec<String>> {
-    let taken = hubs.hosts().apply(held, reply).expect("a list");
+fn apply_hosts(hubs: &Hubs, base: u64, reply: &WatchReply) -> Option<Vec<String>> {
+    let taken = hubs.hosts().apply(base, reply).expect("a list");
     let hosts = taken?.into_iter();
     Some(hosts.map(|host| host.address).collect())
 }
 
-fn named(addresses: &[&str]) -> Vec<String> {
+fn addresses_of(addresses: &[&str]) -> Vec<String> {
     addresses.iter().map(ToString::to_string).collect()
 }
 
 #[tokio::test(start_paused = true)]
-async fn test_hubs_nearest_that_answers_is_asked_for_entry_hosts() {
+async fn test_hubs_nearest_live_hub_is_primary() {
     let hubs = hubs();
-    // Before any has answered, each is.
+    // While no hub has answered, each one is the primary.
     assert!(hubs.is_primary(hub(1)) && hubs.is_primary(hub(2)));
     hubs.record(hub(1), status(false, 0));
     hubs.record(hub(2), status(true, 0));
     assert!(!hubs.is_primary(hub(1)) && hubs.is_primary(hub(2)));
-    assert_eq!(take(&hubs, 0, &list(7, &["a:1"])), Some(named(&["a:1"])));
-    // The near one falls silent; what it told no longer counts.
+    assert_eq!(
+        apply_hosts(&hubs, 0, &list(7, &["a:1"])),
+        Some(addresses_of(&["a:1"]))
+    );
+    // The local hub stops answering, and its status expires.
     advance(Duration::from_secs(2)).await;
     hubs.record(hub(1), status(false, 0));
     assert!(hubs.is_primary(hub(1)) && !hubs.is_primary(hub(2)));
-    assert_eq!(take(&hubs, 7, &list(8, &["b:1"])), Some(named(&["b:1"])));
+    assert_eq!(
+        apply_hosts(&hubs, 7, &list(8, &["b:1"])),
+        Some(addresses_of(&["b:1"]))
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn test_hubs_one_that_fails_to_answer_is_replaced_at_once() {
+async fn test_hubs_failed_primary_is_replaced_at_once() {
     let hubs = hubs();
     hubs.record(hub(1), status(false, 0));
     hubs.record(hub(2), status(true, 0));
@@ -98,9 +104,9 @@
     assert_eq!(*primary.borrow_and_update(), Some(hub(2)));
 }
 
-/// Processes of one failure domain without a hub of its own go to the same one.
+/// Guards against processes of one failure domain that select different remote hubs.
 #[tokio::test(start_paused = true)]
-async fn test_hubs_elsewhere_are_ranked_alike_in_a_domain() {
+async fn test_hubs_remote_primary_is_the_same_within_a_domain() {
     let primary = || {
         let hubs = hubs();
         for last in 1..=7 {
@@ -114,12 +120,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn test_hubs_one_at_a_time_is_asked_for_all_instances() {
-    let (hubs, instances_known) = hubs_of();
+async fn test_hubs_full_list_comes_from_one_hub_at_a_time() {
+    let (hubs, instances_known) = hubs_with_sender();
     assert_eq!(hubs.role(hub(1)), Role::FullList);
     assert_eq!(hubs.role(hub(2)), Role::Idle);
     assert_eq!(hubs.role(hub(1)), Role::FullList);
-    // It is slow or gone.
+    // The first hub is slow or down.
     advance(Duration::from_millis(400)).await;
     assert_eq!(hubs.role(hub(2)), Role::FullList);
     assert_eq!(hubs.role(hub(1)), Role::Idle);
@@ -132,22 +138,25 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn test_hubs_entry_hosts_are_told_by_what_changes() {
+async fn test_hubs_entry_hosts_are_updated_by_changes() {
     let hubs = hubs();
-    take(&hubs, 0, &list(7, &["a:1", "b:1"]));
+    apply_hosts(&hubs, 0, &list(7, &["a:1", "b:1"]));
     let change = WatchReply {
         list: 8,
         hosts: vec![host("c:1")],
         lost: vec!["a:1".to_owned()],
         ..WatchReply::default()
     };
-    assert_eq!(take(&hubs, 7, &change), Some(named(&["b:1", "c:1"])));
-    // The same again, or a change of another list than the one that is held.
-    assert_eq!(take(&hubs, 8, &change), None);
+    assert_eq!(
+        apply_hosts(&hubs, 7, &change),
+        Some(addresses_of(&["b:1", "c:1"]))
+    );
+    // The same reply again, or a change to a list that isn't the current one.
+    assert_eq!(apply_hosts(&hubs, 8, &change), None);
     let other = WatchReply { list: 9, ..change };
-    assert_eq!(take(&hubs, 7, &other), None);
+    assert_eq!(apply_hosts(&hubs, 7, &other), None);
     assert_eq!(hubs.hosts().list_id(), 8);
-    // One that is damaged changes nothing.
+    // A damaged list changes nothing.
     let damaged = WatchReply {
         packed: "other".into(),
         ..other
@@ -156,16 +165,17 @@
     assert_eq!(hubs.hosts().list_id(), 8);
 }
 
-/// A hub that has just started knows few entry hosts: budgets are for all of them.
+/// Guards against sharing budgets among the few entry hosts known to a hub that has just
+/// started.
 #[tokio::test(start_paused = true)]
-async fn test_hubs_most_entry_hosts_share_what_is_shared_out() {
+async fn test_hubs_largest_entry_count_is_used() {
     let hubs = hubs();
     hubs.record(hub(1), status(true, 0));
-    let young = HubStatus {
+    let new_hub = HubStatus {
         entry_count: 1,
         ..status(true, 0)
     };
-    hubs.record(hub(2), young);
+    hubs.record(hub(2), new_hub);
     assert_eq!(hubs.entry_count(), 3);
 }
 
@@ -176,12 +186,12 @@
     hubs.record(hub(1), status(true, 7));
     assert!(hubs.begin_fetch());
     assert!(!hubs.begin_fetch() && hubs.is_fetching());
-    // A slow one doesn't keep others from trying.
+    // A slow fetch doesn't block others.
     advance(Duration::from_millis(400)).await;
     assert!(!hubs.is_fetching() && hubs.begin_fetch());
     hubs.end_fetch(7);
     assert!(!fetch_incomplete.has_changed().expect("the hubs live"));
-    // A newer one was told of while an older one came.
+    // A newer version is reported during the fetch.
     assert!(hubs.begin_fetch());
     hubs.record(hub(2), status(false, 8));
     hubs.end_fetch(7);
@@ -190,7 +200,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn test_hubs_wanted_are_those_that_live_ones_name() {
+async fn test_hubs_targets_are_members_named_by_live_hubs() {
     let hubs = hubs();
     let seeds = [hub(8), hub(9)];
     assert_eq!(hubs.targets(&seeds), seeds);
@@ -200,9 +210,9 @@
     assert_eq!(hubs.targets(&seeds), seeds);
 }
 
-/// Hubs that make themselves known are asked beside the seeds, until others are live.
+/// Guards against ignoring beacons at startup, and against using them while hubs are live.
 #[tokio::test(start_paused = true)]
-async fn test_hubs_hints_are_wanted_while_none_is_live() {
+async fn test_hubs_hints_are_targets_while_no_hub_is_live() {
     let hubs = hubs();
     let mut members_changed = hubs.members_changed.subscribe();
     assert!(hubs.add_hints(&[hub(3), hub(9)]));
@@ -221,8 +231,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn test_hubs_more_of_them_hold_watches_for_longer() {
-    let (hubs, instances_known) = hubs_of();
+async fn test_hubs_watch_timeout_grows_with_hub_count() {
+    let (hubs, instances_known) = hubs_with_sender();
     instances_known.send_replace(true);
     let mut waits = Vec::new();
     for last in 1..=9 {
@@ -230,7 +240,7 @@
         waits.push(hubs.watch_timeout(hub(last)).as_millis());
     }
     assert_eq!(waits, [500, 500, 501, 668, 835, 1000, 1000, 1000, 1000]);
-    // One elsewhere tells nothing by the end of a watch.
+    // A remote hub that isn't the primary holds watches for longer.
     hubs.record(hub(10), status(false, 0));
     assert_eq!(hubs.watch_timeout(hub(10)).as_millis(), 4_000);
 }
--- a/crates/entry/tests/test_placing.rs
+++ b/crates/entry/tests/test_placing.rs
@@ -1,4 +1,4 @@
-//! Requests that are placed by another entry process, and dispatchers that fail.
+//! Placement of requests by another entry process, and failures of dispatchers.
 
 mod fakes;
 
@@ -20,7 +20,7 @@
 use fakes::instance;
 use fakes::settings;
 use fakes::table;
-use fakes::upstream::Manner;
+use fakes::upstream::Behavior;
 use fakes::upstream::Upstream;
 use futures::StreamExt;
 use route::LoadReport;
@@ -46,7 +46,7 @@
     ServiceName::new("status").expect("a name")
 }
 
-/// An entry process that knows the table and these instances.
+/// Starts an entry process that knows the table and the given instances.
 async fn start(rows: &[Instance]) -> Entry {
     let settings = Settings {
         place: Some(FREE),
@@ -60,12 +60,12 @@
     entry
 }
 
-fn place(entry: &Entry) -> SocketAddr {
+fn place_address(entry: &Entry) -> SocketAddr {
     entry.core().settings().place.expect("bound")
 }
 
-/// Names the only process that may decide.
-fn name(entry: &Entry, dispatcher: SocketAddr) {
+/// Makes `dispatcher` the only process that may dispatch.
+fn set_dispatcher(entry: &Entry, dispatcher: SocketAddr) {
     entry.core().set_hosts(vec![EntryHost {
         address: "127.0.0.1:1".into(),
         place: dispatcher.to_string(),
@@ -77,7 +77,7 @@
     entry.core().desk(&service(), ask).expect("a desk")
 }
 
-/// Tells the process that every instance has all slots taken.
+/// Reports all slots of every instance as taken.
 fn make_busy(entry: &Entry) {
     let full = LoadReport {
         running: 6,
@@ -94,8 +94,8 @@
     });
 }
 
-/// Waits until so many grants are open.
-async fn granted(entry: &Entry, count: usize) {
+/// Waits until `count` grants are open.
+async fn wait_for_grants(entry: &Entry, count: usize) {
     let reached = async {
         while desk(entry, |desk, _| desk.grants()) != count {
             tokio::time::sleep(PAUSE).await;
@@ -108,73 +108,73 @@
 
 #[tokio::test]
 async fn test_placing_grant_lasts_as_long_as_the_attempt() {
-    let upstream = Upstream::start("i-1", Manner::Hang).await;
+    let upstream = Upstream::start("i-1", Behavior::Hang).await;
     let rows = [instance(&upstream, "status")];
     let (asker, dispatcher) = (start(&rows).await, start(&rows).await);
-    name(&asker, place(&dispatcher));
-    name(&dispatcher, place(&dispatcher));
+    set_dispatcher(&asker, place_address(&dispatcher));
+    set_dispatcher(&dispatcher, place_address(&dispatcher));
     make_busy(&asker);
     let mut caller = Caller::connect(asker.front()).await;
     caller.send("GET", READ, "r-1", "").await;
-    upstream.reached(1).await;
-    granted(&dispatcher, 1).await;
-    // The caller leaves: the attempt is given up, and the dispatcher learns of it.
+    upstream.wait_for_requests(1).await;
+    wait_for_grants(&dispatcher, 1).await;
+    // The caller disconnects: the attempt is cancelled, and the dispatcher is notified.
     drop(caller);
-    upstream.left(1).await;
-    granted(&dispatcher, 0).await;
-    upstream.set(Manner::Answer);
+    upstream.wait_for_disconnects(1).await;
+    wait_for_grants(&dispatcher, 0).await;
+    upstream.set_behavior(Behavior::Answer);
     make_busy(&asker);
     let answer = call(asker.front(), "GET", READ, "r-2").await;
     assert_eq!(answer.status, 200);
-    granted(&dispatcher, 0).await;
+    wait_for_grants(&dispatcher, 0).await;
 }
 
-/// Every request is answered while nobody is at the address, or while connections are
-/// taken there and nothing comes back: frozen, or cut off one way.
-async fn costs_no_request(listens: bool) {
-    let upstream = Upstream::start("i-1", Manner::Answer).await;
+/// Checks that every request is answered while nothing listens at the dispatcher's address, or
+/// while connections are accepted there but nothing is answered.
+async fn check_requests_are_answered(listens: bool) {
+    let upstream = Upstream::start("i-1", Behavior::Answer).await;
     let asker = start(&[instance(&upstream, "status")]).await;
     let listener = TcpListener::bind(FREE).await.expect("binds");
-    name(&asker, listener.local_addr().expect("an address"));
+    set_dispatcher(&asker, listener.local_addr().expect("an address"));
     let _kept = listens.then_some(listener);
     for n in 0..3 {
         make_busy(&asker);
         let answer = call(asker.front(), "POST", ONCE, &format!("r-{n}")).await;
         assert_eq!(answer.status, 200);
     }
-    assert_eq!(upstream.arrivals().len(), 3);
+    assert_eq!(upstream.received_requests().len(), 3);
 }
 
 #[tokio::test]
 async fn test_placing_dispatcher_that_is_gone_costs_no_request() {
-    costs_no_request(false).await;
+    check_requests_are_answered(false).await;
 }
 
 #[tokio::test]
 async fn test_placing_silent_dispatcher_costs_no_request() {
-    costs_no_request(true).await;
+    check_requests_are_answered(true).await;
 }
 
-/// A dispatcher that was restarted, or hears nothing of the instances.
+/// Guards against failing requests because a dispatcher has restarted or knows no instances.
 #[tokio::test]
 async fn test_placing_dispatcher_that_knows_nothing_costs_no_request() {
-    let upstream = Upstream::start("i-1", Manner::Answer).await;
+    let upstream = Upstream::start("i-1", Behavior::Answer).await;
     let asker = start(&[instance(&upstream, "status")]).await;
     let dispatcher = start(&[]).await;
-    name(&asker, place(&dispatcher));
+    set_dispatcher(&asker, place_address(&dispatcher));
     make_busy(&asker);
     let answer = call(asker.front(), "GET", READ, "r-1").await;
     assert_eq!(answer.status, 200);
 }
 
-/// Grants what it is told to, and keeps what comes back.
+/// A dispatcher that grants a fixed instance and records how attempts ended.
 #[derive(Clone)]
-struct Fake {
+struct FakeDispatcher {
     instance: &'static str,
     ended: Arc<Mutex<Vec<Kind>>>,
 }
 
-impl PlaceApi for Fake {
+impl PlaceApi for FakeDispatcher {
     async fn place(self, _: Context, _: Ask) -> Placed {
         Placed {
             outcome: Outcome::Granted.into(),
@@ -190,7 +190,7 @@
     }
 }
 
-impl Fake {
+impl FakeDispatcher {
     async fn start(instance: &'static str) -> (Self, SocketAddr) {
         let fake = Self {
             instance,
@@ -210,7 +210,7 @@
         (fake, address)
     }
 
-    async fn told(&self, kind: Kind) {
+    async fn wait_for_end(&self, kind: Kind) {
         let reached = async {
             while self.ended.lock().expect("whole").last() != Some(&kind) {
                 tokio::time::sleep(PAUSE).await;
@@ -222,42 +222,45 @@
     }
 }
 
-/// A grant is placement only: what this process knows of an instance goes first.
+/// Guards against using a granted instance that is draining or unknown to this process.
 #[tokio::test]
 async fn test_placing_instance_that_leaves_gets_nothing_whoever_grants_it() {
-    let one = Upstream::start("i-1", Manner::Answer).await;
-    let two = Upstream::start("i-2", Manner::Answer).await;
+    let one = Upstream::start("i-1", Behavior::Answer).await;
+    let two = Upstream::start("i-2", Behavior::Answer).await;
     let leaving = Instance {
         phase: Phase::Draining.into(),
         ..instance(&one, "status")
     };
     for granted in ["i-1", "i-9"] {
         let asker = start(&[leaving.clone(), instance(&two, "status")]).await;
-        let (fake, address) = Fake::start(granted).await;
-        name(&asker, address);
+        let (fake, address) = FakeDispatcher::start(granted).await;
+        set_dispatcher(&asker, address);
         make_busy(&asker);
         let answer = call(asker.front(), "POST", ONCE, "r-1").await;
         assert_eq!(answer.status, 200, "{granted}");
-        fake.told(Kind::Cancelled).await;
+        fake.wait_for_end(Kind::Cancelled).await;
     }
-    assert_eq!((one.arrivals().len(), two.arrivals().len()), (0, 2));
+    assert_eq!(
+        (one.received_requests().len(), two.received_requests().len()),
+        (0, 2)
+    );
 }
 
 #[tokio::test]
 async fn test_placing_dispatcher_learns_how_the_attempt_ended() {
     let cases = [
-        (Manner::Answer, Kind::Ok),
-        (Manner::Fail, Kind::Error),
-        (Manner::Shed, Kind::Shed),
-        (Manner::Close, Kind::Error),
+        (Behavior::Answer, Kind::Ok),
+        (Behavior::Fail, Kind::Error),
+        (Behavior::Shed, Kind::Shed),
+        (Behavior::Close, Kind::Error),
     ];
-    for (manner, kind) in cases {
-        let upstream = Upstream::start("i-1", manner).await;
+    for (behavior, kind) in cases {
+        let upstream = Upstream::start("i-1", behavior).await;
         let asker = start(&[instance(&upstream, "status")]).await;
-        let (fake, address) = Fake::start("i-1").await;
-        name(&asker, address);
+        let (fake, address) = FakeDispatcher::start("i-1").await;
+        set_dispatcher(&asker, address);
         make_busy(&asker);
         call(asker.front(), "POST", ONCE, "r-1").await;
-        fake.told(kind).await;
+        fake.wait_for_end(kind).await;
     }
 }
--- a/crates/entry/tests/test_progress.rs
+++ b/crates/entry/tests/test_progress.rs
@@ -1,4 +1,4 @@
-//! What hubs are asked for of instances, over random schedules.
+//! Queries for instances to hubs, over random schedules.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -35,11 +35,11 @@
     }
 }
 
-/// A hub as its watchers see it.
+/// A hub as seen by its watchers.
 #[derive(Default)]
 struct FakeHub {
     epoch: u64,
-    /// Entries of the log that it has applied.
+    /// Number of log entries that it has applied.
     applied: usize,
     registry: Registry,
 }
@@ -89,7 +89,7 @@
 }
 
 /// An entry process, the hubs that it watches, and their log.
-struct World {
+struct Simulation {
     log: Vec<Instance>,
     hubs: Vec<FakeHub>,
     progress: Vec<Progress>,
@@ -98,7 +98,7 @@
     primary: u8,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let hub = |epoch| FakeHub {
             epoch,
@@ -140,37 +140,40 @@
 
     fn step(&mut self, (kind, hub, id): (u8, u8, u8)) {
         let index = usize::from(hub % HUBS);
-        let fake = &mut self.hubs[index];
+        let hub_state = &mut self.hubs[index];
         match kind % 10 {
-            // Heard by a hub, and not yet in the log.
+            // A hub receives a heartbeat before the log has the announcement.
             0 => {
-                fake.registry.take(NOW, instance(id, 1, Phase::Ready));
-                fake.registry.hear(NOW, &instance(id, 1, Phase::Ready));
+                hub_state.registry.take(NOW, instance(id, 1, Phase::Ready));
+                hub_state.registry.hear(NOW, &instance(id, 1, Phase::Ready));
             }
             1 => self.log.push(instance(id, 1, Phase::Ready)),
             2 => self.log.push(instance(id, 2, Phase::Draining)),
             3 => self.log.push(instance(id, 3, Phase::Gone)),
-            // A hub hears more of the log.
+            // A hub applies more of the log.
             4 | 5 => {
-                let index = self.log.len().min(fake.applied + 1 + usize::from(id % 4));
-                fake.apply(&self.log, index);
+                let index = self
+                    .log
+                    .len()
+                    .min(hub_state.applied + 1 + usize::from(id % 4));
+                hub_state.apply(&self.log, index);
             }
             6 => self.primary = hub % HUBS,
-            // It starts again, with a part of the log at first.
+            // A hub restarts, at first with part of the log.
             7 => {
-                *fake = FakeHub {
-                    epoch: fake.epoch + 10,
+                *hub_state = FakeHub {
+                    epoch: hub_state.epoch + 10,
                     ..FakeHub::default()
                 };
                 let index = self.log.len().min(usize::from(id % 4));
-                fake.apply(&self.log, index);
+                hub_state.apply(&self.log, index);
             }
             _ => self.watch(hub % HUBS),
         }
     }
 
-    /// Phases by id, as the process holds them.
-    fn held(&self) -> HashMap<String, Phase> {
+    /// The phases of the instances known to the process, by id.
+    fn phases(&self) -> HashMap<String, Phase> {
         let service = ServiceName::new("status").expect("a name");
         let rows = self.instances.of_service(&service);
         rows.map(|row| (row.upstream.id.to_string(), row.phase))
@@ -179,32 +182,32 @@
 }
 
 quickcheck! {
-    /// Whatever happened, once each hub has been asked twice more no instance counts as
-    /// more alive than the log of any hub says: a notice of leaving binds whoever
-    /// acknowledged it, the first hub or another one. And all that are ready there are held.
+    /// Guards against missing an announcement: once each hub has been asked again, every
+    /// instance is at least as far as in the log of any hub, whichever hub acknowledged the
+    /// announcement, and no instance of that log is missing.
     fn prop_progress_every_hub_is_caught_up_with(steps: Vec<(u8, u8, u8)>) -> bool {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in steps {
-            world.step(step);
+            simulation.step(step);
         }
         for _ in 0..3 {
             for hub in (0..HUBS).rev() {
-                world.watch(hub);
+                simulation.watch(hub);
             }
         }
-        if world.instances.is_empty() {
-            // Another hub is asked for the list then.
-            return world.hubs[usize::from(world.primary)].registry.all().next().is_none();
+        if simulation.instances.is_empty() {
+            // Another hub would be asked for the list next.
+            return simulation.hubs[usize::from(simulation.primary)].registry.all().next().is_none();
         }
-        let held = world.held();
-        let newest = world.hubs.iter().map(|hub| hub.applied).max().unwrap_or_default();
+        let phases = simulation.phases();
+        let newest = simulation.hubs.iter().map(|hub| hub.applied).max().unwrap_or_default();
         let mut known = Registry::default();
-        for entry in &world.log[..newest] {
+        for entry in &simulation.log[..newest] {
             known.take(NOW, entry.clone());
         }
-        let follows = |told: &Instance| match held.get(&told.id) {
+        let follows = |told: &Instance| match phases.get(&told.id) {
             Some(phase) => *phase >= told.phase(),
-            None => told.phase() == Phase::Gone || world.instances.is_removed(&told.id),
+            None => told.phase() == Phase::Gone || simulation.instances.is_removed(&told.id),
         };
         let mut rows = known.all();
         rows.all(follows)
--- a/crates/entry/tests/test_subset.rs
+++ b/crates/entry/tests/test_subset.rs
@@ -1,5 +1,5 @@
-//! What callers get, and how many connections it takes, where many processes with few
-//! requests each share many instances.
+//! Requests answered in time, and connections opened, where many processes with few requests
+//! each share many instances.
 
 #![allow(
     clippy::cast_possible_truncation,
@@ -8,13 +8,12 @@
     reason = "figures of a model"
 )]
 
-mod rig;
+mod simulation;
 
-use rig::Case;
-use rig::play;
+use simulation::Case;
+use simulation::simulate;
 
-/// One failure domain of a service that was measured: two requests a second for each
-/// process when calm.
+/// One failure domain of a service: about two requests per second and process at normal load.
 const CALM: Case = Case {
     instances: 60,
     slots: 6,
@@ -28,13 +27,12 @@
     seconds: 16,
 };
 
-/// With a free choice 0.999 were in time when calm, at 1.54 connections a request; with a
-/// subset as many at 0.26. The aim: nearly all in time, also in a burst of 1.7 times, and
-/// a third of the connections at most.
+/// Guards against opening a connection for most requests, and against a subset that is too small
+/// for a burst of 1.7 times the normal load.
 #[test]
 fn test_subset_serves_as_many_in_time_with_few_connections() {
     for (calls, in_time, opened) in [(175.0, 0.98, 0.5), (300.0, 0.98, 0.5)] {
-        let got = play(Case { calls, ..CALM }, false, 1);
+        let got = simulate(Case { calls, ..CALM }, false, 1);
         println!(
             "{calls} a second: in time {:.3}, late {:.3}, refused {:.3}, probes {:.1}, opened {:.2}",
             got.in_time, got.late, got.refused, got.probes, got.opened
@@ -44,7 +42,7 @@
     }
 }
 
-/// A few processes must use all instances between them, whatever a subset's least size.
+/// Guards against subsets so small that a few processes don't use all instances.
 #[test]
 fn test_subset_of_few_processes_reaches_every_instance() {
     let case = Case {
@@ -52,6 +50,6 @@
         calls: 300.0,
         ..CALM
     };
-    let got = play(case, false, 1);
+    let got = simulate(case, false, 1);
     assert!(got.in_time >= 0.98, "in time {:.3}", got.in_time);
 }
--- a/crates/entry/tests/test_view.rs
+++ b/crates/entry/tests/test_view.rs
@@ -1,4 +1,4 @@
-//! What several hubs tell of the same instances.
+//! Reports of several hubs about the same instances.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     ServiceName::new(name).expect("a name")
 }
 
-fn told(incarnation: u64, sequence: u64, heard: bool) -> Instance {
+fn announcement(incarnation: u64, sequence: u64, heard: bool) -> Instance {
     Instance {
         id: "i-1".into(),
         service: "status".into(),
@@ -39,34 +39,46 @@
 }
 
 #[test]
-fn test_view_instance_is_silent_while_no_hub_has_heard_it() {
+fn test_view_instance_is_silent_while_no_hub_receives_heartbeats() {
     let mut instances = Instances::default();
     let changed = vec![service("status")];
-    assert_eq!(instances.apply(hub(1), &told(1, 1, false)), changed);
+    assert_eq!(instances.apply(hub(1), &announcement(1, 1, false)), changed);
     assert_eq!(silent(&instances), [true]);
-    assert_eq!(instances.apply(hub(2), &told(1, 2, true)), changed);
+    assert_eq!(instances.apply(hub(2), &announcement(1, 2, true)), changed);
     assert_eq!(silent(&instances), [false]);
-    // What another hub hasn't heard says nothing.
-    assert!(instances.apply(hub(1), &told(1, 1, false)).is_empty());
-    assert!(instances.apply(hub(1), &told(1, 3, true)).is_empty());
-    assert!(instances.apply(hub(2), &told(1, 3, false)).is_empty());
+    // Missing heartbeats at another hub don't matter.
+    assert!(
+        instances
+            .apply(hub(1), &announcement(1, 1, false))
+            .is_empty()
+    );
+    assert!(
+        instances
+            .apply(hub(1), &announcement(1, 3, true))
+            .is_empty()
+    );
+    assert!(
+        instances
+            .apply(hub(2), &announcement(1, 3, false))
+            .is_empty()
+    );
     assert_eq!(silent(&instances), [false]);
-    // The only hub that heard it is gone.
+    // The only hub that receives heartbeats is lost.
     let kept = BTreeSet::from([hub(2)]);
     assert_eq!(instances.retain_reporting_hubs(&kept), changed);
     assert_eq!(silent(&instances), [true]);
 }
 
 #[test]
-fn test_view_later_incarnation_has_yet_to_be_heard() {
+fn test_view_new_incarnation_is_silent_until_heartbeat() {
     let mut instances = Instances::default();
-    instances.apply(hub(1), &told(1, 9, true));
-    instances.apply(hub(2), &told(2, 1, false));
+    instances.apply(hub(1), &announcement(1, 9, true));
+    instances.apply(hub(2), &announcement(2, 1, false));
     assert_eq!(silent(&instances), [true]);
-    instances.apply(hub(1), &told(2, 2, true));
+    instances.apply(hub(1), &announcement(2, 2, true));
     assert_eq!(silent(&instances), [false]);
-    // What the first hub heard before the news of it reached it.
-    instances.apply(hub(2), &told(1, 10, true));
+    // An outdated report from a hub that doesn't know the new incarnation yet.
+    instances.apply(hub(2), &announcement(1, 10, true));
     let newest = instances
         .of_service(&service("status"))
         .next()
