--- a/crates/entry/tests/test_subset.rs
+++ b/crates/entry/tests/test_subset.rs
@@ -8,10 +8,10 @@
     reason = "figures of a model"
 )]
 
-mod simulation;
+mod rig;
 
-use simulation::Case;
-use simulation::simulate;
+use rig::Case;
+use rig::simulate;
 
 /// One failure domain of a service: about two requests per second and process at normal load.
 const CALM: Case = Case {
