--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -89,7 +89,7 @@
     /// The current stage of the shutdown.
     pub stage: watch::Sender<Stage>,
     /// The dispatchers of other processes.
-    pub dispatchers: Places,
+    pub dispatcher_clients: Places,
     /// Whether a route table has been received.
     pub table_known: watch::Sender<bool>,
     /// Whether any instance has ever been known.
@@ -113,7 +113,7 @@
             counters,
             clock: Clock::start(),
             stage: watch::Sender::new(Stage::Serving),
-            dispatchers: Places::default(),
+            dispatcher_clients: Places::default(),
             table_known: watch::Sender::new(false),
             instances_known: watch::Sender::new(false),
             newest_event: watch::Sender::default(),
--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/placing.rs
@@ -86,7 +86,7 @@
     request: &str,
     want: &Want,
 ) -> Option<Found> {
-    let place = core.dispatchers.at(address, core);
+    let place = core.dispatcher_clients.at(address, core);
     let settings = core.settings();
     let ask = Ask {
         service: service.to_string(),
