--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -256,7 +256,7 @@
 
     fn record_end(&mut self) {
         if let Some(tail) = self.tail.take() {
-            tail.whole();
+            tail.complete();
         }
     }
 }
--- a/crates/entry/src/tail.rs
+++ b/crates/entry/src/tail.rs
@@ -103,7 +103,7 @@
     }
 
     /// The answer has ended whole.
-    pub fn whole(self) {
+    pub fn complete(self) {
         let asked = self.asked;
         asked.subject.record_success(&asked.core);
         let latency = asked.sent.elapsed();
