--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -2,8 +2,8 @@
 //! table.
 //!
 //! A request passes through [`serve`], [`flow`] and, for each attempt, [`exchange`] over a
-//! connection from [`pool`]. [`desk`] selects the instance, by means of the crate `route`. Hubs
-//! provide the route table and the instances through [`sync`] and [`view`].
+//! connection from [`pool`]. The service's balancer selects the instance, by means of the crate
+//! `route`. Hubs provide the route table and the instances through [`sync`] and [`view`].
 //!
 //! The process speaks plain HTTP/1.1 and uses hyper directly: it must notice when a caller
 //! disconnects, know which bytes of a request have been sent, and know whether a response was
--- a/crates/entry/tests/fakes/mod.rs
+++ b/crates/entry/tests/fakes/mod.rs
@@ -120,8 +120,8 @@
 pub async fn entry(upstreams: &[&Upstream]) -> Entry {
     let entry = start_unconfigured().await;
     entry.core().set_table(table(1));
-    let rows: Vec<Instance> = upstreams.iter().map(|u| instance(u, "status")).collect();
-    entry.core().apply_instances(HUB, &rows, &[]);
+    let instances: Vec<Instance> = upstreams.iter().map(|u| instance(u, "status")).collect();
+    entry.core().apply_instances(HUB, &instances, &[]);
     entry
 }
 
--- a/crates/entry/tests/test_body.rs
+++ b/crates/entry/tests/test_body.rs
@@ -111,8 +111,8 @@
     let mut caller = Caller::connect(entry.front()).await;
     let body = "x".repeat(100_000);
     caller.send("POST", ONCE, "r-1", &body).await;
-    let row = fakes::instance(&upstream, "status");
-    entry.core().apply_instances(fakes::HUB, &[row], &[]);
+    let announced = fakes::instance(&upstream, "status");
+    entry.core().apply_instances(fakes::HUB, &[announced], &[]);
     let answer = caller.answer().await.expect("an answer");
     assert_eq!(answer.status, 200);
     assert_eq!(upstream.received_requests()[0].body, body.as_bytes());
--- a/crates/entry/tests/test_evacuation.rs
+++ b/crates/entry/tests/test_evacuation.rs
@@ -25,14 +25,14 @@
         Upstream::start("i-1", Behavior::Answer).await,
         Upstream::start("i-2", Behavior::Answer).await,
     ];
-    let rows = upstreams.iter().zip(["a", "b"]);
-    let rows: Vec<Instance> = rows
+    let instances = upstreams.iter().zip(["a", "b"]);
+    let instances: Vec<Instance> = instances
         .map(|(upstream, domain)| Instance {
             domain: domain.into(),
             ..instance(upstream, "status")
         })
         .collect();
-    entry.core().apply_instances(HUB, &rows, &[]);
+    entry.core().apply_instances(HUB, &instances, &[]);
     (entry, upstreams)
 }
 
@@ -85,8 +85,8 @@
     let mut evacuations = Domains::default();
     apply_order(&entry, &mut evacuations, "a", true);
     let late = Upstream::start("i-3", Behavior::Answer).await;
-    let row = instance(&late, "status");
-    entry.core().apply_instances(HUB, &[row], &[]);
+    let announced = instance(&late, "status");
+    entry.core().apply_instances(HUB, &[announced], &[]);
     assert_eq!(calls(&entry, 10).await, [200; 10]);
     assert_eq!(two.received_requests().len(), 10);
     assert_eq!(
--- a/crates/entry/tests/test_flow.rs
+++ b/crates/entry/tests/test_flow.rs
@@ -344,8 +344,8 @@
         let answer = caller.call("GET", SHORT, &format!("r-{n}"), "").await;
         assert_eq!(answer.status, 504);
     }
-    let rows = [instance(&mute, "status"), instance(&well, "status")];
-    entry.core().apply_instances(HUB, &rows, &[]);
+    let instances = [instance(&mute, "status"), instance(&well, "status")];
+    entry.core().apply_instances(HUB, &instances, &[]);
     for n in 3..23 {
         // Long enough for both instances to be probed again.
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -381,8 +381,8 @@
     let other = Upstream::start("i-2", Behavior::Answer).await;
     let entry = start_unconfigured().await;
     entry.core().set_table(split(1, [3, 1]));
-    let rows = [instance(&status, "status"), instance(&other, "other")];
-    entry.core().apply_instances(HUB, &rows, &[]);
+    let instances = [instance(&status, "status"), instance(&other, "other")];
+    entry.core().apply_instances(HUB, &instances, &[]);
     let mut caller = Caller::connect(entry.front()).await;
     for n in 0..40 {
         let answer = caller.call("GET", READ, &format!("r-{n}"), "").await;
@@ -404,8 +404,8 @@
     let other = Upstream::start("i-2", Behavior::Shed).await;
     let entry = start_unconfigured().await;
     entry.core().set_table(split(1, [1, 1]));
-    let rows = [instance(&status, "status"), instance(&other, "other")];
-    entry.core().apply_instances(HUB, &rows, &[]);
+    let instances = [instance(&status, "status"), instance(&other, "other")];
+    entry.core().apply_instances(HUB, &instances, &[]);
     let mut statuses = Vec::new();
     for n in 0..4 {
         let answer = call(entry.front(), "GET", READ, &format!("r-{n}")).await;
--- a/crates/entry/tests/test_hubs.rs
+++ b/crates/entry/tests/test_hubs.rs
@@ -42,10 +42,10 @@
 
 /// A reply with a full list of entry hosts.
 fn list(list_id: u64, addresses: &[&str]) -> WatchReply {
-    let rows = addresses.iter().map(|address| host(address)).collect();
+    let hosts = addresses.iter().map(|address| host(address)).collect();
     WatchReply {
         list: list_id,
-        packed: registry::pack_hosts(rows).expect("packs").into(),
+        packed: registry::pack_hosts(hosts).expect("packs").into(),
         ..WatchReply::default()
     }
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// The entry hosts after the reply to a watch that named the list `held`; `None` if nothing
+/// The entry hosts after the reply to a watch that named the list `base`; `None` if nothing
 /// changed.
 fn apply_hosts(hubs: &Hubs, base: u64, reply: &WatchReply) -> Option<Vec<String>> {
     let taken = hubs.hosts().apply(base, reply).expect("a list");
--- a/crates/entry/tests/test_placing.rs
+++ b/crates/entry/tests/test_placing.rs
@@ -47,7 +47,7 @@
 }
 
 /// Starts an entry process that knows the table and the given instances.
-async fn start(rows: &[Instance]) -> Entry {
+async fn start(instances: &[Instance]) -> Entry {
     let settings = Settings {
         place: Some(FREE),
         ..settings()
@@ -56,7 +56,7 @@
     let entry = Entry::start(settings, Dialect::default(), log).await;
     let entry = entry.expect("starts");
     entry.core().set_table(table(1));
-    entry.core().apply_instances(HUB, rows, &[]);
+    entry.core().apply_instances(HUB, instances, &[]);
     entry
 }
 
@@ -109,8 +109,8 @@
 #[tokio::test]
 async fn test_placing_grant_lasts_as_long_as_the_attempt() {
     let upstream = Upstream::start("i-1", Behavior::Hang).await;
-    let rows = [instance(&upstream, "status")];
-    let (asker, dispatcher) = (start(&rows).await, start(&rows).await);
+    let instances = [instance(&upstream, "status")];
+    let (asker, dispatcher) = (start(&instances).await, start(&instances).await);
     set_dispatcher(&asker, place_address(&dispatcher));
     set_dispatcher(&dispatcher, place_address(&dispatcher));
     make_busy(&asker);
--- a/crates/entry/tests/test_progress.rs
+++ b/crates/entry/tests/test_progress.rs
@@ -124,12 +124,12 @@
         let progress = &mut self.progress[usize::from(hub)];
         let asked = progress.next_query(role, self.instances.digest(), self.applied_index);
         let reply = self.hubs[usize::from(hub)].answer(&asked);
-        let mut rows = reply.instances.clone();
+        let mut instances = reply.instances.clone();
         if !reply.whole.is_empty() {
-            rows.extend(registry::unpack(&reply.whole).expect("a list"));
+            instances.extend(registry::unpack(&reply.whole).expect("a list"));
         }
-        for row in &rows {
-            self.instances.apply(address(hub), row);
+        for instance in &instances {
+            self.instances.apply(address(hub), instance);
         }
         for hearing in &reply.heard {
             self.instances.apply_hearing(address(hub), hearing);
@@ -175,8 +175,9 @@
     /// The phases of the instances known to the process, by id.
     fn phases(&self) -> HashMap<String, Phase> {
         let service = ServiceName::new("status").expect("a name");
-        let rows = self.instances.of_service(&service);
-        rows.map(|row| (row.upstream.id.to_string(), row.phase))
+        let known = self.instances.of_service(&service);
+        known
+            .map(|status| (status.upstream.id.to_string(), status.phase))
             .collect()
     }
 }
@@ -205,11 +206,11 @@
         for entry in &simulation.log[..newest] {
             known.take(NOW, entry.clone());
         }
-        let follows = |told: &Instance| match phases.get(&told.id) {
-            Some(phase) => *phase >= told.phase(),
-            None => told.phase() == Phase::Gone || simulation.instances.is_removed(&told.id),
+        let follows = |expected: &Instance| match phases.get(&expected.id) {
+            Some(phase) => *phase >= expected.phase(),
+            None => expected.phase() == Phase::Gone || simulation.instances.is_removed(&expected.id),
         };
-        let mut rows = known.all();
-        rows.all(follows)
+        let mut all = known.all();
+        all.all(follows)
     }
 }
--- a/crates/entry/tests/test_quarantine.rs
+++ b/crates/entry/tests/test_quarantine.rs
@@ -161,8 +161,8 @@
     assert_eq!(call(entry.front(), "GET", READ, "r-1").await.status, 502);
     wait_for_events(&entry, 2).await;
     let well = Upstream::start("i-well", Behavior::Answer).await;
-    let row = fakes::instance(&well, "status");
-    entry.core().apply_instances(HUB, &[row], &[]);
+    let announced = fakes::instance(&well, "status");
+    entry.core().apply_instances(HUB, &[announced], &[]);
     assert_eq!(call(entry.front(), "GET", READ, "r-2").await.status, 200);
     assert!(!entry.core().concerns(Head::new(CALLER, "GET", HOST, READ)));
     upstreams.push(well);
--- a/crates/entry/tests/test_stop.rs
+++ b/crates/entry/tests/test_stop.rs
@@ -24,8 +24,8 @@
     let upstream = Upstream::start("i-1", Behavior::Answer).await;
     let entry = entry(&[&upstream]).await;
     assert_eq!(readiness_status(entry.ready()).await, 200);
-    let mut kept = Caller::connect(entry.front()).await;
-    let answer = kept.call("GET", READ, "r-1", "").await;
+    let mut keep_alive = Caller::connect(entry.front()).await;
+    let answer = keep_alive.call("GET", READ, "r-1", "").await;
     assert_eq!(answer.header("connection"), None);
     let front = entry.front();
     let shut_down = entry.shut_down();
@@ -36,10 +36,10 @@
         drop(stage);
         assert_eq!(readiness_status(entry.ready()).await, 503);
         // Requests on an open and on a new connection are served, with `Connection: close`.
-        let answer = kept.call("GET", READ, "r-2", "").await;
+        let answer = keep_alive.call("GET", READ, "r-2", "").await;
         assert_eq!(answer.status, 200);
         assert_eq!(answer.header("connection").as_deref(), Some("close"));
-        kept.wait_until_closed().await;
+        keep_alive.wait_until_closed().await;
         let mut late = Caller::connect(front).await;
         let answer = late.call("GET", READ, "r-3", "").await;
         assert_eq!(answer.status, 200);
--- a/crates/entry/tests/test_view.rs
+++ b/crates/entry/tests/test_view.rs
@@ -64,8 +64,8 @@
     );
     assert_eq!(silent(&instances), [false]);
     // The only hub that receives heartbeats is lost.
-    let kept = BTreeSet::from([hub(2)]);
-    assert_eq!(instances.retain_reporting_hubs(&kept), changed);
+    let live_hubs = BTreeSet::from([hub(2)]);
+    assert_eq!(instances.retain_reporting_hubs(&live_hubs), changed);
     assert_eq!(silent(&instances), [true]);
 }
 
