--- a/crates/entry/src/sync.rs
+++ b/crates/entry/src/sync.rs
@@ -221,7 +221,7 @@
             group: self.group,
             evacuations: self.core.evacuations(),
             suspects: self.suspects,
-            wait_ms: u32::try_from(self.hubs.watch_timeout(self.address).as_millis())
+            wait_ms: u32::try_from(self.hubs.watch_duration(self.address).as_millis())
                 .unwrap_or(u32::MAX),
         }
     }
@@ -321,7 +321,7 @@
             table: reply.table,
             members: self.members.clone(),
             entry_count: reply.entries,
-            watch_timeout: Duration::from_millis(asked.wait_ms.into()),
+            watch_duration: Duration::from_millis(asked.wait_ms.into()),
             failed: false,
         };
         self.hubs.record(self.address, status);
--- a/crates/entry/src/sync/hubs.rs
+++ b/crates/entry/src/sync/hubs.rs
@@ -57,14 +57,14 @@
     /// The number of entry hosts known to the hub.
     pub entry_count: u32,
     /// The duration of the next watch.
-    pub watch_timeout: Duration,
+    pub watch_duration: Duration,
     /// Whether the hub has failed to answer since.
     pub failed: bool,
 }
 
 impl HubStatus {
     fn is_recent(&self) -> bool {
-        !self.failed && self.answered_at.elapsed() < self.watch_timeout + STATUS_MARGIN
+        !self.failed && self.answered_at.elapsed() < self.watch_duration + STATUS_MARGIN
     }
 }
 
@@ -114,8 +114,8 @@
         }
     }
 
-    /// The hubs to watch: all members named by live hubs, and also the seeds and hints if these
-    /// are fewer than the seeds.
+    /// The hubs to watch: the known hubs and the members that they named. Seeds and hints are
+    /// added while there are fewer of these than seeds.
     #[must_use]
     pub fn targets(&self, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
         let mut hubs = self.statuses();
@@ -159,7 +159,7 @@
 
     /// How long the hub at `address` should hold a watch while nothing changes.
     #[must_use]
-    pub fn watch_timeout(&self, address: SocketAddr) -> Duration {
+    pub fn watch_duration(&self, address: SocketAddr) -> Duration {
         if !*self.instances_known.borrow() {
             return LIST_TIMEOUT;
         }
--- a/crates/entry/tests/test_hubs.rs
+++ b/crates/entry/tests/test_hubs.rs
@@ -35,7 +35,7 @@
         table,
         members: vec![hub(1), hub(2)],
         entry_count: 3,
-        watch_timeout: Duration::from_secs(1),
+        watch_duration: Duration::from_secs(1),
         failed: false,
     }
 }
@@ -231,16 +231,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn test_hubs_watch_timeout_grows_with_hub_count() {
+async fn test_hubs_watch_duration_grows_with_hub_count() {
     let (hubs, instances_known) = hubs_with_sender();
     instances_known.send_replace(true);
     let mut waits = Vec::new();
     for last in 1..=9 {
         hubs.record(hub(last), status(true, 0));
-        waits.push(hubs.watch_timeout(hub(last)).as_millis());
+        waits.push(hubs.watch_duration(hub(last)).as_millis());
     }
     assert_eq!(waits, [500, 500, 501, 668, 835, 1000, 1000, 1000, 1000]);
     // A remote hub that isn't the primary holds watches for longer.
     hubs.record(hub(10), status(false, 0));
-    assert_eq!(hubs.watch_timeout(hub(10)).as_millis(), 4_000);
+    assert_eq!(hubs.watch_duration(hub(10)).as_millis(), 4_000);
 }
