--- a/crates/entry/src/sync.rs
+++ b/crates/entry/src/sync.rs
@@ -94,7 +94,7 @@
         AbortOnDropHandle::new(tokio::spawn(beacon::listen(core, hubs, socket)))
     });
     let mut members_changed = hubs.members_changed.subscribe();
-    let mut watches: HashMap<SocketAddr, AbortOnDropHandle<()>> = HashMap::new();
+    let mut tasks: HashMap<SocketAddr, AbortOnDropHandle<()>> = HashMap::new();
     loop {
         let settings = core.settings();
         let seeds = settings.seeds.iter();
@@ -107,9 +107,9 @@
         if !live_hubs.is_empty() {
             core.retain_reporting_hubs(&live_hubs);
         }
-        watches.retain(|address, _| targets.contains(address));
+        tasks.retain(|address, _| targets.contains(address));
         for address in targets {
-            watches.entry(address).or_insert_with(|| {
+            tasks.entry(address).or_insert_with(|| {
                 let watcher = HubWatcher::new(&core, &hubs, address);
                 AbortOnDropHandle::new(tokio::spawn(watcher.run()))
             });
