--- a/crates/entry/src/sync/hubs.rs
+++ b/crates/entry/src/sync/hubs.rs
@@ -147,7 +147,7 @@
         more
     }
 
-    /// The hubs that answered within [`FORGET_AFTER`].
+    /// The hubs that answered recently enough not to be forgotten.
     #[must_use]
     pub fn live(&self) -> BTreeSet<SocketAddr> {
         let hubs = self.statuses();
