--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -68,7 +68,7 @@
     /// The evacuated failure domains.
     evacuations: Domains,
     /// The dispatchers of the services that another process dispatches.
-    dispatchers: HashMap<ServiceName, SocketAddr>,
+    dispatcher_addresses: HashMap<ServiceName, SocketAddr>,
     /// The entry processes that share the capacity of cold instances.
     processes: Arc<Processes>,
     /// Requests suspected of crashing instances.
@@ -289,7 +289,7 @@
 
     /// The address of the service's dispatcher, if that is another process.
     pub fn dispatcher(&self, service: &ServiceName) -> Option<SocketAddr> {
-        self.state().dispatchers.get(service).copied()
+        self.state().dispatcher_addresses.get(service).copied()
     }
 
     /// Sets the number of entry processes that share the budgets.
--- a/crates/entry/src/core/share.rs
+++ b/crates/entry/src/core/share.rs
@@ -43,7 +43,7 @@
 pub(super) fn assign_dispatchers(settings: &Settings, state: &mut State, now: Moment) {
     let places: Vec<&str> = state.hosts.iter().map(|host| &*host.place).collect();
     let own = settings.place.map(|own| own.to_string());
-    state.dispatchers.clear();
+    state.dispatcher_addresses.clear();
     for (service, desk) in &mut state.desks {
         let is_small = desk.len() <= settings.dispatched;
         let names = places.iter().copied().filter(|place| !place.is_empty());
@@ -61,7 +61,7 @@
             },
         );
         state
-            .dispatchers
+            .dispatcher_addresses
             .extend(elsewhere.map(|address| (service.clone(), address)));
     }
 }
