--- a/crates/entry/src/balancer.rs
+++ b/crates/entry/src/balancer.rs
@@ -33,8 +33,8 @@
 
 use crate::placement::Grant;
 use crate::processes::Processes;
-use crate::settings::Shared;
-use crate::view::Listed;
+use crate::settings::SharedBudgets;
+use crate::view::InstanceStatus;
 use crate::view::Upstream;
 
 /// Fraction of the per-request retry allowance that is used. The rest covers requests that
@@ -65,7 +65,7 @@
     chooser: Fresh,
     retry_budget: Budget,
     probe_allowance: Allowance,
-    shared: Shared,
+    shared: SharedBudgets,
     upstreams: HashMap<InstanceId, Arc<Upstream>>,
     wait_queue: Waiting<oneshot::Sender<Pick>>,
     /// When an attempt last finished.
@@ -125,7 +125,7 @@
 impl Balancer {
     /// Creates a balancer without instances.
     #[must_use]
-    pub fn new(domain: DomainName, shared: &Shared, seed: u64, now: Moment) -> Self {
+    pub fn new(domain: DomainName, shared: &SharedBudgets, seed: u64, now: Moment) -> Self {
         let mut chooser = Fresh::new(domain, seed);
         chooser.set_processes(shared.entries);
         Self {
@@ -148,7 +148,7 @@
     }
 
     /// Sets the shared budgets and the number of processes that share them.
-    pub fn set_shared(&mut self, shared: &Shared, now: Moment) {
+    pub fn set_shared(&mut self, shared: &SharedBudgets, now: Moment) {
         self.shared = *shared;
         self.chooser.set_processes(shared.entries);
         self.retry_budget.set_share(retry_share(shared), now);
@@ -174,7 +174,7 @@
     }
 
     /// Replaces the set of instances.
-    pub fn update<'a>(&mut self, now: Moment, instances: impl Iterator<Item = Listed<'a>>) {
+    pub fn update<'a>(&mut self, now: Moment, instances: impl Iterator<Item = InstanceStatus<'a>>) {
         self.upstreams.clear();
         let mut table = Vec::new();
         for listed in instances {
@@ -366,8 +366,8 @@
 }
 
 /// This process's share of the retry allowance.
-fn retry_share(shared: &Shared) -> Share {
-    let Shared { retry, entries, .. } = shared;
+fn retry_share(shared: &SharedBudgets) -> Share {
+    let SharedBudgets { retry, entries, .. } = shared;
     let percent = f64::from(retry.percent) * RETRY_PERCENT_UTILIZATION;
     let base = f64::from(retry.base) * RETRY_BASE_UTILIZATION / f64::from((*entries).max(1));
     let floor = retry.window.as_secs_f64() / base.max(1e-3);
--- a/crates/entry/src/balancer/cold.rs
+++ b/crates/entry/src/balancer/cold.rs
@@ -16,7 +16,7 @@
     pub fn set_warmup(&mut self, warmup: Option<Warmup>, processes: &Arc<Processes>) {
         self.warmup = warmup;
         self.processes = Arc::clone(processes);
-        self.chooser.share_cold(warmup.map(|_| processes.mark));
+        self.chooser.share_cold(warmup.map(|_| processes.revision));
     }
 
     /// Computes this process's share of the rate for instances that have become cold.
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -46,7 +46,7 @@
     /// Records that an instance has processed the request successfully.
     pub fn record_success(&self, core: &Core) {
         if let Some(fingerprint) = self.content.known_fingerprint(self.head) {
-            core.succeeded(fingerprint);
+            core.record_success(fingerprint);
         }
     }
 }
@@ -121,7 +121,7 @@
 /// Reports a crash to the hubs, and waits until one of them has answered.
 async fn report_crash(core: &Core, broken: &BrokenAttempt, fingerprint: Fingerprint) {
     let upstream = &broken.upstream;
-    let number = core.crashed(Crash {
+    let number = core.record_crash(Crash {
         request: fingerprint,
         service: upstream.service.clone(),
         life: Life {
@@ -131,12 +131,12 @@
         at: core.clock.now().before(broken.broken_at.elapsed()),
         answered: false,
     });
-    let mut reported = core.reported.subscribe();
+    let mut acknowledged_event = core.acknowledged_event.subscribe();
     // The sender lives as long as the process. A timeout is treated like a hub that knows
     // nothing of the request.
     let _ = tokio::time::timeout(
         REPORT_TIMEOUT,
-        reported.wait_for(|reported| *reported >= number),
+        acknowledged_event.wait_for(|acknowledged_event| *acknowledged_event >= number),
     )
     .await;
 }
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -24,8 +24,8 @@
 use tokio::time::Instant;
 
 use crate::body;
-use crate::body::Outgoing;
-use crate::body::Read;
+use crate::body::ForwardedBody;
+use crate::body::ReadBody;
 use crate::core::Core;
 use crate::headers;
 use crate::placement::Grant;
@@ -141,7 +141,7 @@
     upstream: &Upstream,
     reservation: Reservation,
     request: &ForwardedRequest,
-    body: Outgoing,
+    body: ForwardedBody,
     timeouts: AttemptTimeouts,
 ) -> AttemptEnd {
     let mut running = RunningAttempt {
@@ -166,7 +166,7 @@
     let report = load_report(core, response.headers());
     // An instance may respond before it has read the whole request body. The rest of the body
     // would precede the next request on this connection.
-    let reusable = spool.is_none_or(|spool| spool.is_whole());
+    let reusable = spool.is_none_or(|spool| spool.is_complete());
     if response.headers().contains_key(&core.dialect.refused) {
         let end = if response.status() == StatusCode::MISDIRECTED_REQUEST {
             AttemptEnd::Elsewhere
@@ -208,7 +208,7 @@
     core: &Core,
     upstream: &Upstream,
     forwarded: &ForwardedRequest,
-    body: Outgoing,
+    body: ForwardedBody,
     remaining: Duration,
 ) -> Option<(Option<Response<Incoming>>, Connection)> {
     let mut request = build_request(core, upstream, forwarded, body, remaining)?;
@@ -243,8 +243,10 @@
 
 /// Returns a connection to the pool after a complete response with these headers.
 pub fn release_connection(upstream: &Upstream, connection: Connection, headers: &HeaderMap) {
-    if !headers::closes(headers) {
-        upstream.pool.keep(connection, headers::kept_for(headers));
+    if !headers::closes_connection(headers) {
+        upstream
+            .pool
+            .keep(connection, headers::keep_alive_timeout(headers));
     }
 }
 
@@ -252,9 +254,9 @@
     core: &Core,
     upstream: &Upstream,
     forwarded: &ForwardedRequest,
-    body: Outgoing,
+    body: ForwardedBody,
     remaining: Duration,
-) -> Option<Request<Outgoing>> {
+) -> Option<Request<ForwardedBody>> {
     let mut request = Request::new(body);
     *request.method_mut() = forwarded.method.clone();
     *request.uri_mut() = forwarded.uri.clone();
@@ -283,22 +285,22 @@
         .is_some_and(|bytes| bytes > MAX_PACKET_BODY);
     let streams = parts.status.is_success() && is_long;
     let read = if streams {
-        body::begin(incoming).await
+        body::read_available(incoming).await
     } else {
         body::read(incoming).await
     };
     match read.ok()? {
-        Read::Whole(bytes) => {
+        ReadBody::Whole(bytes) => {
             if reusable {
                 release_connection(upstream, connection, &parts.headers);
             }
             Some((parts, ResponseBody::Whole(bytes)))
         }
-        Read::Part(first, rest) => {
+        ReadBody::Part(first, rest) => {
             let source = ResponseSource {
                 connection,
-                reusable: reusable && !headers::closes(&parts.headers),
-                keep_alive: headers::kept_for(&parts.headers),
+                reusable: reusable && !headers::closes_connection(&parts.headers),
+                keep_alive: headers::keep_alive_timeout(&parts.headers),
             };
             Some((parts, ResponseBody::Stream(first, rest, source)))
         }
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -26,8 +26,8 @@
 use crate::balancer::Balancer;
 use crate::body;
 use crate::body::Content;
-use crate::body::Outgoing;
-use crate::body::Returned;
+use crate::body::ForwardedBody;
+use crate::body::ResponseBody;
 use crate::body::Spool;
 use crate::core::Core;
 use crate::exchange;
@@ -105,9 +105,9 @@
     core: Arc<Core>,
     caller: IpAddr,
     request: Request<Incoming>,
-) -> Response<Returned> {
+) -> Response<ResponseBody> {
     let started_at = Instant::now();
-    let header_timeout = headers::number(request.headers(), &core.dialect.deadline);
+    let header_timeout = headers::parse_number(request.headers(), &core.dialect.deadline);
     let caller_timeout = header_timeout.map_or(DEFAULT_TIMEOUT, Duration::from_millis);
     let startup_deadline = started_at + caller_timeout.mul_f64(STARTUP_WAIT_FRACTION);
     let routes = head::wait_for_routes(&core, startup_deadline).await;
@@ -129,7 +129,7 @@
     head::wait_for_instances(&core, startup_deadline).await;
     let service = match &route.target {
         Target::Service(name) => Some(name.clone()),
-        Target::Split(parts) => core.turn(route, parts),
+        Target::Split(parts) => core.next_split_service(route, parts),
     };
     let Some(service) = service else {
         return head::refuse(
@@ -177,7 +177,7 @@
 }
 
 impl Flow {
-    async fn run(&mut self, incoming: Incoming) -> Response<Returned> {
+    async fn run(&mut self, incoming: Incoming) -> Response<ResponseBody> {
         let deadline = self.deadline;
         let outcome = match tokio::time::timeout_at(deadline, self.process(incoming)).await {
             Ok(outcome) => outcome,
@@ -201,7 +201,7 @@
 
     async fn process(&mut self, incoming: Incoming) -> Outcome {
         // The caller disconnected while sending the body; the response reaches nobody.
-        let Ok(mut body) = body::outgoing(incoming).await else {
+        let Ok(mut body) = body::request_body(incoming).await else {
             return Outcome::Refusal(Reason::Late, None);
         };
         self.request_bytes = body.known_length().unwrap_or_default();
@@ -209,7 +209,7 @@
         self.content = body.content();
         self.balancer(Balancer::record_request);
         loop {
-            let retry_body = body.again();
+            let retry_body = body.replay();
             let end = self.attempt(body).await;
             match self.next_step(end, retry_body) {
                 Ok(outcome) => return outcome,
@@ -223,7 +223,7 @@
     }
 
     /// Makes one attempt.
-    async fn attempt(&mut self, body: Outgoing) -> Result<AttemptEnd, Reason> {
+    async fn attempt(&mut self, body: ForwardedBody) -> Result<AttemptEnd, Reason> {
         self.check_quarantine().await?;
         let chosen = self.choose_while_buffering(&body).await?;
         // The request may have been quarantined while it waited for capacity.
@@ -302,8 +302,8 @@
     fn next_step(
         &mut self,
         end: Result<AttemptEnd, Reason>,
-        retry_body: Option<Outgoing>,
-    ) -> Result<Outcome, Outgoing> {
+        retry_body: Option<ForwardedBody>,
+    ) -> Result<Outcome, ForwardedBody> {
         let once = self.route.kind == Kind::Once;
         let reason = match &end {
             Err(reason) => *reason,
@@ -360,7 +360,7 @@
         }
         let within_budget = self.balancer(Balancer::try_spend_retry).unwrap_or(false);
         if !within_budget {
-            self.core.counters.unpaid(&self.service);
+            self.core.counters.retry_denied(&self.service);
         }
         within_budget
     }
@@ -378,6 +378,6 @@
 
 /// An empty response body.
 #[must_use]
-pub fn empty_body() -> Returned {
-    Returned::whole(Bytes::new())
+pub fn empty_body() -> ResponseBody {
+    ResponseBody::whole(Bytes::new())
 }
--- a/crates/entry/src/flow/choice.rs
+++ b/crates/entry/src/flow/choice.rs
@@ -8,7 +8,7 @@
 
 use super::Flow;
 use crate::balancer::SelectedInstance;
-use crate::body::Outgoing;
+use crate::body::ForwardedBody;
 use crate::placement;
 use crate::refusal::Reason;
 use crate::search;
@@ -52,7 +52,7 @@
     /// Like `choose`, and buffers the request body meanwhile.
     pub(super) async fn choose_while_buffering(
         &mut self,
-        body: &Outgoing,
+        body: &ForwardedBody,
     ) -> Result<SelectedInstance, Reason> {
         let Some(spool) = body.spool() else {
             return self.choose().await;
--- a/crates/entry/src/flow/guard.rs
+++ b/crates/entry/src/flow/guard.rs
@@ -31,7 +31,7 @@
         let Some(fingerprint) = self.content.fingerprint(head).await else {
             return Ok(());
         };
-        let Some(remaining) = self.core.refused(fingerprint) else {
+        let Some(remaining) = self.core.quarantine_remaining(fingerprint) else {
             return Ok(());
         };
         info!(self.core.log, "quarantined"; "request" => self.request.id.to_str().unwrap_or("-"),
--- a/crates/entry/src/flow/head.rs
+++ b/crates/entry/src/flow/head.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 use uuid::Uuid;
 
-use crate::body::Returned;
+use crate::body::ResponseBody;
 use crate::core::Core;
 use crate::exchange::ForwardedRequest;
 use crate::headers;
@@ -25,10 +25,11 @@
 
 /// Returns the current route table; waits until `deadline` for the first one.
 pub(super) async fn wait_for_routes(core: &Core, deadline: Instant) -> Arc<Routes> {
-    let mut routed = core.routed.subscribe();
-    if !*routed.borrow_and_update() {
+    let mut table_known = core.table_known.subscribe();
+    if !*table_known.borrow_and_update() {
         // The caller handles a missing table.
-        let _ = tokio::time::timeout_at(deadline, routed.wait_for(|routed| *routed)).await;
+        let _ = tokio::time::timeout_at(deadline, table_known.wait_for(|table_known| *table_known))
+            .await;
     }
     core.routes()
 }
@@ -36,7 +37,7 @@
 /// Waits until `deadline` for the first known instance. After a restart of all processes, the
 /// table arrives first, and the instance lists of many processes share narrow links.
 pub(super) async fn wait_for_instances(core: &Core, deadline: Instant) {
-    let mut has_instances = core.stocked.subscribe();
+    let mut has_instances = core.instances_known.subscribe();
     if !*has_instances.borrow_and_update() {
         // The caller handles missing instances.
         let _ = tokio::time::timeout_at(deadline, has_instances.wait_for(|known| *known)).await;
@@ -79,7 +80,7 @@
         Some(name) => name.into(),
         None => caller.to_canonical().to_string().into(),
     };
-    headers::strip(&mut parts.headers);
+    headers::strip_hop_by_hop(&mut parts.headers);
     parts.headers.remove(&core.dialect.expected);
     parts.headers.insert(&core.dialect.request, id.clone());
     let uri = match parts.uri.path_and_query() {
@@ -105,7 +106,7 @@
     routes: &Routes,
     reason: Reason,
     retry_after: Option<Duration>,
-) -> Response<Returned> {
+) -> Response<ResponseBody> {
     let response = refusal::response(reason, retry_after);
     let label: &'static str = reason.into();
     core.counters.request("-", label, Duration::ZERO);
--- a/crates/entry/src/flow/response.rs
+++ b/crates/entry/src/flow/response.rs
@@ -10,7 +10,7 @@
 use super::Flow;
 use super::Outcome;
 use super::millis;
-use crate::body::Returned;
+use crate::body::ResponseBody;
 use crate::exchange::ResponseBody;
 use crate::headers;
 use crate::refusal;
@@ -20,7 +20,7 @@
 
 impl Flow {
     /// Returns a body that is passed on as it arrives; `first` has been read already.
-    fn stream(&self, first: Bytes, rest: Incoming, source: ResponseSource) -> Returned {
+    fn stream(&self, first: Bytes, rest: Incoming, source: ResponseSource) -> ResponseBody {
         let Some(attempt) = &self.last_attempt else {
             unreachable!("a response belongs to an attempt");
         };
@@ -34,16 +34,16 @@
             request_bytes: self.request_bytes,
             deadline: self.deadline,
         };
-        Returned::stream(first, rest, StreamTracker::new(context, source))
+        ResponseBody::stream(first, rest, StreamTracker::new(context, source))
     }
 
-    pub(super) fn respond(&self, outcome: Outcome) -> Response<Returned> {
+    pub(super) fn respond(&self, outcome: Outcome) -> Response<ResponseBody> {
         let elapsed = self.started_at.elapsed();
         let (response, label, retry_after) = match outcome {
             Outcome::Response(mut parts, body) => {
-                headers::strip(&mut parts.headers);
+                headers::strip_hop_by_hop(&mut parts.headers);
                 let body = match body {
-                    ResponseBody::Whole(bytes) => Returned::whole(bytes),
+                    ResponseBody::Whole(bytes) => ResponseBody::whole(bytes),
                     ResponseBody::Stream(first, rest, source) => self.stream(first, rest, source),
                 };
                 let response = Response::from_parts(*parts, body);
--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -19,8 +19,8 @@
 
 use crate::balancer::Balancer;
 use crate::body;
-use crate::body::Outgoing;
-use crate::body::Read;
+use crate::body::ForwardedBody;
+use crate::body::ReadBody;
 use crate::core::Core;
 use crate::exchange;
 use crate::pool::Connection;
@@ -124,7 +124,7 @@
     if parts.status != StatusCode::OK {
         return ProbeResult::Failed;
     }
-    if matches!(body, Ok(Read::Whole(_))) {
+    if matches!(body, Ok(ReadBody::Whole(_))) {
         exchange::release_connection(upstream, connection, &parts.headers);
     }
     let cold = parts.headers.get(&core.dialect.cold);
@@ -149,8 +149,8 @@
     }
 }
 
-fn build_request(core: &Core, upstream: &Upstream, path: &Uri) -> Option<Request<Outgoing>> {
-    let mut request = Request::new(Outgoing::Whole(None));
+fn build_request(core: &Core, upstream: &Upstream, path: &Uri) -> Option<Request<ForwardedBody>> {
+    let mut request = Request::new(ForwardedBody::Whole(None));
     *request.method_mut() = Method::GET;
     *request.uri_mut() = path.clone();
     let headers = request.headers_mut();
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -9,7 +9,7 @@
 use http::header;
 use strum::IntoStaticStr;
 
-use crate::body::Returned;
+use crate::body::ResponseBody;
 
 /// Why a request is refused. Unless stated otherwise, no instance has processed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr)]
@@ -53,9 +53,9 @@
 
 /// Builds the response; `retry_after` is sent as `Retry-After`.
 #[must_use]
-pub fn response(reason: Reason, retry_after: Option<Duration>) -> Response<Returned> {
+pub fn response(reason: Reason, retry_after: Option<Duration>) -> Response<ResponseBody> {
     let label: &'static str = reason.into();
-    let mut response = Response::new(Returned::whole(Bytes::from_static(label.as_bytes())));
+    let mut response = Response::new(ResponseBody::whole(Bytes::from_static(label.as_bytes())));
     *response.status_mut() = reason.status();
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
--- a/crates/entry/src/route_stats.rs
+++ b/crates/entry/src/route_stats.rs
@@ -5,7 +5,7 @@
 use base::prelude::*;
 use route::FreshChoice;
 
-use crate::left::Left;
+use crate::remaining::RemainingTime;
 
 /// Weight of one response in the moving averages.
 const SAMPLE_WEIGHT: f64 = 0.05;
@@ -29,7 +29,7 @@
     work: f64,
     bytes: f64,
     timeout: Option<Duration>,
-    caller_times: Left,
+    caller_times: RemainingTime,
 }
 
 impl RouteStats {
@@ -40,7 +40,7 @@
             work: aim.map_or(INITIAL_WORK, |aim| aim.as_secs_f64() / INITIAL_AIM_RATIO),
             bytes: INITIAL_BYTES,
             timeout,
-            caller_times: Left::default(),
+            caller_times: RemainingTime::default(),
         }
     }
 
--- a/crates/entry/src/stream_tracker.rs
+++ b/crates/entry/src/stream_tracker.rs
@@ -101,7 +101,7 @@
     }
 
     /// Records that the response is complete.
-    pub fn whole(self) {
+    pub fn complete(self) {
         let context = self.context;
         context.request.record_success(&context.core);
         let latency = context.sent_at.elapsed();
