--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -74,7 +74,7 @@
 
 /// The body of a response.
 #[derive(Debug)]
-pub enum ResponseBody {
+pub enum UpstreamBody {
     /// The complete body.
     Whole(Bytes),
     /// The part read so far, the rest, and the connection it arrives on.
@@ -86,7 +86,7 @@
 #[strum(serialize_all = "kebab-case")]
 pub enum AttemptEnd {
     /// A response to this request.
-    Answer(Box<Parts>, ResponseBody),
+    Answer(Box<Parts>, UpstreamBody),
     /// No byte of the request was sent.
     Unsent,
     /// The instance reported that it did not process the request.
@@ -275,7 +275,7 @@
     response: Response<Incoming>,
     connection: Connection,
     reusable: bool,
-) -> Option<(Parts, ResponseBody)> {
+) -> Option<(Parts, UpstreamBody)> {
     let (parts, incoming) = response.into_parts();
     // A server error may be replaced by another attempt's response, so it is not streamed.
     // Without a length, only the end of the body tells whether it is complete.
@@ -294,7 +294,7 @@
             if reusable {
                 release_connection(upstream, connection, &parts.headers);
             }
-            Some((parts, ResponseBody::Whole(bytes)))
+            Some((parts, UpstreamBody::Whole(bytes)))
         }
         ReadBody::Part(first, rest) => {
             let source = ResponseSource {
@@ -302,7 +302,7 @@
                 reusable: reusable && !headers::closes_connection(&parts.headers),
                 keep_alive: headers::keep_alive_timeout(&parts.headers),
             };
-            Some((parts, ResponseBody::Stream(first, rest, source)))
+            Some((parts, UpstreamBody::Stream(first, rest, source)))
         }
     }
 }
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -35,7 +35,7 @@
 use crate::exchange::AttemptTimeouts;
 use crate::exchange::ForwardedRequest;
 use crate::exchange::Reservation;
-use crate::exchange::ResponseBody;
+use crate::exchange::UpstreamBody;
 use crate::headers;
 use crate::refusal::Reason;
 use crate::route_stats::RouteStats;
@@ -84,7 +84,7 @@
     /// The part of the body that enters the request's fingerprint.
     content: Content,
     /// Server error of an instance, passed on if no later attempt succeeds.
-    failed_response: Option<(Box<http::response::Parts>, ResponseBody)>,
+    failed_response: Option<(Box<http::response::Parts>, UpstreamBody)>,
 }
 
 /// The most recent attempt.
@@ -96,7 +96,7 @@
 
 /// Final outcome of a request.
 enum Outcome {
-    Response(Box<http::response::Parts>, ResponseBody),
+    Response(Box<http::response::Parts>, UpstreamBody),
     Refusal(Reason, Option<Duration>),
 }
 
@@ -272,7 +272,7 @@
         if matches!(end, AttemptEnd::Elsewhere) {
             self.balancer(|balancer, _| balancer.record_displaced(pick));
         }
-        if let AttemptEnd::Answer(parts, ResponseBody::Whole(bytes)) = &end
+        if let AttemptEnd::Answer(parts, UpstreamBody::Whole(bytes)) = &end
             && parts.status.is_success()
         {
             let total = bytes.len() as u64 + self.request_bytes;
--- a/crates/entry/src/flow/guard.rs
+++ b/crates/entry/src/flow/guard.rs
@@ -13,7 +13,7 @@
 use crate::crash::BrokenAttempt;
 use crate::crash::RequestIdentity;
 use crate::exchange::AttemptEnd;
-use crate::exchange::ResponseBody;
+use crate::exchange::UpstreamBody;
 use crate::refusal::Reason;
 use crate::view::Upstream;
 
@@ -49,7 +49,7 @@
     ) {
         match end {
             AttemptEnd::Unknown => self.check_crash(upstream, sent_at).await,
-            AttemptEnd::Answer(parts, ResponseBody::Whole(_))
+            AttemptEnd::Answer(parts, UpstreamBody::Whole(_))
                 if !parts.status.is_server_error() =>
             {
                 self.identity().record_success(&self.core);
--- a/crates/entry/src/flow/response.rs
+++ b/crates/entry/src/flow/response.rs
@@ -11,7 +11,7 @@
 use super::Outcome;
 use super::millis;
 use crate::body::ResponseBody;
-use crate::exchange::ResponseBody;
+use crate::exchange::UpstreamBody;
 use crate::headers;
 use crate::refusal;
 use crate::stream_tracker::ResponseContext;
@@ -43,8 +43,8 @@
             Outcome::Response(mut parts, body) => {
                 headers::strip_hop_by_hop(&mut parts.headers);
                 let body = match body {
-                    ResponseBody::Whole(bytes) => ResponseBody::whole(bytes),
-                    ResponseBody::Stream(first, rest, source) => self.stream(first, rest, source),
+                    UpstreamBody::Whole(bytes) => ResponseBody::whole(bytes),
+                    UpstreamBody::Stream(first, rest, source) => self.stream(first, rest, source),
                 };
                 let response = Response::from_parts(*parts, body);
                 (response, "answered", None)
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -25,6 +25,7 @@
 pub mod processes;
 pub mod refusal;
 pub mod remaining;
+pub mod route_stats;
 pub mod search;
 pub mod serve;
 pub mod settings;
