--- a/crates/admit/src/lane.rs
+++ b/crates/admit/src/lane.rs
@@ -40,7 +40,7 @@
 
 /// A call that waits: its arrival decides how much of its time a start must leave.
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct QueuedCall {
     arrived: Moment,
 }
 
@@ -51,7 +51,7 @@
     limit: Limit,
     drain: Drain,
     running: u32,
-    queue: BTreeMap<(Moment, Ticket), Waiting>,
+    queue: BTreeMap<(Moment, Ticket), QueuedCall>,
     // The service left the catalogue; the lane stays until its last call ends, so
     // that a service which comes back still counts them.
     removed: bool,
@@ -163,7 +163,7 @@
             self.drain.begin(now);
         }
         let key = (request.deadline, request.ticket);
-        self.queue.insert(key, Waiting { arrived: now });
+        self.queue.insert(key, QueuedCall { arrived: now });
     }
 
     pub(crate) fn pop(&mut self, now: Moment) -> Option<Ticket> {
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -32,4 +32,4 @@
 pub use limit::Mode;
 pub use refusal::Refusal;
 pub use refusal::Refused;
-pub use waiting::Waiting;
+pub use waiting::WaitQueue;
--- a/crates/admit/src/waiting.rs
+++ b/crates/admit/src/waiting.rs
@@ -18,12 +18,12 @@
 
 /// Those that wait for one service.
 #[derive(Debug)]
-pub struct Waiting<T> {
+pub struct WaitQueue<T> {
     waiters: Vec<Waiter<T>>,
     next: u64,
 }
 
-impl<T> Default for Waiting<T> {
+impl<T> Default for WaitQueue<T> {
     fn default() -> Self {
         Self {
             waiters: Vec::new(),
@@ -32,7 +32,7 @@
     }
 }
 
-impl<T> Waiting<T> {
+impl<T> WaitQueue<T> {
     /// Adds one of `priority`, 0 the most urgent, that waits `until` then.
     pub fn push(&mut self, priority: u32, until: Moment, owner: T) {
         self.next += 1;
--- a/crates/admit/tests/test_waiting.rs
+++ b/crates/admit/tests/test_waiting.rs
@@ -1,6 +1,6 @@
 //! Who goes next among those that wait for room.
 
-use admit::Waiting;
+use admit::WaitQueue;
 use base::prelude::*;
 
 fn at(millis: u64) -> Moment {
@@ -9,7 +9,7 @@
 
 #[test]
 fn test_waiting_most_urgent_first_and_newest_among_equals() {
-    let mut waiting = Waiting::default();
+    let mut waiting = WaitQueue::default();
     for (priority, owner) in [(1, "a"), (0, "b"), (1, "c"), (0, "d")] {
         waiting.push(priority, at(100), owner);
     }
@@ -19,7 +19,7 @@
 
 #[test]
 fn test_waiting_drops_those_whose_time_is_over() {
-    let mut waiting = Waiting::default();
+    let mut waiting = WaitQueue::default();
     waiting.push(0, at(50), "short");
     waiting.push(1, at(200), "long");
     assert_eq!(waiting.len(at(0)), 2);
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -11,7 +11,7 @@
 use ::dispatch::Grants;
 use ::dispatch::Tenure;
 use ::dispatch::Warmup;
-use admit::Waiting;
+use admit::WaitQueue;
 use attempt::budget::Budget;
 use attempt::budget::Share;
 use base::prelude::*;
@@ -66,7 +66,7 @@
     probes: Allowance,
     shared: Shared,
     rows: HashMap<InstanceId, Arc<Upstream>>,
-    waiting: Waiting<oneshot::Sender<Pick>>,
+    waiting: WaitQueue<oneshot::Sender<Pick>>,
     /// When an attempt last ended, and the usual time between two ends.
     ended: Moment,
     ends: Duration,
@@ -132,7 +132,7 @@
             probes: Allowance::new(now),
             shared: *shared,
             rows: HashMap::new(),
-            waiting: Waiting::default(),
+            waiting: WaitQueue::default(),
             ended: now,
             ends: LEAST_BACK,
             refused: 0.0,
