--- a/crates/admit/src/admission.rs
+++ b/crates/admit/src/admission.rs
@@ -7,7 +7,7 @@
 use base::prelude::*;
 
 use crate::lane::Finish;
-use crate::lane::Lane;
+use crate::lane::ServiceQueue;
 use crate::lane::Terms;
 use crate::limit::Mode;
 use crate::refusal::Refusal;
@@ -81,7 +81,7 @@
 pub struct Admission {
     settings: Settings,
     mode: Mode,
-    lanes: BTreeMap<ServiceName, Lane>,
+    lanes: BTreeMap<ServiceName, ServiceQueue>,
     shares: Shares,
     queued: HashMap<Ticket, Queued>,
     running: HashMap<Ticket, Running>,
@@ -116,7 +116,7 @@
             return;
         }
         self.lanes
-            .insert(service.clone(), Lane::new(self.mode, terms));
+            .insert(service.clone(), ServiceQueue::new(self.mode, terms));
     }
 
     /// Removes a service; calls of it that wait are refused, those that run go on.
@@ -203,12 +203,12 @@
     /// When [`Self::poll`] is wanted at the latest; none when nothing waits.
     #[must_use]
     pub fn wake(&self) -> Option<Moment> {
-        self.lanes.values().filter_map(Lane::expiry).min()
+        self.lanes.values().filter_map(ServiceQueue::expiry).min()
     }
 
     /// The lane of a service, for the operators' view.
     #[must_use]
-    pub fn lane(&self, service: &ServiceName) -> Option<&Lane> {
+    pub fn lane(&self, service: &ServiceName) -> Option<&ServiceQueue> {
         self.lanes.get(service)
     }
 
@@ -238,7 +238,7 @@
     }
 
     fn forget(&mut self, service: &ServiceName) {
-        if self.lane(service).is_some_and(Lane::is_over) {
+        if self.lane(service).is_some_and(ServiceQueue::is_over) {
             self.lanes.remove(service);
         }
     }
@@ -313,7 +313,7 @@
         if self.queued.len() < to_usize(self.settings.queue) {
             return true;
         }
-        let Some(class) = self.lane(service).map(Lane::class) else {
+        let Some(class) = self.lane(service).map(ServiceQueue::class) else {
             return false;
         };
         let lower = &ORDER[share::rank(class) + 1..];
@@ -345,7 +345,7 @@
 
     fn may_yield(&self, class: Class) -> bool {
         let lanes = self.lanes.values().filter(|lane| lane.class() == class);
-        let held: usize = lanes.map(Lane::queued).sum();
+        let held: usize = lanes.map(ServiceQueue::queued).sum();
         let share = self.settings.queue * share::percent(class) / 100;
         held > to_usize(share.max(1))
     }
@@ -363,7 +363,7 @@
     }
 }
 
-fn can_start(lane: &Lane) -> bool {
+fn can_start(lane: &ServiceQueue) -> bool {
     lane.queued() > 0 && lane.has_room()
 }
 
--- a/crates/admit/src/lane.rs
+++ b/crates/admit/src/lane.rs
@@ -46,7 +46,7 @@
 
 /// Running calls, queue and pace of one service.
 #[derive(Clone, Debug)]
-pub struct Lane {
+pub struct ServiceQueue {
     terms: Terms,
     limit: Limit,
     drain: Drain,
@@ -57,7 +57,7 @@
     removed: bool,
 }
 
-impl Lane {
+impl ServiceQueue {
     pub(crate) fn new(mode: Mode, terms: Terms) -> Self {
         Self {
             terms,
--- a/crates/gateway/src/queue.rs
+++ b/crates/gateway/src/queue.rs
@@ -168,7 +168,7 @@
         let lane = state.admission.lane(service);
         Counts {
             queued: lane.map_or(0, |l| u32::try_from(l.queued()).unwrap_or(u32::MAX)),
-            running: lane.map_or(0, admit::lane::Lane::running),
+            running: lane.map_or(0, admit::lane::ServiceQueue::running),
         }
     }
 
