--- a/crates/admit/src/admission.rs
+++ b/crates/admit/src/admission.rs
@@ -6,12 +6,12 @@
 
 use base::prelude::*;
 
-use crate::lane::Finish;
-use crate::lane::ServiceQueue;
-use crate::lane::Terms;
 use crate::limit::Mode;
 use crate::refusal::Refusal;
 use crate::refusal::Refused;
+use crate::service_queue::Finish;
+use crate::service_queue::ServiceQueue;
+use crate::service_queue::Terms;
 use crate::share;
 use crate::share::ORDER;
 use crate::share::Shares;
@@ -111,8 +111,8 @@
 
     /// Adds a service or changes its terms; calls already running stay.
     pub fn set_service(&mut self, service: &ServiceName, terms: Terms) {
-        if let Some(lane) = self.lanes.get_mut(service) {
-            lane.set_terms(terms);
+        if let Some(service_queue) = self.lanes.get_mut(service) {
+            service_queue.set_terms(terms);
             return;
         }
         self.lanes
@@ -121,11 +121,11 @@
 
     /// Removes a service; calls of it that wait are refused, those that run go on.
     pub fn remove_service(&mut self, service: &ServiceName, out: &mut Vec<Action>) {
-        let Some(lane) = self.lanes.get_mut(service) else {
+        let Some(service_queue) = self.lanes.get_mut(service) else {
             return;
         };
-        lane.remove();
-        while let Some(ticket) = lane.take_first() {
+        service_queue.remove();
+        while let Some(ticket) = service_queue.take_first() {
             self.queued.remove(&ticket);
             out.push(Action::Refuse(ticket, without_retry(Refused::Removed)));
         }
@@ -145,21 +145,21 @@
         self.poll(now, out);
         let has_slot = self.has_slot();
         let known = self.lanes.get_mut(&request.service);
-        let Some(lane) = known.filter(|lane| !lane.is_removed()) else {
+        let Some(service_queue) = known.filter(|service_queue| !service_queue.is_removed()) else {
             return Arrival::Refused(without_retry(Refused::UnknownService));
         };
         if request.deadline <= now {
             return self.refuse(Refused::Expired, &request.service, now);
         }
-        if has_slot && lane.has_room() && lane.queued() == 0 {
-            lane.start();
+        if has_slot && service_queue.has_room() && service_queue.queued() == 0 {
+            service_queue.start();
             self.run(request.ticket, request.service.clone(), now);
             return Arrival::Started;
         }
-        if !lane.fits(request, now) {
+        if !service_queue.fits(request, now) {
             return self.refuse(Refused::Overloaded, &request.service, now);
         }
-        if lane.is_full() || !self.make_place(&request.service, now, out) {
+        if service_queue.is_full() || !self.make_place(&request.service, now, out) {
             return self.refuse(Refused::QueueFull, &request.service, now);
         }
         self.enqueue(request, now);
@@ -169,9 +169,9 @@
     /// The caller of a waiting call went away; a running one ends by [`Self::finish`].
     pub fn leave(&mut self, ticket: Ticket) {
         if let Some(queued) = self.queued.remove(&ticket)
-            && let Some(lane) = self.lanes.get_mut(&queued.service)
+            && let Some(service_queue) = self.lanes.get_mut(&queued.service)
         {
-            lane.take(queued.deadline, ticket);
+            service_queue.take(queued.deadline, ticket);
         }
     }
 
@@ -180,8 +180,8 @@
         let Some(running) = self.running.remove(&ticket) else {
             return;
         };
-        if let Some(lane) = self.lanes.get_mut(&running.service) {
-            lane.finish(finish, now.since(running.started), now);
+        if let Some(service_queue) = self.lanes.get_mut(&running.service) {
+            service_queue.finish(finish, now.since(running.started), now);
         }
         self.forget(&running.service);
         self.poll(now, out);
@@ -189,8 +189,8 @@
 
     /// An upstream shed an attempt of a call that goes on.
     pub fn shed(&mut self, service: &ServiceName, now: Moment) {
-        if let Some(lane) = self.lanes.get_mut(service) {
-            lane.shed(now);
+        if let Some(service_queue) = self.lanes.get_mut(service) {
+            service_queue.shed(now);
         }
     }
 
@@ -208,20 +208,23 @@
 
     /// The lane of a service, for the operators' view.
     #[must_use]
-    pub fn lane(&self, service: &ServiceName) -> Option<&ServiceQueue> {
+    pub fn service_queue(&self, service: &ServiceName) -> Option<&ServiceQueue> {
         self.lanes.get(service)
     }
 
     /// Whether calls of the service wait, so that hedges would only add load.
     #[must_use]
     pub fn is_pressed(&self, service: &ServiceName) -> bool {
-        self.lane(service).is_some_and(|lane| lane.queued() > 0)
+        self.service_queue(service)
+            .is_some_and(|service_queue| service_queue.queued() > 0)
     }
 
     /// When a caller refused now may come back, for refusals that others decide.
     #[must_use]
     pub fn retry_after(&self, service: &ServiceName, now: Moment) -> Duration {
-        let wait = self.lane(service).map(|lane| lane.retry_after(now));
+        let wait = self
+            .service_queue(service)
+            .map(|service_queue| service_queue.retry_after(now));
         wait.unwrap_or_default()
     }
 
@@ -238,7 +241,10 @@
     }
 
     fn forget(&mut self, service: &ServiceName) {
-        if self.lane(service).is_some_and(ServiceQueue::is_over) {
+        if self
+            .service_queue(service)
+            .is_some_and(ServiceQueue::is_over)
+        {
             self.lanes.remove(service);
         }
     }
@@ -248,8 +254,8 @@
     }
 
     fn enqueue(&mut self, request: &Request, now: Moment) {
-        if let Some(lane) = self.lanes.get_mut(&request.service) {
-            lane.push(request, now);
+        if let Some(service_queue) = self.lanes.get_mut(&request.service) {
+            service_queue.push(request, now);
         }
         let queued = Queued {
             service: request.service.clone(),
@@ -264,10 +270,10 @@
     }
 
     fn expire(&mut self, now: Moment, out: &mut Vec<Action>) {
-        for lane in self.lanes.values_mut() {
-            while lane.expiry().is_some_and(|at| at <= now) {
-                let retry_after = Some(lane.retry_after(now));
-                let Some(ticket) = lane.take_first() else {
+        for service_queue in self.lanes.values_mut() {
+            while service_queue.expiry().is_some_and(|at| at <= now) {
+                let retry_after = Some(service_queue.retry_after(now));
+                let Some(ticket) = service_queue.take_first() else {
                     break;
                 };
                 self.queued.remove(&ticket);
@@ -283,8 +289,8 @@
 
     fn start_next(&mut self, now: Moment, out: &mut Vec<Action>) -> bool {
         let mut waiting = [false; ORDER.len()];
-        for lane in self.lanes.values() {
-            waiting[share::rank(lane.class())] |= can_start(lane);
+        for service_queue in self.lanes.values() {
+            waiting[share::rank(service_queue.class())] |= can_start(service_queue);
         }
         let Some(class) = self.shares.pick(waiting) else {
             return false;
@@ -292,12 +298,12 @@
         let next = self
             .lanes
             .iter_mut()
-            .filter(|(_, lane)| lane.class() == class && can_start(lane))
-            .min_by_key(|(_, lane)| lane.first());
-        let Some((service, lane)) = next else {
+            .filter(|(_, service_queue)| service_queue.class() == class && can_start(service_queue))
+            .min_by_key(|(_, service_queue)| service_queue.first());
+        let Some((service, service_queue)) = next else {
             return false;
         };
-        let Some(ticket) = lane.pop(now) else {
+        let Some(ticket) = service_queue.pop(now) else {
             return false;
         };
         let service = service.clone();
@@ -313,7 +319,7 @@
         if self.queued.len() < to_usize(self.settings.queue) {
             return true;
         }
-        let Some(class) = self.lane(service).map(ServiceQueue::class) else {
+        let Some(class) = self.service_queue(service).map(ServiceQueue::class) else {
             return false;
         };
         let lower = &ORDER[share::rank(class) + 1..];
@@ -324,13 +330,13 @@
         let last = self
             .lanes
             .values_mut()
-            .filter(|lane| lane.class() == yields && lane.queued() > 0)
-            .max_by_key(|lane| lane.last());
-        let Some(lane) = last else {
+            .filter(|service_queue| service_queue.class() == yields && service_queue.queued() > 0)
+            .max_by_key(|service_queue| service_queue.last());
+        let Some(service_queue) = last else {
             return false;
         };
-        let retry_after = Some(lane.retry_after(now));
-        let Some(ticket) = lane.take_last() else {
+        let retry_after = Some(service_queue.retry_after(now));
+        let Some(ticket) = service_queue.take_last() else {
             return false;
         };
         self.queued.remove(&ticket);
@@ -344,7 +350,10 @@
     }
 
     fn may_yield(&self, class: Class) -> bool {
-        let lanes = self.lanes.values().filter(|lane| lane.class() == class);
+        let lanes = self
+            .lanes
+            .values()
+            .filter(|service_queue| service_queue.class() == class);
         let held: usize = lanes.map(ServiceQueue::queued).sum();
         let share = self.settings.queue * share::percent(class) / 100;
         held > to_usize(share.max(1))
@@ -363,8 +372,8 @@
     }
 }
 
-fn can_start(lane: &ServiceQueue) -> bool {
-    lane.queued() > 0 && lane.has_room()
+fn can_start(service_queue: &ServiceQueue) -> bool {
+    service_queue.queued() > 0 && service_queue.has_room()
 }
 
 fn without_retry(reason: Refused) -> Refusal {
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -15,9 +15,9 @@
 
 pub mod admission;
 pub mod drain;
-pub mod lane;
 pub mod limit;
 pub mod refusal;
+pub mod service_queue;
 pub mod share;
 pub mod waiting;
 
@@ -27,9 +27,9 @@
 pub use admission::Request;
 pub use admission::Settings;
 pub use admission::Ticket;
-pub use lane::Finish;
-pub use lane::Terms;
 pub use limit::Mode;
 pub use refusal::Refusal;
 pub use refusal::Refused;
+pub use service_queue::Finish;
+pub use service_queue::Terms;
 pub use waiting::WaitQueue;
--- a/crates/gateway/src/queue.rs
+++ b/crates/gateway/src/queue.rs
@@ -165,10 +165,10 @@
     #[must_use]
     pub fn counts(&self, service: &ServiceName) -> Counts {
         let state = self.state();
-        let lane = state.admission.lane(service);
+        let service_queue = state.admission.service_queue(service);
         Counts {
-            queued: lane.map_or(0, |l| u32::try_from(l.queued()).unwrap_or(u32::MAX)),
-            running: lane.map_or(0, admit::lane::ServiceQueue::running),
+            queued: service_queue.map_or(0, |l| u32::try_from(l.queued()).unwrap_or(u32::MAX)),
+            running: service_queue.map_or(0, admit::service_queue::ServiceQueue::running),
         }
     }
 
