--- a/crates/admit/examples/overload/scene.rs
+++ b/crates/admit/examples/overload/scene.rs
@@ -94,7 +94,7 @@
                 queue: 1_000,
             };
             let mut admission = Admission::with_mode(settings, setup.mode);
-            let terms = admit::Terms {
+            let terms = admit::ServiceConfig {
                 class: Class::Urgent,
                 concurrency: setup.concurrency,
                 queue: 200,
--- a/crates/admit/src/admission.rs
+++ b/crates/admit/src/admission.rs
@@ -10,8 +10,8 @@
 use crate::refusal::Refusal;
 use crate::refusal::Refused;
 use crate::service_queue::Finish;
+use crate::service_queue::ServiceConfig;
 use crate::service_queue::ServiceQueue;
-use crate::service_queue::Terms;
 use crate::share;
 use crate::share::ORDER;
 use crate::share::Shares;
@@ -110,7 +110,7 @@
     }
 
     /// Adds a service or changes its terms; calls already running stay.
-    pub fn set_service(&mut self, service: &ServiceName, terms: Terms) {
+    pub fn set_service(&mut self, service: &ServiceName, terms: ServiceConfig) {
         if let Some(service_queue) = self.lanes.get_mut(service) {
             service_queue.set_terms(terms);
             return;
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -31,5 +31,5 @@
 pub use refusal::Refusal;
 pub use refusal::Refused;
 pub use service_queue::Finish;
-pub use service_queue::Terms;
+pub use service_queue::ServiceConfig;
 pub use waiting::WaitQueue;
--- a/crates/admit/src/service_queue.rs
+++ b/crates/admit/src/service_queue.rs
@@ -13,7 +13,7 @@
 
 /// What the catalogue says of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct ServiceConfig {
     /// Its class.
     pub class: Class,
     /// Most calls that run at this gateway.
@@ -47,7 +47,7 @@
 /// Running calls, queue and pace of one service.
 #[derive(Clone, Debug)]
 pub struct ServiceQueue {
-    terms: Terms,
+    terms: ServiceConfig,
     limit: Limit,
     drain: Drain,
     running: u32,
@@ -58,7 +58,7 @@
 }
 
 impl ServiceQueue {
-    pub(crate) fn new(mode: Mode, terms: Terms) -> Self {
+    pub(crate) fn new(mode: Mode, terms: ServiceConfig) -> Self {
         Self {
             terms,
             limit: Limit::new(mode, terms.concurrency, terms.slots),
@@ -69,7 +69,7 @@
         }
     }
 
-    pub(crate) fn set_terms(&mut self, terms: Terms) {
+    pub(crate) fn set_terms(&mut self, terms: ServiceConfig) {
         self.terms = terms;
         self.limit.set_most(terms.concurrency);
         self.limit.set_slots(terms.slots);
--- a/crates/admit/tests/test_admission.rs
+++ b/crates/admit/tests/test_admission.rs
@@ -9,8 +9,8 @@
 use admit::Finish;
 use admit::Refused;
 use admit::Request;
+use admit::ServiceConfig;
 use admit::Settings;
-use admit::Terms;
 use admit::Ticket;
 use base::prelude::*;
 use quickcheck::QuickCheck;
@@ -32,7 +32,7 @@
 fn admission(settings: Settings, concurrency: u32, queue: u32) -> Admission {
     let mut admission = Admission::new(settings);
     for class in CLASSES {
-        let terms = Terms {
+        let terms = ServiceConfig {
             class,
             concurrency,
             queue,
@@ -142,7 +142,7 @@
     assert_eq!(refusals(&out), [(3, Refused::Removed)]);
     let arrival = admission.arrive(&request(5, Class::Urgent, 900), at(0), &mut out);
     assert_eq!(refused(arrival), Some(Refused::UnknownService));
-    let terms = Terms {
+    let terms = ServiceConfig {
         class: Class::Urgent,
         concurrency: 1,
         queue: 1,
@@ -164,7 +164,7 @@
         concurrency: 1_000,
         queue: 10,
     });
-    let terms = Terms {
+    let terms = ServiceConfig {
         class: Class::Urgent,
         concurrency: 128,
         queue: 1,
--- a/crates/demo/examples/policy/gateway.rs
+++ b/crates/demo/examples/policy/gateway.rs
@@ -62,7 +62,7 @@
             ..Settings::default()
         };
         let mut admission = Admission::new(LIMITS);
-        let terms = admit::Terms {
+        let terms = admit::ServiceConfig {
             class: Class::Urgent,
             concurrency: LIMITS.concurrency,
             queue: LIMITS.queue,
--- a/crates/gateway/src/queue.rs
+++ b/crates/gateway/src/queue.rs
@@ -13,7 +13,7 @@
 use admit::Arrival;
 use admit::Finish;
 use admit::Refused;
-use admit::Terms;
+use admit::ServiceConfig;
 use admit::Ticket;
 use base::prelude::*;
 use http::StatusCode;
@@ -247,13 +247,13 @@
     }
 }
 
-fn terms(service: &Service, view: &View) -> Terms {
+fn terms(service: &Service, view: &View) -> ServiceConfig {
     let ready = view.instances(&service.name).iter();
     let slots: u32 = ready
         .filter(|row| row.phase == Phase::Ready)
         .map(|row| row.slots)
         .fold(0, u32::saturating_add);
-    Terms {
+    ServiceConfig {
         class: service.class,
         concurrency: service.limits.concurrency,
         queue: service.limits.queue,
