--- a/crates/admit/src/admission.rs
+++ b/crates/admit/src/admission.rs
@@ -167,7 +167,7 @@
     }
 
     /// The caller of a waiting call went away; a running one ends by [`Self::finish`].
-    pub fn leave(&mut self, ticket: Ticket) {
+    pub fn cancel_queued(&mut self, ticket: Ticket) {
         if let Some(queued) = self.queued.remove(&ticket)
             && let Some(service_queue) = self.lanes.get_mut(&queued.service)
         {
--- a/crates/admit/tests/test_admission.rs
+++ b/crates/admit/tests/test_admission.rs
@@ -261,13 +261,13 @@
         admission.arrive(&request(ticket, Class::Once, deadline), at(0), &mut out);
     }
     assert_eq!(admission.wake(), Some(at(200)));
-    admission.leave(Ticket(3));
+    admission.cancel_queued(Ticket(3));
     assert_eq!(admission.wake(), Some(at(300)));
     admission.poll(at(299), &mut out);
     assert!(out.is_empty());
     admission.poll(at(300), &mut out);
     assert_eq!(refusals(&out), [(2, Refused::Expired)]);
-    admission.leave(Ticket(4));
+    admission.cancel_queued(Ticket(4));
     admission.finish(Ticket(1), Finish::Answered, at(310), &mut out);
     assert_eq!((admission.running(), admission.queued()), (0, 0));
     assert_eq!(out.len(), 1);
@@ -348,7 +348,7 @@
             }
             _ => {
                 if let Some((ticket, _)) = truth.waiting.pop_first() {
-                    admission.leave(Ticket(ticket));
+                    admission.cancel_queued(Ticket(ticket));
                 }
             }
         }
--- a/crates/gateway/src/queue.rs
+++ b/crates/gateway/src/queue.rs
@@ -239,7 +239,7 @@
         let mut state = self.queue.state();
         // At most one of these finds the ticket: it waits, runs, or was refused.
         state.waiting.remove(&self.ticket);
-        state.admission.leave(self.ticket);
+        state.admission.cancel_queued(self.ticket);
         state
             .admission
             .finish(self.ticket, self.finish, now, &mut out);
