--- a/crates/admit/examples/overload/scene.rs
+++ b/crates/admit/examples/overload/scene.rs
@@ -217,7 +217,7 @@
             depth: 0,
         };
         self.report.started += f64::from(u8::from(self.is_counted()));
-        let pressed = self.gateways[gateway].admission.is_pressed(&name());
+        let pressed = self.gateways[gateway].admission.is_backlogged(&name());
         let service = &mut self.gateways[gateway].service;
         service.pressed = pressed;
         let mut call = Call::new(terms);
--- a/crates/admit/src/admission.rs
+++ b/crates/admit/src/admission.rs
@@ -214,7 +214,7 @@
 
     /// Whether calls of the service wait, so that hedges would only add load.
     #[must_use]
-    pub fn is_pressed(&self, service: &ServiceName) -> bool {
+    pub fn is_backlogged(&self, service: &ServiceName) -> bool {
         self.service_queue(service)
             .is_some_and(|service_queue| service_queue.queued() > 0)
     }
--- a/crates/gateway/src/call/driver.rs
+++ b/crates/gateway/src/call/driver.rs
@@ -97,7 +97,10 @@
 
     pub(super) async fn run(mut self) {
         let began = self.core.clock.now();
-        let pressed = self.core.queue.is_pressed(&self.request.ask.service.name);
+        let pressed = self
+            .core
+            .queue
+            .is_backlogged(&self.request.ask.service.name);
         let actions = {
             let mut state = self.desk.state();
             state.attempts.pressed = pressed;
--- a/crates/gateway/src/queue.rs
+++ b/crates/gateway/src/queue.rs
@@ -150,8 +150,8 @@
 
     /// Whether calls of the service wait.
     #[must_use]
-    pub fn is_pressed(&self, service: &ServiceName) -> bool {
-        self.state().admission.is_pressed(service)
+    pub fn is_backlogged(&self, service: &ServiceName) -> bool {
+        self.state().admission.is_backlogged(service)
     }
 
     /// When a caller refused now may come back.
