--- a/crates/admit/examples/overload/scene.rs
+++ b/crates/admit/examples/overload/scene.rs
@@ -217,9 +217,9 @@
             depth: 0,
         };
         self.report.started += f64::from(u8::from(self.is_counted()));
-        let pressed = self.gateways[gateway].admission.is_backlogged(&name());
+        let backlogged = self.gateways[gateway].admission.is_backlogged(&name());
         let service = &mut self.gateways[gateway].service;
-        service.pressed = pressed;
+        service.backlogged = backlogged;
         let mut call = Call::new(terms);
         let actions = call.start(service, self.now);
         let running = Running {
--- a/crates/attempt/src/service.rs
+++ b/crates/attempt/src/service.rs
@@ -14,7 +14,7 @@
     /// Time from an attempt's start to the head of a successful answer.
     pub latency: Latency,
     /// Requests are queued for the service, so that a hedge would only add load; set by the adapter.
-    pub pressed: bool,
+    pub backlogged: bool,
 }
 
 impl Service {
@@ -24,7 +24,7 @@
         Self {
             budget: Budget::new(share, now),
             latency: Latency::default(),
-            pressed: false,
+            backlogged: false,
         }
     }
 }
--- a/crates/attempt/src/timing.rs
+++ b/crates/attempt/src/timing.rs
@@ -33,7 +33,7 @@
         return None;
     }
     let half = terms.deadline.since(now) / 2;
-    let late = match (terms.class, service.pressed) {
+    let late = match (terms.class, service.backlogged) {
         (_, true) => Some(stall(service)?),
         (Class::Urgent, false) => service.latency.quantile(HEDGE_PERMILLE),
         _ => stall(service).map(|span| span.min(half)),
--- a/crates/demo/examples/policy/call.rs
+++ b/crates/demo/examples/policy/call.rs
@@ -31,7 +31,7 @@
     let mut failed = false;
     let mut actions = {
         let gateway = &mut *gateway.borrow_mut();
-        gateway.service.pressed = gateway.admission.is_backlogged(&name());
+        gateway.service.backlogged = gateway.admission.is_backlogged(&name());
         call.start(&mut gateway.service, world.time.now())
     };
     loop {
--- a/crates/gateway/src/call/driver.rs
+++ b/crates/gateway/src/call/driver.rs
@@ -97,13 +97,13 @@
 
     pub(super) async fn run(mut self) {
         let began = self.core.clock.now();
-        let pressed = self
+        let backlogged = self
             .core
             .queue
             .is_backlogged(&self.request.ask.service.name);
         let actions = {
             let mut state = self.desk.state();
-            state.attempts.pressed = pressed;
+            state.attempts.backlogged = backlogged;
             self.call.start(&mut state.attempts, began)
         };
         self.perform(actions, None);
