--- a/crates/admit/examples/overload/scene.rs
+++ b/crates/admit/examples/overload/scene.rs
@@ -203,8 +203,8 @@
             }
         }
         let owner = &mut self.gateways[gateway];
-        let wake = owner.admission.wake();
-        if let Some(at) = wake.filter(|at| owner.poll_at.is_none_or(|set| *at < set)) {
+        let next_wakeup = owner.admission.next_wakeup();
+        if let Some(at) = next_wakeup.filter(|at| owner.poll_at.is_none_or(|set| *at < set)) {
             owner.poll_at = Some(at);
             self.put(at.since(self.now), Item::Poll(gateway));
         }
@@ -260,7 +260,7 @@
             }
         }
         let running = self.gateways[gateway].calls.get(&ticket);
-        if let Some(at) = running.and_then(|running| running.call.wake()) {
+        if let Some(at) = running.and_then(|running| running.call.next_wakeup()) {
             self.put(at.since(self.now), Item::Wake(gateway, ticket));
         }
     }
--- a/crates/admit/src/admission.rs
+++ b/crates/admit/src/admission.rs
@@ -202,7 +202,7 @@
 
     /// When [`Self::poll`] is wanted at the latest; none when nothing waits.
     #[must_use]
-    pub fn wake(&self) -> Option<Moment> {
+    pub fn next_wakeup(&self) -> Option<Moment> {
         self.lanes.values().filter_map(ServiceQueue::expiry).min()
     }
 
--- a/crates/admit/tests/test_admission.rs
+++ b/crates/admit/tests/test_admission.rs
@@ -260,9 +260,9 @@
     for (ticket, deadline) in [(1, 900), (2, 300), (3, 200), (4, 400)] {
         admission.arrive(&request(ticket, Class::Once, deadline), at(0), &mut out);
     }
-    assert_eq!(admission.wake(), Some(at(200)));
+    assert_eq!(admission.next_wakeup(), Some(at(200)));
     admission.cancel_queued(Ticket(3));
-    assert_eq!(admission.wake(), Some(at(300)));
+    assert_eq!(admission.next_wakeup(), Some(at(300)));
     admission.poll(at(299), &mut out);
     assert!(out.is_empty());
     admission.poll(at(300), &mut out);
@@ -308,12 +308,15 @@
     for ticket in 0..1_500 {
         let next = now + Duration::from_micros(rng.random_range(0..4_000));
         // The adapter polls at each wake on the way.
-        while let Some(wake) = admission.wake().filter(|wake| *wake <= next) {
-            now = now.max(wake);
+        while let Some(next_wakeup) = admission
+            .next_wakeup()
+            .filter(|next_wakeup| *next_wakeup <= next)
+        {
+            now = now.max(next_wakeup);
             admission.poll(now, &mut out);
             truth.take(&mut out, now);
             assert!(
-                admission.wake().is_none_or(|next| next > now),
+                admission.next_wakeup().is_none_or(|next| next > now),
                 "nothing expired"
             );
         }
--- a/crates/attempt/src/call.rs
+++ b/crates/attempt/src/call.rs
@@ -142,7 +142,7 @@
 
     /// When the call wants [`Event::Tick`] at the latest; none once it is finished.
     #[must_use]
-    pub fn wake(&self) -> Option<Moment> {
+    pub fn next_wakeup(&self) -> Option<Moment> {
         if self.is_finished() {
             return None;
         }
--- a/crates/attempt/tests/test_call.rs
+++ b/crates/attempt/tests/test_call.rs
@@ -60,8 +60,8 @@
     }
 
     // Moves to the call's next wake and ticks.
-    fn wake(&mut self) -> String {
-        self.now = self.call.wake().expect("a call that isn't over");
+    fn next_wakeup(&mut self) -> String {
+        self.now = self.call.next_wakeup().expect("a call that isn't over");
         self.step(Event::Tick)
     }
 }
@@ -222,7 +222,7 @@
 #[test]
 fn test_call_hedge_and_losers() {
     let mut bench = Bench::new(Class::Urgent, 0);
-    assert_eq!(bench.wake(), "hedge-2");
+    assert_eq!(bench.next_wakeup(), "hedge-2");
     assert!(bench.now.since(Moment::ZERO) < LATENCY * 2);
     assert_eq!(
         bench.step(Event::Head(2, head(200))),
@@ -235,17 +235,17 @@
 
     // A failure of one waits for the other.
     let mut bench = Bench::new(Class::Urgent, 0);
-    bench.wake();
+    bench.next_wakeup();
     assert_eq!(bench.step(Event::Head(1, head(500))), "cancel-1");
     assert_eq!(bench.step(Event::Head(2, head(200))), "relay-2-marked");
 
     // No hedge below the edge, for other classes, or under load.
     let mut bench = Bench::new(Class::Urgent, 1);
-    assert_eq!(bench.wake(), "cancel-1 fail-unknown-deadline");
+    assert_eq!(bench.next_wakeup(), "cancel-1 fail-unknown-deadline");
     let mut bench = Bench::new(Class::Once, 0);
-    assert_eq!(bench.wake(), "cancel-1 fail-unknown-deadline");
+    assert_eq!(bench.next_wakeup(), "cancel-1 fail-unknown-deadline");
     let mut bench = Bench::new(Class::Durable, 0);
-    assert_eq!(bench.wake(), "cancel-1 start-2");
+    assert_eq!(bench.next_wakeup(), "cancel-1 start-2");
     assert!(bench.now.since(Moment::ZERO) > LATENCY * 3);
 }
 
@@ -258,7 +258,7 @@
     }
     // Without a token a late attempt goes on.
     let mut bench = Bench::with_percent(Class::Durable, 0, 0);
-    assert_eq!(bench.wake(), "");
+    assert_eq!(bench.next_wakeup(), "");
     assert_eq!(bench.step(Event::Head(1, head(200))), "relay-1");
 }
 
--- a/crates/attempt/tests/test_levels.rs
+++ b/crates/attempt/tests/test_levels.rs
@@ -86,14 +86,14 @@
             }
             let next = pending.iter().filter_map(|(_, result)| *result);
             let next = next.min_by_key(|(at, _)| *at);
-            let wake = call.wake().expect("a call that isn't over");
+            let next_wakeup = call.next_wakeup().expect("a call that isn't over");
             let event = match next {
-                Some((at, event)) if at <= wake => {
+                Some((at, event)) if at <= next_wakeup => {
                     now = at;
                     event
                 }
                 _ => {
-                    now = wake;
+                    now = next_wakeup;
                     Event::Tick
                 }
             };
--- a/crates/attempt/tests/test_safety.rs
+++ b/crates/attempt/tests/test_safety.rs
@@ -82,8 +82,8 @@
             live => live[self.rng.random_range(0..live.len())],
         };
         let step = Duration::from_micros(self.rng.random_range(0..20_000));
-        let wake = call.wake().expect("a call that isn't over");
-        self.now = (self.now + step).min(wake);
+        let next_wakeup = call.next_wakeup().expect("a call that isn't over");
+        self.now = (self.now + step).min(next_wakeup);
         match self.rng.random_range(0..20) {
             0..4 => self.sleep(call),
             4..9 => Event::Ended(number, self.ending()),
@@ -95,7 +95,7 @@
     }
 
     fn sleep(&mut self, call: &Call) -> Event {
-        self.now = call.wake().expect("a call that isn't over");
+        self.now = call.next_wakeup().expect("a call that isn't over");
         Event::Tick
     }
 
@@ -187,7 +187,7 @@
             assert!(self.live.is_empty(), "an attempt outlives the call");
         } else if running == 0 {
             // Given up means answered: without an attempt there is a retry ahead.
-            assert!(call.wake() < Some(deadline), "an answer held back");
+            assert!(call.next_wakeup() < Some(deadline), "an answer held back");
         }
     }
 }
--- a/crates/demo/examples/policy/call.rs
+++ b/crates/demo/examples/policy/call.rs
@@ -75,11 +75,11 @@
             };
             return (finish, call.attempts());
         }
-        let wake = call.wake().unwrap_or(deadline);
+        let next_wakeup = call.next_wakeup().unwrap_or(deadline);
         let ended = tokio::select! {
             biased;
             Some(ended) = tasks.join_next() => ended.ok(),
-            () = world.time.sleep(wake.since(now)) => None,
+            () = world.time.sleep(next_wakeup.since(now)) => None,
         };
         let gateway = &mut *gateway.borrow_mut();
         let now = world.time.now();
--- a/crates/gateway/src/call/driver.rs
+++ b/crates/gateway/src/call/driver.rs
@@ -108,7 +108,7 @@
         };
         self.perform(actions, None);
         while !self.call.is_finished() {
-            let woken = self.wake().await;
+            let woken = self.next_wakeup().await;
             self.take(woken);
         }
         let span = self.core.clock.now().since(began);
@@ -123,9 +123,9 @@
         );
     }
 
-    pub(super) async fn wake(&mut self) -> Woken {
-        let wake = self.call.wake().unwrap_or(self.request.ask.deadline);
-        let wake = self.core.clock.instant(wake);
+    pub(super) async fn next_wakeup(&mut self) -> Woken {
+        let next_wakeup = self.call.next_wakeup().unwrap_or(self.request.ask.deadline);
+        let next_wakeup = self.core.clock.instant(next_wakeup);
         let (fresh, open) = match &mut self.outlet {
             Outlet::Fresh(send) => (Some(send), None),
             Outlet::Open(send) => (None, Some(&*send)),
@@ -135,7 +135,7 @@
             biased;
             head = next_head(&mut self.waiting) => Woken::Head(head),
             woken = pump(&mut self.pumped, &mut self.piece, open) => woken,
-            () = sleep_until(wake) => Woken::Tick,
+            () = sleep_until(next_wakeup) => Woken::Tick,
             () = left(fresh, open) => Woken::Left,
         }
     }
--- a/crates/gateway/src/queue.rs
+++ b/crates/gateway/src/queue.rs
@@ -175,10 +175,10 @@
     /// Refuses what can't be answered in time any more, as its moment comes.
     pub async fn run(self: Arc<Self>) {
         loop {
-            let wake = self.state().admission.wake();
+            let next_wakeup = self.state().admission.next_wakeup();
             let moment = async {
-                match wake {
-                    Some(wake) => sleep_until(self.clock.instant(wake)).await,
+                match next_wakeup {
+                    Some(next_wakeup) => sleep_until(self.clock.instant(next_wakeup)).await,
                     None => std::future::pending().await,
                 }
             };
