--- a/crates/admit/examples/overload/scene.rs
+++ b/crates/admit/examples/overload/scene.rs
@@ -211,7 +211,7 @@
     }
 
     fn start(&mut self, gateway: usize, ticket: Ticket, deadline: Moment) {
-        let terms = attempt::Terms {
+        let terms = attempt::CallContext {
             class: Class::Urgent,
             deadline,
             depth: 0,
--- a/crates/attempt/src/call.rs
+++ b/crates/attempt/src/call.rs
@@ -29,7 +29,7 @@
 
 /// What a call is bound by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct CallContext {
     /// The class of its service.
     pub class: Class,
     /// When the caller stops waiting.
@@ -56,7 +56,7 @@
 /// The state of one call.
 #[derive(Clone, Debug)]
 pub struct Call {
-    terms: Terms,
+    terms: CallContext,
     phase: Phase,
     // The attempts that run; at most two.
     live: [Option<Live>; 2],
@@ -78,7 +78,7 @@
 impl Call {
     /// A call that has begun no attempt.
     #[must_use]
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(terms: CallContext) -> Self {
         Self {
             terms,
             phase: Phase::Trying,
--- a/crates/attempt/src/lib.rs
+++ b/crates/attempt/src/lib.rs
@@ -28,7 +28,7 @@
 pub use budget::Budget;
 pub use budget::Share;
 pub use call::Call;
-pub use call::Terms;
+pub use call::CallContext;
 pub use event::Ending;
 pub use event::Event;
 pub use event::Head;
--- a/crates/attempt/src/timing.rs
+++ b/crates/attempt/src/timing.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand::RngExt;
 
-use crate::call::Terms;
+use crate::call::CallContext;
 use crate::service::Service;
 
 /// Thousandths of answers that come before a hedge is sent.
@@ -28,7 +28,7 @@
 /// Under load a call that is merely slow must not cost a second attempt, so only one
 /// that stalled is late.
 #[must_use]
-pub fn late_at(terms: &Terms, service: &Service, now: Moment) -> Option<Moment> {
+pub fn late_at(terms: &CallContext, service: &Service, now: Moment) -> Option<Moment> {
     if terms.depth > 0 || !terms.class.is_idempotent() {
         return None;
     }
--- a/crates/attempt/tests/test_call.rs
+++ b/crates/attempt/tests/test_call.rs
@@ -5,12 +5,12 @@
 use attempt::Action;
 use attempt::Actions;
 use attempt::Call;
+use attempt::CallContext;
 use attempt::Ending;
 use attempt::Event;
 use attempt::Head;
 use attempt::Service;
 use attempt::Share;
-use attempt::Terms;
 use base::prelude::*;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -35,7 +35,7 @@
             service.latency.record(LATENCY);
         }
         let deadline = Moment::from_millis(1_000);
-        let terms = Terms {
+        let terms = CallContext {
             class,
             deadline,
             depth,
@@ -271,7 +271,7 @@
     let mut extra = 0;
     for call in 0..100 {
         let now = Moment::from_millis(call);
-        let mut call = Call::new(Terms {
+        let mut call = Call::new(CallContext {
             class: Class::Urgent,
             deadline: now + Duration::from_secs(1),
             depth: 0,
@@ -333,7 +333,7 @@
 
 #[test]
 fn test_call_told_deadline_shrinks() {
-    let terms = Terms {
+    let terms = CallContext {
         class: Class::Urgent,
         deadline: Moment::from_millis(160),
         depth: 2,
--- a/crates/attempt/tests/test_levels.rs
+++ b/crates/attempt/tests/test_levels.rs
@@ -4,12 +4,12 @@
 
 use attempt::Action;
 use attempt::Call;
+use attempt::CallContext;
 use attempt::Ending;
 use attempt::Event;
 use attempt::Head;
 use attempt::Service;
 use attempt::Share;
-use attempt::Terms;
 use base::prelude::*;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -62,7 +62,7 @@
 
     // One call of a level's gateway: what it answers, and when.
     fn call(&mut self, depth: u8, told: Duration, start: Moment) -> (Moment, Head) {
-        let terms = Terms {
+        let terms = CallContext {
             class: self.class,
             deadline: start + told,
             depth,
--- a/crates/attempt/tests/test_safety.rs
+++ b/crates/attempt/tests/test_safety.rs
@@ -5,12 +5,12 @@
 use attempt::Action;
 use attempt::Actions;
 use attempt::Call;
+use attempt::CallContext;
 use attempt::Ending;
 use attempt::Event;
 use attempt::Head;
 use attempt::Service;
 use attempt::Share;
-use attempt::Terms;
 use base::prelude::*;
 use quickcheck::QuickCheck;
 use rand::RngExt;
@@ -53,7 +53,7 @@
     fn call(&mut self) {
         let class = CLASSES[self.rng.random_range(0..4)];
         let span = Duration::from_millis(self.rng.random_range(1..300));
-        let terms = Terms {
+        let terms = CallContext {
             class,
             deadline: self.now + span,
             depth: self.rng.random_range(0..3),
--- a/crates/demo/examples/policy/call.rs
+++ b/crates/demo/examples/policy/call.rs
@@ -22,7 +22,7 @@
 /// attempts it took.
 pub async fn run(world: &World, index: usize, deadline: Moment, work: Duration) -> (Finish, u8) {
     let gateway = &world.gateways[index];
-    let mut call = Call::new(attempt::Terms {
+    let mut call = Call::new(attempt::CallContext {
         class: Class::Urgent,
         deadline,
         depth: 0,
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -6,7 +6,7 @@
 
 use std::sync::Arc;
 
-use attempt::Terms;
+use attempt::CallContext;
 use base::prelude::*;
 use http::HeaderMap;
 use http::Method;
@@ -61,9 +61,9 @@
     receive
 }
 
-fn terms(request: &Request) -> Terms {
+fn terms(request: &Request) -> CallContext {
     let class = request.ask.service.class;
-    Terms {
+    CallContext {
         // A body that can be sent once only is as one of class once to the machine.
         class: if request.payload.is_kept() {
             class
