--- a/crates/admit/examples/overload/scene.rs
+++ b/crates/admit/examples/overload/scene.rs
@@ -12,11 +12,11 @@
 use admit::Request;
 use admit::Settings;
 use admit::Ticket;
+use attempt::BudgetSettings;
 use attempt::Call;
 use attempt::Event;
 use attempt::Head;
 use attempt::Service;
-use attempt::Share;
 use base::prelude::*;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -103,7 +103,7 @@
             admission.set_service(&name(), terms);
             Gateway {
                 admission,
-                service: Service::new(Share::percent(10), Moment::ZERO),
+                service: Service::new(BudgetSettings::percent(10), Moment::ZERO),
                 calls: HashMap::new(),
                 deadlines: HashMap::new(),
                 in_flight: [0; INSTANCES],
--- a/crates/attempt/src/budget.rs
+++ b/crates/attempt/src/budget.rs
@@ -19,7 +19,7 @@
 
 /// How a budget fills.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Share {
+pub struct BudgetSettings {
     /// Extra attempts as a share of calls, in percent; 0 allows none at all.
     pub percent: u32,
     /// Time after which one token is lent without calls.
@@ -28,7 +28,7 @@
     pub burst: u64,
 }
 
-impl Share {
+impl BudgetSettings {
     /// `percent` of calls, one token in five seconds, ten saved.
     #[must_use]
     pub fn percent(percent: u32) -> Self {
@@ -43,7 +43,7 @@
 /// Tokens for attempts beyond the first of each call.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    share: Share,
+    share: BudgetSettings,
     // Millionths of a token.
     level: u64,
     // What was lent, by the floor or at first, and calls haven't paid back, in the same unit.
@@ -56,7 +56,7 @@
 impl Budget {
     /// A budget without a token, so that restarts earn none.
     #[must_use]
-    pub fn new(share: Share, now: Moment) -> Self {
+    pub fn new(share: BudgetSettings, now: Moment) -> Self {
         Self {
             share,
             level: 0,
@@ -67,7 +67,7 @@
     }
 
     /// Takes another share over; what was saved stays, up to the new burst.
-    pub fn set_share(&mut self, share: Share, now: Moment) {
+    pub fn set_share(&mut self, share: BudgetSettings, now: Moment) {
         self.fill(now);
         self.share = share;
         self.level = self.level.min(self.cap());
--- a/crates/attempt/src/lib.rs
+++ b/crates/attempt/src/lib.rs
@@ -26,7 +26,7 @@
 pub use action::Reason;
 pub use action::Start;
 pub use budget::Budget;
-pub use budget::Share;
+pub use budget::BudgetSettings;
 pub use call::Call;
 pub use call::CallContext;
 pub use event::Ending;
--- a/crates/attempt/src/service.rs
+++ b/crates/attempt/src/service.rs
@@ -3,7 +3,7 @@
 use base::prelude::*;
 
 use crate::budget::Budget;
-use crate::budget::Share;
+use crate::budget::BudgetSettings;
 use crate::latency::Latency;
 
 /// Retry budget, observed latency and load of one service.
@@ -20,7 +20,7 @@
 impl Service {
     /// A service without answers yet.
     #[must_use]
-    pub fn new(share: Share, now: Moment) -> Self {
+    pub fn new(share: BudgetSettings, now: Moment) -> Self {
         Self {
             budget: Budget::new(share, now),
             latency: Latency::default(),
--- a/crates/attempt/tests/test_call.rs
+++ b/crates/attempt/tests/test_call.rs
@@ -4,13 +4,13 @@
 
 use attempt::Action;
 use attempt::Actions;
+use attempt::BudgetSettings;
 use attempt::Call;
 use attempt::CallContext;
 use attempt::Ending;
 use attempt::Event;
 use attempt::Head;
 use attempt::Service;
-use attempt::Share;
 use base::prelude::*;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -30,7 +30,7 @@
     }
 
     fn with_percent(class: Class, depth: u8, percent: u32) -> Self {
-        let mut service = Service::new(Share::percent(percent), Moment::ZERO);
+        let mut service = Service::new(BudgetSettings::percent(percent), Moment::ZERO);
         for _ in 0..100 {
             service.latency.record(LATENCY);
         }
@@ -266,7 +266,7 @@
 /// lent its budget a few tokens, which its calls pay back.
 #[test]
 fn test_call_young_gateway_retries() {
-    let mut service = Service::new(Share::percent(10), Moment::ZERO);
+    let mut service = Service::new(BudgetSettings::percent(10), Moment::ZERO);
     let mut rng = StdRng::seed_from_u64(1);
     let mut extra = 0;
     for call in 0..100 {
@@ -338,7 +338,7 @@
         deadline: Moment::from_millis(160),
         depth: 2,
     };
-    let mut service = Service::new(Share::percent(10), Moment::ZERO);
+    let mut service = Service::new(BudgetSettings::percent(10), Moment::ZERO);
     let actions = Call::new(terms).start(&mut service, Moment::ZERO);
     let Some(Action::Start(start)) = actions.iter().next() else {
         panic!("no start in {actions:?}");
--- a/crates/attempt/tests/test_levels.rs
+++ b/crates/attempt/tests/test_levels.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use attempt::Action;
+use attempt::BudgetSettings;
 use attempt::Call;
 use attempt::CallContext;
 use attempt::Ending;
 use attempt::Event;
 use attempt::Head;
 use attempt::Service;
-use attempt::Share;
 use base::prelude::*;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -47,7 +47,7 @@
 
 impl Tower {
     fn new(bottom: Bottom, class: Class) -> Self {
-        let mut service = Service::new(Share::percent(PERCENT), Moment::ZERO);
+        let mut service = Service::new(BudgetSettings::percent(PERCENT), Moment::ZERO);
         for _ in 0..100 {
             service.latency.record(WORK * 5);
         }
--- a/crates/attempt/tests/test_safety.rs
+++ b/crates/attempt/tests/test_safety.rs
@@ -4,13 +4,13 @@
 
 use attempt::Action;
 use attempt::Actions;
+use attempt::BudgetSettings;
 use attempt::Call;
 use attempt::CallContext;
 use attempt::Ending;
 use attempt::Event;
 use attempt::Head;
 use attempt::Service;
-use attempt::Share;
 use base::prelude::*;
 use quickcheck::QuickCheck;
 use rand::RngExt;
@@ -44,7 +44,7 @@
     fn new(seed: u64) -> Self {
         Self {
             rng: StdRng::seed_from_u64(seed),
-            service: Service::new(Share::percent(PERCENT), Moment::ZERO),
+            service: Service::new(BudgetSettings::percent(PERCENT), Moment::ZERO),
             now: Moment::ZERO,
             started: 0,
         }
--- a/crates/demo/examples/policy/gateway.rs
+++ b/crates/demo/examples/policy/gateway.rs
@@ -9,8 +9,8 @@
 use admit::Admission;
 use admit::Arrival;
 use admit::Ticket;
+use attempt::BudgetSettings;
 use attempt::Service;
-use attempt::Share;
 use base::prelude::Class;
 use base::prelude::HostName;
 use base::prelude::Moment;
@@ -69,7 +69,7 @@
             slots: case.instances * SLOTS / case.choosers,
         };
         admission.set_service(&name(), terms);
-        let share = Share::percent(RETRY_PERCENT * u32::from(case.whole));
+        let share = BudgetSettings::percent(RETRY_PERCENT * u32::from(case.whole));
         Self {
             chooser: Chooser::new(case.policy, settings, seed),
             service: Service::new(share, Moment::ZERO),
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -13,7 +13,7 @@
 use ::dispatch::Warmup;
 use admit::WaitQueue;
 use attempt::budget::Budget;
-use attempt::budget::Share;
+use attempt::budget::BudgetSettings;
 use base::prelude::*;
 use measure::Allowance;
 use route::Decision;
@@ -352,12 +352,12 @@
 }
 
 /// One process's share of the allowance.
-fn share(shared: &Shared) -> Share {
+fn share(shared: &Shared) -> BudgetSettings {
     let Shared { retry, entries, .. } = shared;
     let percent = f64::from(retry.percent) * SPENT_SHARE;
     let base = f64::from(retry.base) * SPENT_BASE / f64::from((*entries).max(1));
     let floor = retry.window.as_secs_f64() / base.max(1e-3);
-    Share {
+    BudgetSettings {
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/desk.rs
@@ -37,7 +37,7 @@
 
 impl Desk {
     fn new(service: &Service, now: Moment, seed: u64) -> Self {
-        let share = attempt::Share::percent(service.limits.retry_percent);
+        let share = attempt::BudgetSettings::percent(service.limits.retry_percent);
         Self {
             state: Mutex::new(State {
                 chooser: Chooser::new(route::Policy::default(), route::Settings::default(), seed),
@@ -55,7 +55,7 @@
 
     fn update(&self, now: Moment, service: &Service, rows: &[Arc<Upstream>]) {
         let mut state = self.state();
-        let share = attempt::Share::percent(service.limits.retry_percent);
+        let share = attempt::BudgetSettings::percent(service.limits.retry_percent);
         state.attempts.budget.set_share(share, now);
         let table: Vec<route::Instance> = rows.iter().map(|row| instance_of(row)).collect();
         if table != state.table {
