--- a/crates/attempt/src/budget.rs
+++ b/crates/attempt/src/budget.rs
@@ -67,7 +67,7 @@
     }
 
     /// Takes another share over; what was saved stays, up to the new burst.
-    pub fn set_share(&mut self, share: BudgetSettings, now: Moment) {
+    pub fn set_settings(&mut self, share: BudgetSettings, now: Moment) {
         self.fill(now);
         self.share = share;
         self.level = self.level.min(self.cap());
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -149,7 +149,7 @@
     pub fn set_shared(&mut self, shared: &Shared, now: Moment) {
         self.shared = *shared;
         self.chooser.set_processes(shared.entries);
-        self.budget.set_share(share(shared), now);
+        self.budget.set_settings(share(shared), now);
         self.share_probes(now);
     }
 
--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/desk.rs
@@ -56,7 +56,7 @@
     fn update(&self, now: Moment, service: &Service, rows: &[Arc<Upstream>]) {
         let mut state = self.state();
         let share = attempt::BudgetSettings::percent(service.limits.retry_percent);
-        state.attempts.budget.set_share(share, now);
+        state.attempts.budget.set_settings(share, now);
         let table: Vec<route::Instance> = rows.iter().map(|row| instance_of(row)).collect();
         if table != state.table {
             state.chooser.update(now, &table);
