--- a/crates/attempt/src/action.rs
+++ b/crates/attempt/src/action.rs
@@ -6,7 +6,7 @@
 use strum::Display;
 use strum::IntoStaticStr;
 
-use crate::event::Ending;
+use crate::event::AttemptError;
 use crate::event::Number;
 
 /// Most actions that one event brings: a failure and the end of two attempts.
@@ -92,15 +92,15 @@
     ShortBody,
 }
 
-impl From<Ending> for Reason {
-    fn from(ending: Ending) -> Self {
+impl From<AttemptError> for Reason {
+    fn from(ending: AttemptError) -> Self {
         match ending {
-            Ending::NoUpstream => Self::NoUpstream,
-            Ending::ConnectFailed | Ending::NotSent => Self::Connect,
-            Ending::NoAnswer => Self::NoAnswer,
-            Ending::Mismatch => Self::Mismatch,
-            Ending::Timeout => Self::Deadline,
-            Ending::ShortBody(_) => Self::ShortBody,
+            AttemptError::NoUpstream => Self::NoUpstream,
+            AttemptError::ConnectFailed | AttemptError::NotSent => Self::Connect,
+            AttemptError::NoAnswer => Self::NoAnswer,
+            AttemptError::Mismatch => Self::Mismatch,
+            AttemptError::Timeout => Self::Deadline,
+            AttemptError::ShortBody(_) => Self::ShortBody,
         }
     }
 }
--- a/crates/attempt/src/call/answer.rs
+++ b/crates/attempt/src/call/answer.rs
@@ -8,7 +8,7 @@
 use crate::action::Reason;
 use crate::call::Call;
 use crate::call::Phase;
-use crate::event::Ending;
+use crate::event::AttemptError;
 use crate::event::Head;
 use crate::event::Number;
 use crate::service::Service;
@@ -104,7 +104,7 @@
     pub(super) fn ended(
         &mut self,
         number: Number,
-        ending: Ending,
+        ending: AttemptError,
         service: &mut Service,
         rng: &mut impl Rng,
         now: Moment,
@@ -120,8 +120,8 @@
             return;
         }
         let reason = Reason::from(ending);
-        let useless = ending == Ending::NoUpstream;
-        let silent = ending == Ending::Timeout && self.terms.depth > 0;
+        let useless = ending == AttemptError::NoUpstream;
+        let silent = ending == AttemptError::Timeout && self.terms.depth > 0;
         if useless || silent {
             self.fail_if_alone(reason, actions);
             return;
@@ -132,7 +132,7 @@
     // The body broke while it was relayed.
     fn resume_or_break(
         &mut self,
-        ending: Ending,
+        ending: AttemptError,
         resumable: bool,
         service: &mut Service,
         rng: &mut impl Rng,
@@ -140,7 +140,7 @@
         actions: &mut Actions,
     ) {
         self.risky = true;
-        if let (Ending::ShortBody(offset), true) = (ending, resumable) {
+        if let (AttemptError::ShortBody(offset), true) = (ending, resumable) {
             if offset > self.offset {
                 self.counted = self.counted.saturating_sub(1);
             }
--- a/crates/attempt/src/event.rs
+++ b/crates/attempt/src/event.rs
@@ -14,7 +14,7 @@
     /// The whole answer was relayed to the caller.
     Whole(Number),
     /// An attempt ended without a whole answer.
-    Ended(Number, Ending),
+    Ended(Number, AttemptError),
     /// The moment of [`Call::wake`](crate::call::Call::wake) has come, or any other moment.
     Tick,
     /// The caller went away.
@@ -38,7 +38,7 @@
 /// How an attempt ended without a whole answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Ending {
+pub enum AttemptError {
     /// There was no upstream to choose; nothing was sent.
     NoUpstream,
     /// No connection; no byte of the request left.
@@ -55,7 +55,7 @@
     ShortBody(u64),
 }
 
-impl Ending {
+impl AttemptError {
     /// Whether the upstream may have run the request.
     #[must_use]
     pub fn may_have_run(self) -> bool {
--- a/crates/attempt/src/lib.rs
+++ b/crates/attempt/src/lib.rs
@@ -29,7 +29,7 @@
 pub use budget::BudgetSettings;
 pub use call::Call;
 pub use call::CallContext;
-pub use event::Ending;
+pub use event::AttemptError;
 pub use event::Event;
 pub use event::Head;
 pub use latency::Latency;
--- a/crates/attempt/tests/test_call.rs
+++ b/crates/attempt/tests/test_call.rs
@@ -4,10 +4,10 @@
 
 use attempt::Action;
 use attempt::Actions;
+use attempt::AttemptError;
 use attempt::BudgetSettings;
 use attempt::Call;
 use attempt::CallContext;
-use attempt::Ending;
 use attempt::Event;
 use attempt::Head;
 use attempt::Service;
@@ -133,36 +133,56 @@
         (Urgent, 0, Event::Head(1, shed()), "cancel-1 start-2"),
         (Once, 0, Event::Head(1, shed()), "cancel-1 start-2"),
         (Once, 3, Event::Head(1, shed()), "cancel-1 start-2"),
-        (Once, 0, ended(Ending::ConnectFailed), "start-2"),
-        (Once, 0, ended(Ending::NotSent), "start-2"),
-        (Durable, 0, ended(Ending::ConnectFailed), "start-2"),
+        (Once, 0, ended(AttemptError::ConnectFailed), "start-2"),
+        (Once, 0, ended(AttemptError::NotSent), "start-2"),
+        (Durable, 0, ended(AttemptError::ConnectFailed), "start-2"),
         // It may have run: only an idempotent request is sent again.
-        (Once, 0, ended(Ending::NoAnswer), "fail-unknown-no-answer"),
-        (Once, 0, ended(Ending::Mismatch), "fail-unknown-mismatch"),
-        (Once, 0, ended(Ending::Timeout), "fail-unknown-deadline"),
         (
             Once,
             0,
-            ended(Ending::ShortBody(0)),
+            ended(AttemptError::NoAnswer),
+            "fail-unknown-no-answer",
+        ),
+        (
+            Once,
+            0,
+            ended(AttemptError::Mismatch),
+            "fail-unknown-mismatch",
+        ),
+        (
+            Once,
+            0,
+            ended(AttemptError::Timeout),
+            "fail-unknown-deadline",
+        ),
+        (
+            Once,
+            0,
+            ended(AttemptError::ShortBody(0)),
             "fail-unknown-short-body",
         ),
         (Once, 0, Event::Head(1, head(500)), "relay-1-marked"),
-        (Urgent, 0, ended(Ending::NoAnswer), "start-2"),
-        (Durable, 0, ended(Ending::Mismatch), "start-2"),
-        (Deferred, 0, ended(Ending::Timeout), "start-2"),
-        (Urgent, 0, ended(Ending::ShortBody(0)), "start-2"),
+        (Urgent, 0, ended(AttemptError::NoAnswer), "start-2"),
+        (Durable, 0, ended(AttemptError::Mismatch), "start-2"),
+        (Deferred, 0, ended(AttemptError::Timeout), "start-2"),
+        (Urgent, 0, ended(AttemptError::ShortBody(0)), "start-2"),
         (Durable, 0, Event::Head(1, head(500)), "cancel-1 start-2"),
         // Only the level next to the failure retries.
         (Durable, 0, Event::Head(1, marked()), "relay-1-marked"),
         (Urgent, 6, Event::Head(1, marked()), "relay-1-marked"),
-        (Urgent, 6, ended(Ending::NoAnswer), "start-2"),
+        (Urgent, 6, ended(AttemptError::NoAnswer), "start-2"),
         // Silence may come from further down: only the edge acts on it.
-        (Urgent, 1, ended(Ending::Timeout), "fail-unknown-deadline"),
+        (
+            Urgent,
+            1,
+            ended(AttemptError::Timeout),
+            "fail-unknown-deadline",
+        ),
         // There is nowhere else to go.
         (
             Durable,
             0,
-            ended(Ending::NoUpstream),
+            ended(AttemptError::NoUpstream),
             "fail-not-run-no-upstream",
         ),
         // The caller went away.
@@ -184,7 +204,7 @@
         // An earlier unknown attempt makes the whole unknown.
         (
             Class::Durable,
-            ended(1, Ending::NoAnswer),
+            ended(1, AttemptError::NoAnswer),
             "start-2",
             "fail-unknown-no-upstream",
         ),
@@ -196,7 +216,7 @@
         ),
         (
             Class::Durable,
-            ended(1, Ending::NotSent),
+            ended(1, AttemptError::NotSent),
             "start-2",
             "fail-not-run-no-upstream",
         ),
@@ -211,7 +231,7 @@
         let mut bench = Bench::new(class, 0);
         assert_eq!(bench.step(first), retry, "{class} {first:?}");
         assert_eq!(
-            bench.step(ended(2, Ending::NoUpstream)),
+            bench.step(ended(2, AttemptError::NoUpstream)),
             last,
             "{class} {first:?}"
         );
@@ -253,7 +273,7 @@
 fn test_call_budget_empty() {
     for class in [Class::Urgent, Class::Once, Class::Durable, Class::Deferred] {
         let mut bench = Bench::with_percent(class, 0, 0);
-        let ended = Event::Ended(1, Ending::ConnectFailed);
+        let ended = Event::Ended(1, AttemptError::ConnectFailed);
         assert_eq!(bench.step(ended), "fail-not-run-connect", "{class}");
     }
     // Without a token a late attempt goes on.
@@ -277,7 +297,7 @@
             depth: 0,
         });
         call.start(&mut service, now);
-        let refused = Event::Ended(1, Ending::ConnectFailed);
+        let refused = Event::Ended(1, AttemptError::ConnectFailed);
         let retried = words(call.step(refused, &mut service, &mut rng, now));
         let again = retried == "start-2";
         extra += u32::from(again);
@@ -294,7 +314,7 @@
     // A retry that can't be answered in time is given up at once, not at the deadline.
     let mut bench = Bench::new(Class::Durable, 0);
     bench.now = Moment::from_millis(995);
-    let ended = Event::Ended(1, Ending::ConnectFailed);
+    let ended = Event::Ended(1, AttemptError::ConnectFailed);
     assert_eq!(bench.step(ended), "fail-not-run-connect");
 }
 
@@ -302,7 +322,7 @@
 fn test_call_deferred_resumes() {
     let mut bench = Bench::new(Class::Deferred, 0);
     assert_eq!(bench.step(Event::Head(1, resumable())), "relay-1");
-    let short = Event::Ended(1, Ending::ShortBody(700));
+    let short = Event::Ended(1, AttemptError::ShortBody(700));
     assert_eq!(bench.step(short), "resume-2@700");
     let part = Head {
         status: 206,
@@ -320,7 +340,7 @@
         bench.step(Event::Head(2, resumable())),
         "cancel-2 resume-3@700"
     );
-    let ended = Event::Ended(3, Ending::NoUpstream);
+    let ended = Event::Ended(3, AttemptError::NoUpstream);
     assert_eq!(bench.step(ended), "break-unknown-no-upstream");
 
     // What can't be resumed is broken off visibly.
--- a/crates/attempt/tests/test_levels.rs
+++ b/crates/attempt/tests/test_levels.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use attempt::Action;
+use attempt::AttemptError;
 use attempt::BudgetSettings;
 use attempt::Call;
 use attempt::CallContext;
-use attempt::Ending;
 use attempt::Event;
 use attempt::Head;
 use attempt::Service;
@@ -118,8 +118,8 @@
         let event = match self.bottom {
             Bottom::Error => Event::Head(number, error()),
             Bottom::Shed => Event::Head(number, shed()),
-            Bottom::Refused => Event::Ended(number, Ending::ConnectFailed),
-            Bottom::Reset => Event::Ended(number, Ending::NoAnswer),
+            Bottom::Refused => Event::Ended(number, AttemptError::ConnectFailed),
+            Bottom::Reset => Event::Ended(number, AttemptError::NoAnswer),
             Bottom::Stalled => return None,
             Bottom::SomeErrors if tenth => Event::Head(number, error()),
             Bottom::SomeErrors | Bottom::SomeSlow => Event::Head(number, whole()),
--- a/crates/attempt/tests/test_safety.rs
+++ b/crates/attempt/tests/test_safety.rs
@@ -4,10 +4,10 @@
 
 use attempt::Action;
 use attempt::Actions;
+use attempt::AttemptError;
 use attempt::BudgetSettings;
 use attempt::Call;
 use attempt::CallContext;
-use attempt::Ending;
 use attempt::Event;
 use attempt::Head;
 use attempt::Service;
@@ -99,16 +99,16 @@
         Event::Tick
     }
 
-    fn ending(&mut self) -> Ending {
+    fn ending(&mut self) -> AttemptError {
         let offset = self.rng.random_range(0..1_000);
         let endings = [
-            Ending::NoUpstream,
-            Ending::ConnectFailed,
-            Ending::NotSent,
-            Ending::NoAnswer,
-            Ending::Mismatch,
-            Ending::Timeout,
-            Ending::ShortBody(offset),
+            AttemptError::NoUpstream,
+            AttemptError::ConnectFailed,
+            AttemptError::NotSent,
+            AttemptError::NoAnswer,
+            AttemptError::Mismatch,
+            AttemptError::Timeout,
+            AttemptError::ShortBody(offset),
         ];
         endings[self.rng.random_range(0..endings.len())]
     }
@@ -129,7 +129,11 @@
     fn note(&mut self, event: Event) {
         let (number, ran) = match event {
             Event::Ended(number, ending) => {
-                let safe = [Ending::NoUpstream, Ending::ConnectFailed, Ending::NotSent];
+                let safe = [
+                    AttemptError::NoUpstream,
+                    AttemptError::ConnectFailed,
+                    AttemptError::NotSent,
+                ];
                 (number, !safe.contains(&ending))
             }
             Event::Head(number, head) if head.shed && !self.relayed.contains(&number) => {
--- a/crates/demo/examples/policy/call.rs
+++ b/crates/demo/examples/policy/call.rs
@@ -4,8 +4,8 @@
 
 use admit::Finish;
 use attempt::Action;
+use attempt::AttemptError;
 use attempt::Call;
-use attempt::Ending;
 use attempt::Event;
 use attempt::Reason;
 use attempt::event::Head;
@@ -85,7 +85,7 @@
         let now = world.time.now();
         let event = match ended {
             None => Event::Tick,
-            Some(Err(number)) => Event::Ended(number, Ending::NoUpstream),
+            Some(Err(number)) => Event::Ended(number, AttemptError::NoUpstream),
             Some(Ok((number, outcome))) => {
                 if let Some(ticket) = live[usize::from(number) - 1].0.take() {
                     gateway.chooser.finished(now, ticket, outcome);
@@ -100,7 +100,7 @@
                     gateway.admission.shed(&name(), now);
                 }
                 match outcome.kind {
-                    Kind::ConnectFailed => Event::Ended(number, Ending::ConnectFailed),
+                    Kind::ConnectFailed => Event::Ended(number, AttemptError::ConnectFailed),
                     _ => Event::Head(number, head),
                 }
             }
--- a/crates/gateway/src/call/answers.rs
+++ b/crates/gateway/src/call/answers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use admit::Finish;
-use attempt::Ending;
+use attempt::AttemptError;
 use attempt::Event;
 use attempt::Failure;
 use attempt::event::Number;
@@ -72,16 +72,16 @@
     }
 
     /// An answer that can't be the whole answer to this request.
-    pub(super) fn refused(&self, answer: &Answer) -> Option<Ending> {
+    pub(super) fn refused(&self, answer: &Answer) -> Option<AttemptError> {
         if answer.is_foreign(&self.request.ask.id) {
-            return Some(Ending::Mismatch);
+            return Some(AttemptError::Mismatch);
         }
         if !answer.framed {
-            return Some(Ending::NoAnswer);
+            return Some(AttemptError::NoAnswer);
         }
         let resumed = self.taken > 0 && answer.status == StatusCode::PARTIAL_CONTENT;
         if resumed && range_begin(&answer.headers) != Some(self.taken) {
-            return Some(Ending::Mismatch);
+            return Some(AttemptError::Mismatch);
         }
         None
     }
@@ -171,7 +171,7 @@
         let number = pumped.number;
         drop(pumped);
         info!(self.log, "answer short"; "attempt" => number, "bytes" => self.taken);
-        self.step(Event::Ended(number, Ending::ShortBody(self.taken)));
+        self.step(Event::Ended(number, AttemptError::ShortBody(self.taken)));
     }
 
     pub(super) fn whole(&mut self) {
--- a/crates/gateway/src/call/driver.rs
+++ b/crates/gateway/src/call/driver.rs
@@ -6,7 +6,7 @@
 
 use attempt::Action;
 use attempt::Actions;
-use attempt::Ending;
+use attempt::AttemptError;
 use attempt::Event;
 use attempt::Start;
 use base::prelude::*;
@@ -196,7 +196,7 @@
             }
             Err(reason) => {
                 self.hindrance.get_or_insert(reason);
-                self.step(Event::Ended(start.number, Ending::NoUpstream));
+                self.step(Event::Ended(start.number, AttemptError::NoUpstream));
             }
         }
     }
--- a/crates/gateway/src/call/judge.rs
+++ b/crates/gateway/src/call/judge.rs
@@ -1,6 +1,6 @@
 //! What failures and answers mean to the machines.
 
-use attempt::Ending;
+use attempt::AttemptError;
 use http::HeaderMap;
 use http::header::CONTENT_RANGE;
 use route::Kind;
@@ -17,11 +17,11 @@
     }
 }
 
-pub(super) fn ending_of(err: &LaneError) -> Ending {
+pub(super) fn ending_of(err: &LaneError) -> AttemptError {
     match err {
-        LaneError::Connect(_) => Ending::ConnectFailed,
-        LaneError::NoAnswer(_) => Ending::NoAnswer,
-        LaneError::Busy | LaneError::Target => Ending::NotSent,
+        LaneError::Connect(_) => AttemptError::ConnectFailed,
+        LaneError::NoAnswer(_) => AttemptError::NoAnswer,
+        LaneError::Busy | LaneError::Target => AttemptError::NotSent,
     }
 }
 
