--- a/crates/attempt/src/call.rs
+++ b/crates/attempt/src/call.rs
@@ -128,7 +128,7 @@
                 self.head(number, head, service, rng, now, &mut actions);
             }
             Event::Whole(number) => self.whole(number),
-            Event::Ended(number, ending) => {
+            Event::AttemptFailed(number, ending) => {
                 self.ended(number, ending, service, rng, now, &mut actions);
             }
             Event::Tick => self.tick(service, now, &mut actions),
--- a/crates/attempt/src/event.rs
+++ b/crates/attempt/src/event.rs
@@ -14,7 +14,7 @@
     /// The whole answer was relayed to the caller.
     Whole(Number),
     /// An attempt ended without a whole answer.
-    Ended(Number, AttemptError),
+    AttemptFailed(Number, AttemptError),
     /// The moment of [`Call::wake`](crate::call::Call::wake) has come, or any other moment.
     Tick,
     /// The caller went away.
--- a/crates/attempt/tests/test_call.rs
+++ b/crates/attempt/tests/test_call.rs
@@ -124,7 +124,7 @@
     use Class::Durable;
     use Class::Once;
     use Class::Urgent;
-    let ended = |ending| Event::Ended(1, ending);
+    let ended = |ending| Event::AttemptFailed(1, ending);
     let cases = [
         (Urgent, 0, Event::Head(1, head(200)), "relay-1"),
         (Once, 0, Event::Head(1, head(200)), "relay-1"),
@@ -199,7 +199,7 @@
 
 #[test]
 fn test_call_outcome_over_attempts() {
-    let ended = |number, ending| Event::Ended(number, ending);
+    let ended = |number, ending| Event::AttemptFailed(number, ending);
     let cases = [
         // An earlier unknown attempt makes the whole unknown.
         (
@@ -273,7 +273,7 @@
 fn test_call_budget_empty() {
     for class in [Class::Urgent, Class::Once, Class::Durable, Class::Deferred] {
         let mut bench = Bench::with_percent(class, 0, 0);
-        let ended = Event::Ended(1, AttemptError::ConnectFailed);
+        let ended = Event::AttemptFailed(1, AttemptError::ConnectFailed);
         assert_eq!(bench.step(ended), "fail-not-run-connect", "{class}");
     }
     // Without a token a late attempt goes on.
@@ -297,7 +297,7 @@
             depth: 0,
         });
         call.start(&mut service, now);
-        let refused = Event::Ended(1, AttemptError::ConnectFailed);
+        let refused = Event::AttemptFailed(1, AttemptError::ConnectFailed);
         let retried = words(call.step(refused, &mut service, &mut rng, now));
         let again = retried == "start-2";
         extra += u32::from(again);
@@ -314,7 +314,7 @@
     // A retry that can't be answered in time is given up at once, not at the deadline.
     let mut bench = Bench::new(Class::Durable, 0);
     bench.now = Moment::from_millis(995);
-    let ended = Event::Ended(1, AttemptError::ConnectFailed);
+    let ended = Event::AttemptFailed(1, AttemptError::ConnectFailed);
     assert_eq!(bench.step(ended), "fail-not-run-connect");
 }
 
@@ -322,7 +322,7 @@
 fn test_call_deferred_resumes() {
     let mut bench = Bench::new(Class::Deferred, 0);
     assert_eq!(bench.step(Event::Head(1, resumable())), "relay-1");
-    let short = Event::Ended(1, AttemptError::ShortBody(700));
+    let short = Event::AttemptFailed(1, AttemptError::ShortBody(700));
     assert_eq!(bench.step(short), "resume-2@700");
     let part = Head {
         status: 206,
@@ -340,7 +340,7 @@
         bench.step(Event::Head(2, resumable())),
         "cancel-2 resume-3@700"
     );
-    let ended = Event::Ended(3, AttemptError::NoUpstream);
+    let ended = Event::AttemptFailed(3, AttemptError::NoUpstream);
     assert_eq!(bench.step(ended), "break-unknown-no-upstream");
 
     // What can't be resumed is broken off visibly.
--- a/crates/attempt/tests/test_levels.rs
+++ b/crates/attempt/tests/test_levels.rs
@@ -118,8 +118,8 @@
         let event = match self.bottom {
             Bottom::Error => Event::Head(number, error()),
             Bottom::Shed => Event::Head(number, shed()),
-            Bottom::Refused => Event::Ended(number, AttemptError::ConnectFailed),
-            Bottom::Reset => Event::Ended(number, AttemptError::NoAnswer),
+            Bottom::Refused => Event::AttemptFailed(number, AttemptError::ConnectFailed),
+            Bottom::Reset => Event::AttemptFailed(number, AttemptError::NoAnswer),
             Bottom::Stalled => return None,
             Bottom::SomeErrors if tenth => Event::Head(number, error()),
             Bottom::SomeErrors | Bottom::SomeSlow => Event::Head(number, whole()),
--- a/crates/attempt/tests/test_safety.rs
+++ b/crates/attempt/tests/test_safety.rs
@@ -86,7 +86,7 @@
         self.now = (self.now + step).min(next_wakeup);
         match self.rng.random_range(0..20) {
             0..4 => self.sleep(call),
-            4..9 => Event::Ended(number, self.ending()),
+            4..9 => Event::AttemptFailed(number, self.ending()),
             9..15 => Event::Head(number, self.head()),
             15..18 => Event::Whole(number),
             18 => Event::Left,
@@ -128,7 +128,7 @@
     // An attempt that ends: only three endings and a shed before the relay prove that it never ran.
     fn note(&mut self, event: Event) {
         let (number, ran) = match event {
-            Event::Ended(number, ending) => {
+            Event::AttemptFailed(number, ending) => {
                 let safe = [
                     AttemptError::NoUpstream,
                     AttemptError::ConnectFailed,
--- a/crates/demo/examples/policy/call.rs
+++ b/crates/demo/examples/policy/call.rs
@@ -85,7 +85,7 @@
         let now = world.time.now();
         let event = match ended {
             None => Event::Tick,
-            Some(Err(number)) => Event::Ended(number, AttemptError::NoUpstream),
+            Some(Err(number)) => Event::AttemptFailed(number, AttemptError::NoUpstream),
             Some(Ok((number, outcome))) => {
                 if let Some(ticket) = live[usize::from(number) - 1].0.take() {
                     gateway.chooser.finished(now, ticket, outcome);
@@ -100,7 +100,9 @@
                     gateway.admission.shed(&name(), now);
                 }
                 match outcome.kind {
-                    Kind::ConnectFailed => Event::Ended(number, AttemptError::ConnectFailed),
+                    Kind::ConnectFailed => {
+                        Event::AttemptFailed(number, AttemptError::ConnectFailed)
+                    }
                     _ => Event::Head(number, head),
                 }
             }
--- a/crates/gateway/src/call/answers.rs
+++ b/crates/gateway/src/call/answers.rs
@@ -46,7 +46,7 @@
                 track.note(kind_of(&err));
                 drop(track);
                 info!(self.log, "attempt failed"; "attempt" => number, "error" => %err);
-                self.step(Event::Ended(number, ending_of(&err)));
+                self.step(Event::AttemptFailed(number, ending_of(&err)));
                 return;
             }
         };
@@ -55,7 +55,7 @@
             track.note(Kind::Error);
             drop(track);
             info!(self.log, "answer refused"; "attempt" => number, "ending" => <&str>::from(ending));
-            self.step(Event::Ended(number, ending));
+            self.step(Event::AttemptFailed(number, ending));
             return;
         }
         track.note(kind_of_answer(&answer));
@@ -171,7 +171,10 @@
         let number = pumped.number;
         drop(pumped);
         info!(self.log, "answer short"; "attempt" => number, "bytes" => self.taken);
-        self.step(Event::Ended(number, AttemptError::ShortBody(self.taken)));
+        self.step(Event::AttemptFailed(
+            number,
+            AttemptError::ShortBody(self.taken),
+        ));
     }
 
     pub(super) fn whole(&mut self) {
--- a/crates/gateway/src/call/driver.rs
+++ b/crates/gateway/src/call/driver.rs
@@ -196,7 +196,7 @@
             }
             Err(reason) => {
                 self.hindrance.get_or_insert(reason);
-                self.step(Event::Ended(start.number, AttemptError::NoUpstream));
+                self.step(Event::AttemptFailed(start.number, AttemptError::NoUpstream));
             }
         }
     }
