--- a/crates/attempt/src/call.rs
+++ b/crates/attempt/src/call.rs
@@ -132,7 +132,7 @@
                 self.ended(number, ending, service, rng, now, &mut actions);
             }
             Event::Tick => self.tick(service, now, &mut actions),
-            Event::Left => self.leave(&mut actions),
+            Event::CallerGone => self.leave(&mut actions),
         }
         if is_late && !self.is_finished() {
             self.fail(Reason::Deadline, &mut actions);
--- a/crates/attempt/src/event.rs
+++ b/crates/attempt/src/event.rs
@@ -18,7 +18,7 @@
     /// The moment of [`Call::wake`](crate::call::Call::wake) has come, or any other moment.
     Tick,
     /// The caller went away.
-    Left,
+    CallerGone,
 }
 
 /// The head of an upstream's answer, as far as the decision needs it.
--- a/crates/attempt/tests/test_call.rs
+++ b/crates/attempt/tests/test_call.rs
@@ -186,10 +186,10 @@
             "fail-not-run-no-upstream",
         ),
         // The caller went away.
-        (Urgent, 0, Event::Left, "cancel-1"),
-        (Deferred, 0, Event::Left, "cancel-1"),
-        (Once, 0, Event::Left, ""),
-        (Durable, 0, Event::Left, ""),
+        (Urgent, 0, Event::CallerGone, "cancel-1"),
+        (Deferred, 0, Event::CallerGone, "cancel-1"),
+        (Once, 0, Event::CallerGone, ""),
+        (Durable, 0, Event::CallerGone, ""),
     ];
     for (class, depth, event, expected) in cases {
         let mut bench = Bench::new(class, depth);
--- a/crates/attempt/tests/test_safety.rs
+++ b/crates/attempt/tests/test_safety.rs
@@ -89,7 +89,7 @@
             4..9 => Event::AttemptFailed(number, self.ending()),
             9..15 => Event::Head(number, self.head()),
             15..18 => Event::Whole(number),
-            18 => Event::Left,
+            18 => Event::CallerGone,
             _ => Event::Head(number.wrapping_add(1), self.head()),
         }
     }
--- a/crates/gateway/src/call/driver.rs
+++ b/crates/gateway/src/call/driver.rs
@@ -136,7 +136,7 @@
             head = next_head(&mut self.waiting) => Woken::Head(head),
             woken = pump(&mut self.pumped, &mut self.piece, open) => woken,
             () = sleep_until(next_wakeup) => Woken::Tick,
-            () = left(fresh, open) => Woken::Left,
+            () = left(fresh, open) => Woken::CallerGone,
         }
     }
 
@@ -148,10 +148,10 @@
             Woken::Piece(None) => self.whole(),
             Woken::Sent => {}
             Woken::Tick => self.step(Event::Tick),
-            Woken::Left => {
+            Woken::CallerGone => {
                 self.outlet = Outlet::Shut;
                 self.piece = None;
-                self.step(Event::Left);
+                self.step(Event::CallerGone);
                 info!(self.log, "caller left"; "ended" => self.call.is_finished());
             }
         }
--- a/crates/gateway/src/call/flow.rs
+++ b/crates/gateway/src/call/flow.rs
@@ -69,7 +69,7 @@
     Piece(Option<std::result::Result<Bytes, reqwest::Error>>),
     Sent,
     Tick,
-    Left,
+    CallerGone,
 }
 
 pub(super) async fn next_head(waiting: &mut [Waiting]) -> Head {
