--- a/crates/attempt/src/call.rs
+++ b/crates/attempt/src/call.rs
@@ -127,7 +127,7 @@
             Event::Head(number, head) => {
                 self.head(number, head, service, rng, now, &mut actions);
             }
-            Event::Whole(number) => self.whole(number),
+            Event::Complete(number) => self.whole(number),
             Event::AttemptFailed(number, ending) => {
                 self.ended(number, ending, service, rng, now, &mut actions);
             }
--- a/crates/attempt/src/event.rs
+++ b/crates/attempt/src/event.rs
@@ -12,7 +12,7 @@
     /// The head of an upstream's answer came.
     Head(Number, Head),
     /// The whole answer was relayed to the caller.
-    Whole(Number),
+    Complete(Number),
     /// An attempt ended without a whole answer.
     AttemptFailed(Number, AttemptError),
     /// The moment of [`Call::wake`](crate::call::Call::wake) has come, or any other moment.
--- a/crates/attempt/tests/test_call.rs
+++ b/crates/attempt/tests/test_call.rs
@@ -250,7 +250,7 @@
     );
     // A late answer of the loser changes nothing.
     assert_eq!(bench.step(Event::Head(1, head(200))), "");
-    assert_eq!(bench.step(Event::Whole(2)), "");
+    assert_eq!(bench.step(Event::Complete(2)), "");
     assert!(bench.call.is_finished());
 
     // A failure of one waits for the other.
@@ -329,7 +329,7 @@
         ..resumable()
     };
     assert_eq!(bench.step(Event::Head(2, part)), "relay-2-marked");
-    assert_eq!(bench.step(Event::Whole(2)), "");
+    assert_eq!(bench.step(Event::Complete(2)), "");
     assert!(bench.call.is_finished());
 
     // A whole new answer is never appended to the part that was relayed.
--- a/crates/attempt/tests/test_safety.rs
+++ b/crates/attempt/tests/test_safety.rs
@@ -88,7 +88,7 @@
             0..4 => self.sleep(call),
             4..9 => Event::AttemptFailed(number, self.ending()),
             9..15 => Event::Head(number, self.head()),
-            15..18 => Event::Whole(number),
+            15..18 => Event::Complete(number),
             18 => Event::CallerGone,
             _ => Event::Head(number.wrapping_add(1), self.head()),
         }
@@ -139,7 +139,7 @@
             Event::Head(number, head) if head.shed && !self.relayed.contains(&number) => {
                 (number, false)
             }
-            Event::Whole(number) if self.relayed.contains(&number) => (number, true),
+            Event::Complete(number) if self.relayed.contains(&number) => (number, true),
             _ => return,
         };
         if let Some(at) = self.live.iter().position(|live| *live == number) {
--- a/crates/gateway/src/call/answers.rs
+++ b/crates/gateway/src/call/answers.rs
@@ -188,7 +188,7 @@
             let _ = send.try_send(Ok(Bytes::new()));
         }
         self.note(Finish::Answered);
-        self.step(Event::Whole(number));
+        self.step(Event::Complete(number));
     }
 
     pub(super) fn note(&mut self, finish: Finish) {
