--- a/crates/attempt/src/action.rs
+++ b/crates/attempt/src/action.rs
@@ -7,7 +7,7 @@
 use strum::IntoStaticStr;
 
 use crate::event::AttemptError;
-use crate::event::Number;
+use crate::event::AttemptNumber;
 
 /// Most actions that one event brings: a failure and the end of two attempts.
 pub const MOST_ACTIONS: usize = 4;
@@ -18,11 +18,11 @@
     /// Choose an upstream that this call hasn't tried, and send the request.
     Start(Start),
     /// Drop an attempt; its connection is never used again, unless its answer was whole.
-    Cancel(Number),
+    Cancel(AttemptNumber),
     /// Relay this attempt's answer; `marked` adds [`base::header::RETRIED`].
     Relay {
         /// The attempt.
-        number: Number,
+        number: AttemptNumber,
         /// It is a failure, which no level above may retry, or took extra attempts,
         /// which the levels above pay for from their budgets too.
         marked: bool,
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Start {
     /// From 1; goes into [`base::header::ATTEMPT`].
-    pub number: Number,
+    pub number: AttemptNumber,
     /// When the adapter may drop it by itself: the call's deadline.
     pub deadline: Moment,
     /// What goes into [`base::header::DEADLINE`]: less than what remains, so that the
--- a/crates/attempt/src/call.rs
+++ b/crates/attempt/src/call.rs
@@ -17,8 +17,8 @@
 use crate::action::Failure;
 use crate::action::Reason;
 use crate::action::Start;
+use crate::event::AttemptNumber;
 use crate::event::Event;
-use crate::event::Number;
 use crate::service::Service;
 use crate::timing;
 
@@ -40,7 +40,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Live {
-    number: Number,
+    number: AttemptNumber,
     started: Moment,
 }
 
@@ -49,7 +49,10 @@
 enum Phase {
     Trying,
     // An attempt's answer goes to the caller; it can be resumed or not.
-    Relaying { number: Number, resumable: bool },
+    Relaying {
+        number: AttemptNumber,
+        resumable: bool,
+    },
     Finished,
 }
 
@@ -336,11 +339,11 @@
         self.live = [None; 2];
     }
 
-    fn find(&self, number: Number) -> Option<Live> {
+    fn find(&self, number: AttemptNumber) -> Option<Live> {
         self.live.into_iter().flatten().find(|l| l.number == number)
     }
 
-    fn drop_live(&mut self, number: Number) {
+    fn drop_live(&mut self, number: AttemptNumber) {
         for slot in &mut self.live {
             if slot.is_some_and(|live| live.number == number) {
                 *slot = None;
--- a/crates/attempt/src/call/answer.rs
+++ b/crates/attempt/src/call/answer.rs
@@ -9,8 +9,8 @@
 use crate::call::Call;
 use crate::call::Phase;
 use crate::event::AttemptError;
+use crate::event::AttemptNumber;
 use crate::event::Head;
-use crate::event::Number;
 use crate::service::Service;
 
 const PARTIAL: u16 = 206;
@@ -19,7 +19,7 @@
 impl Call {
     pub(super) fn head(
         &mut self,
-        number: Number,
+        number: AttemptNumber,
         head: Head,
         service: &mut Service,
         rng: &mut impl Rng,
@@ -59,7 +59,7 @@
     // An upstream's own failure: relayed unless another attempt may do better.
     fn server_error(
         &mut self,
-        number: Number,
+        number: AttemptNumber,
         head: Head,
         service: &mut Service,
         rng: &mut impl Rng,
@@ -77,7 +77,7 @@
         self.begin_due(service, now, actions);
     }
 
-    fn relay(&mut self, number: Number, head: Head, actions: &mut Actions) {
+    fn relay(&mut self, number: AttemptNumber, head: Head, actions: &mut Actions) {
         for other in self.live.into_iter().flatten() {
             if other.number != number {
                 self.risky = true;
@@ -94,7 +94,7 @@
         });
     }
 
-    pub(super) fn whole(&mut self, number: Number) {
+    pub(super) fn whole(&mut self, number: AttemptNumber) {
         if matches!(self.phase, Phase::Relaying { number: n, .. } if n == number) {
             self.live = [None; 2];
             self.phase = Phase::Finished;
@@ -103,7 +103,7 @@
 
     pub(super) fn ended(
         &mut self,
-        number: Number,
+        number: AttemptNumber,
         ending: AttemptError,
         service: &mut Service,
         rng: &mut impl Rng,
--- a/crates/attempt/src/event.rs
+++ b/crates/attempt/src/event.rs
@@ -4,17 +4,17 @@
 use strum::IntoStaticStr;
 
 /// Number of an attempt within its call, from 1.
-pub type Number = u8;
+pub type AttemptNumber = u8;
 
 /// Something that happened to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The head of an upstream's answer came.
-    Head(Number, Head),
+    Head(AttemptNumber, Head),
     /// The whole answer was relayed to the caller.
-    Complete(Number),
+    Complete(AttemptNumber),
     /// An attempt ended without a whole answer.
-    AttemptFailed(Number, AttemptError),
+    AttemptFailed(AttemptNumber, AttemptError),
     /// The moment of [`Call::wake`](crate::call::Call::wake) has come, or any other moment.
     Tick,
     /// The caller went away.
--- a/crates/gateway/src/call/answers.rs
+++ b/crates/gateway/src/call/answers.rs
@@ -6,7 +6,7 @@
 use attempt::AttemptError;
 use attempt::Event;
 use attempt::Failure;
-use attempt::event::Number;
+use attempt::event::AttemptNumber;
 use base::header;
 use base::prelude::*;
 use bytes::Bytes;
@@ -35,7 +35,11 @@
 use crate::relay::Relayed;
 
 impl Driver {
-    pub(super) fn head(&mut self, number: Number, result: std::result::Result<Answer, LaneError>) {
+    pub(super) fn head(
+        &mut self,
+        number: AttemptNumber,
+        result: std::result::Result<Answer, LaneError>,
+    ) {
         let Some(index) = self.waiting.iter().position(|w| w.number == number) else {
             return;
         };
@@ -111,7 +115,7 @@
         self.request.method == Method::GET && !partial && offered && strong && fits
     }
 
-    pub(super) fn cancel(&mut self, number: Number, cause: Option<Event>) {
+    pub(super) fn cancel(&mut self, number: AttemptNumber, cause: Option<Event>) {
         // Time alone ends an attempt that gave no answer in time.
         let late = matches!(cause, Some(Event::Tick));
         if let Some(index) = self.waiting.iter().position(|w| w.number == number) {
@@ -129,7 +133,7 @@
         }
     }
 
-    pub(super) fn relay(&mut self, number: Number, marked: bool) {
+    pub(super) fn relay(&mut self, number: AttemptNumber, marked: bool) {
         let Some(index) = self.arrived.iter().position(|a| a.number == number) else {
             return;
         };
--- a/crates/gateway/src/call/flow.rs
+++ b/crates/gateway/src/call/flow.rs
@@ -4,7 +4,7 @@
 use std::pin::Pin;
 use std::task::Poll;
 
-use attempt::event::Number;
+use attempt::event::AttemptNumber;
 use bytes::Bytes;
 use futures::StreamExt;
 use tokio::sync::mpsc;
@@ -18,25 +18,25 @@
 use crate::track::Track;
 
 /// An attempt's number with the head of its answer, or why there is none.
-pub(super) type Head = (Number, std::result::Result<Answer, LaneError>);
+pub(super) type Head = (AttemptNumber, std::result::Result<Answer, LaneError>);
 
 /// An attempt that waits for the head of its answer.
 pub(super) struct Waiting {
-    pub(super) number: Number,
+    pub(super) number: AttemptNumber,
     pub(super) track: Track,
     pub(super) head: Pin<Box<dyn Future<Output = std::result::Result<Answer, LaneError>> + Send>>,
 }
 
 /// An attempt whose head came, until the machine says what to do with it.
 pub(super) struct Arrived {
-    pub(super) number: Number,
+    pub(super) number: AttemptNumber,
     pub(super) track: Track,
     pub(super) answer: Answer,
 }
 
 /// The attempt whose body goes to the caller.
 pub(super) struct Pumped {
-    pub(super) number: Number,
+    pub(super) number: AttemptNumber,
     pub(super) track: Track,
     pub(super) pieces: Pieces,
 }
