--- a/crates/attempt/src/action.rs
+++ b/crates/attempt/src/action.rs
@@ -25,7 +25,7 @@
         number: AttemptNumber,
         /// It is a failure, which no level above may retry, or took extra attempts,
         /// which the levels above pay for from their budgets too.
-        marked: bool,
+        retried: bool,
     },
     /// Answer the caller at once with a failure.
     Fail(Failure),
--- a/crates/attempt/src/call/answer.rs
+++ b/crates/attempt/src/call/answer.rs
@@ -90,7 +90,7 @@
         self.second_at = None;
         actions.push(Action::Relay {
             number,
-            marked: head.retried || self.begun > 1 || head.status >= SERVER_ERROR,
+            retried: head.retried || self.begun > 1 || head.status >= SERVER_ERROR,
         });
     }
 
--- a/crates/attempt/tests/test_call.rs
+++ b/crates/attempt/tests/test_call.rs
@@ -79,8 +79,8 @@
         }
         Action::Start(start) => format!("start-{}", start.number),
         Action::Cancel(number) => format!("cancel-{number}"),
-        Action::Relay { number, marked } => {
-            format!("relay-{number}{}", if marked { "-marked" } else { "" })
+        Action::Relay { number, retried } => {
+            format!("relay-{number}{}", if retried { "-marked" } else { "" })
         }
         Action::Fail(failure) => format!("fail-{}-{}", failure.outcome, failure.reason),
         Action::Break(failure) => format!("break-{}-{}", failure.outcome, failure.reason),
@@ -102,7 +102,7 @@
     }
 }
 
-fn marked() -> Head {
+fn retried() -> Head {
     Head {
         status: 502,
         retried: true,
@@ -168,8 +168,8 @@
         (Urgent, 0, ended(AttemptError::ShortBody(0)), "start-2"),
         (Durable, 0, Event::Head(1, head(500)), "cancel-1 start-2"),
         // Only the level next to the failure retries.
-        (Durable, 0, Event::Head(1, marked()), "relay-1-marked"),
-        (Urgent, 6, Event::Head(1, marked()), "relay-1-marked"),
+        (Durable, 0, Event::Head(1, retried()), "relay-1-marked"),
+        (Urgent, 6, Event::Head(1, retried()), "relay-1-marked"),
         (Urgent, 6, ended(AttemptError::NoAnswer), "start-2"),
         // Silence may come from further down: only the edge acts on it.
         (
--- a/crates/attempt/tests/test_levels.rs
+++ b/crates/attempt/tests/test_levels.rs
@@ -80,7 +80,7 @@
                         pending.push((s.number, result));
                     }
                     Action::Cancel(number) => pending.retain(|(n, _)| *n != number),
-                    Action::Relay { marked, .. } => return (now, mark(last, marked)),
+                    Action::Relay { retried, .. } => return (now, mark(last, retried)),
                     Action::Fail(_) | Action::Break(_) => return (now, mark(error(), true)),
                 }
             }
@@ -130,9 +130,9 @@
     }
 }
 
-fn mark(head: Head, marked: bool) -> Head {
+fn mark(head: Head, retried: bool) -> Head {
     Head {
-        retried: marked,
+        retried: retried,
         ..head
     }
 }
--- a/crates/gateway/src/call/driver.rs
+++ b/crates/gateway/src/call/driver.rs
@@ -173,7 +173,7 @@
             match action {
                 Action::Start(start) => self.begin(start),
                 Action::Cancel(number) => self.cancel(number, cause),
-                Action::Relay { number, marked } => self.relay(number, marked),
+                Action::Relay { number, retried } => self.relay(number, retried),
                 Action::Fail(failure) => self.fail(failure),
                 Action::Break(failure) => self.cut(failure),
             }
