--- a/crates/attempt/src/action.rs
+++ b/crates/attempt/src/action.rs
@@ -42,7 +42,7 @@
     pub deadline: Moment,
     /// What goes into [`base::header::DEADLINE`]: less than what remains, so that the
     /// failure of a level below, with its mark, comes before the deadline here.
-    pub told: Duration,
+    pub upstream_timeout: Duration,
     /// What goes into [`base::header::DEPTH`].
     pub depth: u8,
     /// First byte of the body to ask for; over 0 only after a broken body.
--- a/crates/attempt/src/call.rs
+++ b/crates/attempt/src/call.rs
@@ -293,7 +293,7 @@
         actions.push(Action::Start(Start {
             number: self.begun,
             deadline: self.terms.deadline,
-            told: timing::told(remains),
+            upstream_timeout: timing::upstream_timeout(remains),
             depth: self.terms.depth.saturating_add(1),
             offset: self.offset,
             hedge,
--- a/crates/attempt/src/timing.rs
+++ b/crates/attempt/src/timing.rs
@@ -54,7 +54,7 @@
 
 /// The time passed on to a level below when `remains` is left here.
 #[must_use]
-pub fn told(remains: Duration) -> Duration {
+pub fn upstream_timeout(remains: Duration) -> Duration {
     remains.saturating_sub(MARGIN.min(remains / MARGIN_PART))
 }
 
--- a/crates/attempt/tests/test_call.rs
+++ b/crates/attempt/tests/test_call.rs
@@ -363,6 +363,6 @@
     let Some(Action::Start(start)) = actions.iter().next() else {
         panic!("no start in {actions:?}");
     };
-    assert_eq!(start.told, Duration::from_millis(155));
+    assert_eq!(start.upstream_timeout, Duration::from_millis(155));
     assert_eq!(start.depth, 3);
 }
--- a/crates/attempt/tests/test_levels.rs
+++ b/crates/attempt/tests/test_levels.rs
@@ -61,10 +61,10 @@
     }
 
     // One call of a level's gateway: what it answers, and when.
-    fn call(&mut self, depth: u8, told: Duration, start: Moment) -> (Moment, Head) {
+    fn call(&mut self, depth: u8, upstream_timeout: Duration, start: Moment) -> (Moment, Head) {
         let terms = CallContext {
             class: self.class,
-            deadline: start + told,
+            deadline: start + upstream_timeout,
             depth,
         };
         let mut call = Call::new(terms);
@@ -76,7 +76,7 @@
             for action in actions {
                 match action {
                     Action::Start(s) => {
-                        let result = self.attempt(s.number, s.depth, s.told, now);
+                        let result = self.attempt(s.number, s.depth, s.upstream_timeout, now);
                         pending.push((s.number, result));
                     }
                     Action::Cancel(number) => pending.retain(|(n, _)| *n != number),
@@ -107,10 +107,16 @@
     }
 
     // An instance of the level below takes the request, and calls on unless it is the bottom.
-    fn attempt(&mut self, number: u8, depth: u8, told: Duration, now: Moment) -> Result {
+    fn attempt(
+        &mut self,
+        number: u8,
+        depth: u8,
+        upstream_timeout: Duration,
+        now: Moment,
+    ) -> Result {
         if depth < LEVELS {
             // The instance passes the depth on, and the mark back up.
-            let (at, head) = self.call(depth, told, now + WORK);
+            let (at, head) = self.call(depth, upstream_timeout, now + WORK);
             return Some((at, Event::Head(number, head)));
         }
         self.reached += 1;
--- a/crates/gateway/src/call/driver.rs
+++ b/crates/gateway/src/call/driver.rs
@@ -268,7 +268,7 @@
             Told {
                 id: &self.request.ask.id,
                 attempt: start.number.into(),
-                left: start.told,
+                left: start.upstream_timeout,
                 depth: start.depth,
             },
         );
