--- a/crates/demo/examples/policy/gateway.rs
+++ b/crates/demo/examples/policy/gateway.rs
@@ -15,7 +15,7 @@
 use base::prelude::HostName;
 use base::prelude::Moment;
 use base::prelude::ServiceName;
-use measure::Meter;
+use measure::ProbeLimiter;
 use measure::Registry;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -47,7 +47,7 @@
     /// Of calls.
     pub admission: Admission,
     /// Of probes.
-    pub meter: Meter,
+    pub meter: ProbeLimiter,
     waiting: HashMap<Ticket, oneshot::Sender<bool>>,
     last: u64,
     whole: bool,
@@ -122,14 +122,14 @@
     ServiceName::new("status").expect("letters are a name")
 }
 
-fn meter(case: &Case, index: u32) -> Meter {
+fn meter(case: &Case, index: u32) -> ProbeLimiter {
     let host = |i: u32| HostName::new(&format!("host-{i:02}")).expect("letters are a name");
     let registry = Registry {
         version: 1,
         gateways: (0..case.choosers).map(host).collect(),
         budgets: BTreeMap::from([(name(), case.probes)]),
     };
-    let mut meter = Meter::new(host(index), LEASE, Duration::ZERO);
+    let mut meter = ProbeLimiter::new(host(index), LEASE, Duration::ZERO);
     meter.set_holder(true, Moment::ZERO);
     meter.learn(Arc::new(registry), Moment::ZERO);
     meter
--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -17,7 +17,7 @@
 use http::HeaderMap;
 use http::Method;
 use measure::Denied;
-use measure::Meter;
+use measure::ProbeLimiter;
 use route::Pick;
 use route::Probed;
 use slog::debug;
@@ -44,7 +44,7 @@
 /// The meter behind a lock.
 #[derive(Debug)]
 pub struct Prober {
-    meter: Mutex<Meter>,
+    meter: Mutex<ProbeLimiter>,
     clock: Clock,
 }
 
@@ -53,7 +53,7 @@
     #[must_use]
     pub fn new(host: HostName, lease: Duration, clock: Clock) -> Self {
         Self {
-            meter: Mutex::new(Meter::new(host, lease, anchor(clock))),
+            meter: Mutex::new(ProbeLimiter::new(host, lease, anchor(clock))),
             clock,
         }
     }
@@ -88,7 +88,7 @@
         }
     }
 
-    fn meter(&self) -> MutexGuard<'_, Meter> {
+    fn meter(&self) -> MutexGuard<'_, ProbeLimiter> {
         self.meter.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -2,7 +2,7 @@
 //! gateways together.
 //!
 //! The catalogue sets the budget of a service and registers the gateways. Each
-//! gateway's [`Meter`](meter::Meter) spends only its share, from buckets that start
+//! gateway's [`Meter`](probe_limiter::Meter) spends only its share, from buckets that start
 //! empty and hold one probe, so no gateway needs to hear of another's probes.
 //! Nothing here does input or output.
 //!
@@ -16,11 +16,11 @@
 
 pub mod allowance;
 pub mod bucket;
-pub mod meter;
+pub mod probe_limiter;
 pub mod registry;
 pub mod slot;
 
 pub use allowance::Allowance;
-pub use meter::Denied;
-pub use meter::Meter;
+pub use probe_limiter::Denied;
+pub use probe_limiter::ProbeLimiter;
 pub use registry::Registry;
--- a/crates/measure/src/meter.rs
+++ b/crates/measure/src/probe_limiter.rs
@@ -56,7 +56,7 @@
 /// held the right to probe, at the smallest share of the versions that may have
 /// been in use then.
 #[derive(Clone, Debug)]
-pub struct Meter {
+pub struct ProbeLimiter {
     host: HostName,
     lease: Duration,
     anchor: Duration,
@@ -69,7 +69,7 @@
     buckets: HashMap<ServiceName, HashMap<InstanceId, Bucket>>,
 }
 
-impl Meter {
+impl ProbeLimiter {
     /// A meter that may spend nothing yet.
     ///
     /// `lease` is the one after which an unconfirmed gateway is fenced; `anchor` the
--- a/crates/measure/tests/fleet/mod.rs
+++ b/crates/measure/tests/fleet/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use measure::Meter;
+use measure::ProbeLimiter;
 use measure::Registry;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -39,7 +39,7 @@
     // The process's clock has its own origin and pace, in parts of a thousand.
     origin: Moment,
     pace: u64,
-    meter: Meter,
+    meter: ProbeLimiter,
     naive: Naive,
 }
 
@@ -283,7 +283,7 @@
         cut: false,
         origin,
         pace,
-        meter: Meter::new(name(host), LEASE, anchor),
+        meter: ProbeLimiter::new(name(host), LEASE, anchor),
         naive: Naive {
             level: 1.0,
             filled: Moment::ZERO,
--- a/crates/measure/tests/test_versions.rs
+++ b/crates/measure/tests/test_versions.rs
@@ -6,7 +6,7 @@
 
 use base::prelude::*;
 use measure::Denied;
-use measure::Meter;
+use measure::ProbeLimiter;
 use measure::Registry;
 
 const LEASE: Duration = Duration::from_secs(3);
@@ -85,7 +85,7 @@
 }
 
 fn run(case: &Case) -> Vec<u64> {
-    let mut meters: Vec<Meter> = (0..3).map(meter).collect();
+    let mut meters: Vec<ProbeLimiter> = (0..3).map(meter).collect();
     let mut probes = Vec::new();
     for at in 0..20_000 {
         let now = Moment::from_millis(at);
@@ -129,7 +129,7 @@
 fn test_versions_denials() {
     let case = &cases()[0];
     let mut meter = meter(0);
-    let spend = |meter: &mut Meter, at| meter.spend(&service(), &instance(), at);
+    let spend = |meter: &mut ProbeLimiter, at| meter.spend(&service(), &instance(), at);
     let at = Moment::from_millis;
     assert_eq!(spend(&mut meter, at(0)), Err(Denied::Fenced));
     meter.learn(registry(case, 1), at(0));
@@ -166,8 +166,8 @@
     }
 }
 
-fn meter(rank: usize) -> Meter {
-    let mut meter = Meter::new(name(rank), LEASE, Duration::ZERO);
+fn meter(rank: usize) -> ProbeLimiter {
+    let mut meter = ProbeLimiter::new(name(rank), LEASE, Duration::ZERO);
     meter.set_holder(true, Moment::ZERO);
     meter.add(&service(), &instance(), Moment::ZERO);
     meter
