--- a/crates/demo/examples/policy/gateway.rs
+++ b/crates/demo/examples/policy/gateway.rs
@@ -131,6 +131,6 @@
     };
     let mut meter = ProbeLimiter::new(host(index), LEASE, Duration::ZERO);
     meter.set_holder(true, Moment::ZERO);
-    meter.learn(Arc::new(registry), Moment::ZERO);
+    meter.update_registry(Arc::new(registry), Moment::ZERO);
     meter
 }
--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -69,7 +69,7 @@
         let mut meter = self.meter();
         meter.set_anchor(anchor(self.clock));
         if after.version() > 0 {
-            meter.learn(after.registry().clone(), now);
+            meter.update_registry(after.registry().clone(), now);
         }
         if let Some(sent) = after.confirmed() {
             meter.confirm(after.version(), sent, now);
--- a/crates/measure/src/probe_limiter.rs
+++ b/crates/measure/src/probe_limiter.rs
@@ -108,7 +108,7 @@
     }
 
     /// Takes over a newer accepted version; an older or equal one changes nothing.
-    pub fn learn(&mut self, registry: Arc<Registry>, now: Moment) {
+    pub fn update_registry(&mut self, registry: Arc<Registry>, now: Moment) {
         let known = self.current.as_ref().map(|current| current.version);
         if known.is_some_and(|version| registry.version <= version) {
             return;
--- a/crates/measure/tests/fleet/mod.rs
+++ b/crates/measure/tests/fleet/mod.rs
@@ -256,7 +256,7 @@
         }
         let (sent, now) = (self.clock(asked), self.clock(now));
         let version = registry.version;
-        self.meter.learn(registry, now);
+        self.meter.update_registry(registry, now);
         self.meter.confirm(version, sent, now);
         self.meter.add(&service(), &instance(), now);
     }
--- a/crates/measure/tests/test_versions.rs
+++ b/crates/measure/tests/test_versions.rs
@@ -91,7 +91,7 @@
         let now = Moment::from_millis(at);
         for told in case.hears.iter().filter(|h| h.from <= at && at <= h.until) {
             let meter = &mut meters[told.gateway];
-            meter.learn(registry(case, told.version), now);
+            meter.update_registry(registry(case, told.version), now);
             meter.confirm(told.version, now, now);
         }
         for meter in &mut meters {
@@ -132,7 +132,7 @@
     let spend = |meter: &mut ProbeLimiter, at| meter.spend(&service(), &instance(), at);
     let at = Moment::from_millis;
     assert_eq!(spend(&mut meter, at(0)), Err(Denied::Fenced));
-    meter.learn(registry(case, 1), at(0));
+    meter.update_registry(registry(case, 1), at(0));
     meter.confirm(2, at(0), at(0));
     assert_eq!(spend(&mut meter, at(0)), Err(Denied::Fenced));
     meter.confirm(1, at(0), at(0));
@@ -154,7 +154,7 @@
 fn test_versions_early_moment_suffices() {
     let case = &cases()[3];
     let mut meter = meter(1);
-    meter.learn(registry(case, 1), Moment::ZERO);
+    meter.update_registry(registry(case, 1), Moment::ZERO);
     let mut now = Moment::from_millis(3_100);
     for _ in 0..50 {
         meter.confirm(1, now, now);
