--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -11,7 +11,7 @@
 use quarantine::Crash;
 use quarantine::Fingerprint;
 use quarantine::Head;
-use quarantine::Life;
+use quarantine::InstanceRun;
 use slog::info;
 use strum::IntoStaticStr;
 use tokio::sync::oneshot;
@@ -122,7 +122,7 @@
     let number = core.crashed(Crash {
         request,
         service: upstream.service.clone(),
-        life: Life {
+        life: InstanceRun {
             instance: upstream.id.clone(),
             incarnation: upstream.incarnation,
         },
--- a/crates/quarantine/src/convert.rs
+++ b/crates/quarantine/src/convert.rs
@@ -11,7 +11,7 @@
 
 use crate::fingerprint::Fingerprint;
 use crate::tracker::Crash;
-use crate::tracker::Life;
+use crate::tracker::InstanceRun;
 use crate::tracker::Suspect;
 
 quick_error! {
@@ -75,7 +75,7 @@
         Ok(Self {
             request: request.into(),
             service: ServiceName::new(&told.service)?,
-            life: Life {
+            life: InstanceRun {
                 instance: InstanceId::new(&told.instance)?,
                 incarnation: told.incarnation,
             },
--- a/crates/quarantine/src/tracker.rs
+++ b/crates/quarantine/src/tracker.rs
@@ -46,7 +46,7 @@
 
 /// One start of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Life {
+pub struct InstanceRun {
     /// The instance.
     pub instance: InstanceId,
     /// Rises with each start under the same id.
@@ -61,7 +61,7 @@
     /// The instance's service.
     pub service: ServiceName,
     /// The instance.
-    pub life: Life,
+    pub life: InstanceRun,
     /// When it crashed.
     pub at: Moment,
     /// Somebody got an answer for the same path and body lately.
@@ -104,7 +104,7 @@
 #[derive(Clone, Debug, Default)]
 struct Record {
     /// The instances that crashed under it, each with its senders.
-    lives: BTreeMap<Life, BTreeSet<u64>>,
+    lives: BTreeMap<InstanceRun, BTreeSet<u64>>,
     /// When it last crashed an instance.
     last: Moment,
     /// How often it was refused.
@@ -164,7 +164,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tracker {
     records: BTreeMap<Fingerprint, Record>,
-    crashes: BTreeMap<Life, (ServiceName, Moment)>,
+    crashes: BTreeMap<InstanceRun, (ServiceName, Moment)>,
     revision: Revision,
 }
 
@@ -227,7 +227,7 @@
 
     /// The instances that speak against a request. Where it is that of all senders, one that is
     /// refused by itself is the cause alone.
-    fn counted(&self, request: Fingerprint) -> BTreeSet<Life> {
+    fn counted(&self, request: Fingerprint) -> BTreeSet<InstanceRun> {
         let Some(record) = self.records.get(&request) else {
             return BTreeSet::new();
         };
@@ -242,8 +242,8 @@
 
     /// Instances of the service that crashed beside `lives`, from shortly before the first of
     /// these on.
-    fn others(&self, service: &ServiceName, lives: &BTreeSet<Life>) -> usize {
-        let at = |life: &Life| self.crashes.get(life).map(|(_, at)| *at);
+    fn others(&self, service: &ServiceName, lives: &BTreeSet<InstanceRun>) -> usize {
+        let at = |life: &InstanceRun| self.crashes.get(life).map(|(_, at)| *at);
         let first = lives.iter().filter_map(at).min();
         let Some(from) = first.map(|first| first.before(PRELUDE)) else {
             return 0;
--- a/crates/quarantine/tests/common/mod.rs
+++ b/crates/quarantine/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use quarantine::Crash;
 use quarantine::Fingerprint;
 use quarantine::Head;
-use quarantine::Life;
+use quarantine::InstanceRun;
 
 pub fn head(name: &str) -> Head {
     Head::new("caller", "GET", "example.org", name)
@@ -30,7 +30,7 @@
     Crash {
         request: request(name),
         service: ServiceName::new("status").expect("a name"),
-        life: Life {
+        life: InstanceRun {
             instance: InstanceId::new(&format!("i-{instance}")).expect("a name"),
             incarnation: 0,
         },
