--- a/crates/entry/src/core/suspects.rs
+++ b/crates/entry/src/core/suspects.rs
@@ -32,10 +32,10 @@
     /// Takes that an instance crashed while it ran a request. Gives the number under which
     /// the hubs are told.
     pub fn crashed(&self, crash: Crash) -> u64 {
-        let (request, life) = (crash.request, crash.life.clone());
+        let (request, run) = (crash.request, crash.run.clone());
         let (number, outcome) = self.known().quarantine.crashed(self.clock.now(), crash);
-        info!(self.log, "crash"; "fingerprint" => %request, "instance" => %life.instance,
-            "incarnation" => life.incarnation, "outcome" => format!("{outcome:?}"));
+        info!(self.log, "crash"; "fingerprint" => %request, "instance" => %run.instance,
+            "incarnation" => run.incarnation, "outcome" => format!("{outcome:?}"));
         if matches!(outcome, Outcome::Refused { .. }) {
             self.counters.refused();
         }
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -122,7 +122,7 @@
     let number = core.crashed(Crash {
         request,
         service: upstream.service.clone(),
-        life: InstanceRun {
+        run: InstanceRun {
             instance: upstream.id.clone(),
             incarnation: upstream.incarnation,
         },
--- a/crates/hub/src/suspects.rs
+++ b/crates/hub/src/suspects.rs
@@ -62,7 +62,7 @@
         let outcome = known.tracker.crashed(now, &crash);
         if outcome != Outcome::Known {
             info!(self.log, "crash"; "fingerprint" => %crash.request,
-                "instance" => %crash.life.instance, "incarnation" => crash.life.incarnation,
+                "instance" => %crash.run.instance, "incarnation" => crash.run.incarnation,
                 "service" => %crash.service, "age_ms" => told.ago_ms, "entry" => &report.host,
                 "outcome" => format!("{outcome:?}"));
         }
--- a/crates/quarantine/src/convert.rs
+++ b/crates/quarantine/src/convert.rs
@@ -58,8 +58,8 @@
         hub::Crash {
             request: Some(self.request.into()),
             service: self.service.to_string(),
-            instance: self.life.instance.to_string(),
-            incarnation: self.life.incarnation,
+            instance: self.run.instance.to_string(),
+            incarnation: self.run.incarnation,
             ago_ms: millis(now.since(self.at)),
             answered: self.answered,
         }
@@ -75,7 +75,7 @@
         Ok(Self {
             request: request.into(),
             service: ServiceName::new(&told.service)?,
-            life: InstanceRun {
+            run: InstanceRun {
                 instance: InstanceId::new(&told.instance)?,
                 incarnation: told.incarnation,
             },
--- a/crates/quarantine/src/tracker.rs
+++ b/crates/quarantine/src/tracker.rs
@@ -61,7 +61,7 @@
     /// The instance's service.
     pub service: ServiceName,
     /// The instance.
-    pub life: InstanceRun,
+    pub run: InstanceRun,
     /// When it crashed.
     pub at: Moment,
     /// Somebody got an answer for the same path and body lately.
@@ -129,7 +129,7 @@
     /// Takes a crash; gives whether it is news.
     fn note(&mut self, crash: &Crash) -> bool {
         self.last = self.last.max(crash.at);
-        let senders = self.lives.entry(crash.life.clone()).or_default();
+        let senders = self.lives.entry(crash.run.clone()).or_default();
         senders.insert(crash.request.sender)
     }
 
@@ -179,7 +179,7 @@
     pub fn crashed(&mut self, now: Moment, crash: &Crash) -> Outcome {
         self.forget(now);
         let told = (crash.service.clone(), crash.at);
-        self.crashes.insert(crash.life.clone(), told);
+        self.crashes.insert(crash.run.clone(), told);
         if !self.records.entry(crash.request).or_default().note(crash) {
             return Outcome::Known;
         }
@@ -237,13 +237,13 @@
         };
         let counts = |by: &BTreeSet<u64>| by.iter().any(|sender| !alone(*sender));
         let lives = record.lives.iter().filter(|(_, by)| counts(by));
-        lives.map(|(life, _)| life.clone()).collect()
+        lives.map(|(run, _)| run.clone()).collect()
     }
 
     /// Instances of the service that crashed beside `lives`, from shortly before the first of
     /// these on.
     fn others(&self, service: &ServiceName, lives: &BTreeSet<InstanceRun>) -> usize {
-        let at = |life: &InstanceRun| self.crashes.get(life).map(|(_, at)| *at);
+        let at = |run: &InstanceRun| self.crashes.get(run).map(|(_, at)| *at);
         let first = lives.iter().filter_map(at).min();
         let Some(from) = first.map(|first| first.before(PRELUDE)) else {
             return 0;
@@ -251,7 +251,7 @@
         let others = self
             .crashes
             .iter()
-            .filter(|(life, (of, at))| of == service && *at >= from && !lives.contains(*life));
+            .filter(|(run, (of, at))| of == service && *at >= from && !lives.contains(*run));
         others.count()
     }
 
@@ -334,10 +334,10 @@
         }
         while self.crashes.len() >= MOST_CRASHES {
             let oldest = self.crashes.iter().min_by_key(|(_, (_, at))| *at);
-            let Some(life) = oldest.map(|(life, _)| life.clone()) else {
+            let Some(run) = oldest.map(|(run, _)| run.clone()) else {
                 return;
             };
-            self.crashes.remove(&life);
+            self.crashes.remove(&run);
         }
     }
 }
--- a/crates/quarantine/tests/common/mod.rs
+++ b/crates/quarantine/tests/common/mod.rs
@@ -30,7 +30,7 @@
     Crash {
         request: request(name),
         service: ServiceName::new("status").expect("a name"),
-        life: InstanceRun {
+        run: InstanceRun {
             instance: InstanceId::new(&format!("i-{instance}")).expect("a name"),
             incarnation: 0,
         },
--- a/crates/quarantine/tests/test_tracker.rs
+++ b/crates/quarantine/tests/test_tracker.rs
@@ -65,7 +65,7 @@
     // The same instance after a restart is another one.
     for incarnation in 1..3 {
         let mut again = crash("twice", 1, 11);
-        again.life.incarnation = incarnation;
+        again.run.incarnation = incarnation;
         tracker.crashed(at(11), &again);
     }
     assert!(is_refused(&tracker, "twice", 11));
