--- a/crates/entry/src/core/suspects.rs
+++ b/crates/entry/src/core/suspects.rs
@@ -31,9 +31,12 @@
 
     /// Takes that an instance crashed while it ran a request. Gives the number under which
     /// the hubs are told.
-    pub fn crashed(&self, crash: Crash) -> u64 {
+    pub fn record_crash(&self, crash: Crash) -> u64 {
         let (request, run) = (crash.request, crash.run.clone());
-        let (number, outcome) = self.known().quarantine.crashed(self.clock.now(), crash);
+        let (number, outcome) = self
+            .known()
+            .quarantine
+            .record_crash(self.clock.now(), crash);
         info!(self.log, "crash"; "fingerprint" => %request, "instance" => %run.instance,
             "incarnation" => run.incarnation, "outcome" => format!("{outcome:?}"));
         if matches!(outcome, Outcome::Refused { .. }) {
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -119,7 +119,7 @@
 /// Tells the hubs, and waits until one of them has said what it knows.
 async fn report(core: &Core, broken: &Broken, request: Fingerprint) {
     let upstream = &broken.upstream;
-    let number = core.crashed(Crash {
+    let number = core.record_crash(Crash {
         request,
         service: upstream.service.clone(),
         run: InstanceRun {
--- a/crates/hub/src/suspects.rs
+++ b/crates/hub/src/suspects.rs
@@ -59,7 +59,7 @@
                 return;
             }
         };
-        let outcome = known.tracker.crashed(now, &crash);
+        let outcome = known.tracker.record_crash(now, &crash);
         if outcome != Outcome::Known {
             info!(self.log, "crash"; "fingerprint" => %crash.request,
                 "instance" => %crash.run.instance, "incarnation" => crash.run.incarnation,
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -68,7 +68,7 @@
 
     /// Takes that an instance crashed while it ran a request of this process. Gives the number
     /// under which that is told.
-    pub fn crashed(&mut self, now: Moment, crash: Crash) -> (u64, Outcome) {
+    pub fn record_crash(&mut self, now: Moment, crash: Crash) -> (u64, Outcome) {
         if self.answered.contains(now, crash.request) {
             return (self.number, Outcome::Answered);
         }
@@ -76,7 +76,7 @@
             answered: self.answered.contains(now, crash.request.of_all()),
             ..crash
         };
-        let outcome = self.tracker.crashed(now, &crash);
+        let outcome = self.tracker.record_crash(now, &crash);
         (self.tell(now, Event::Crashed(crash)), outcome)
     }
 
--- a/crates/quarantine/src/tracker.rs
+++ b/crates/quarantine/src/tracker.rs
@@ -176,7 +176,7 @@
     }
 
     /// Takes that an instance crashed while it ran a request.
-    pub fn crashed(&mut self, now: Moment, crash: &Crash) -> Outcome {
+    pub fn record_crash(&mut self, now: Moment, crash: &Crash) -> Outcome {
         self.forget(now);
         let told = (crash.service.clone(), crash.at);
         self.crashes.insert(crash.run.clone(), told);
--- a/crates/quarantine/tests/test_quarantine.rs
+++ b/crates/quarantine/tests/test_quarantine.rs
@@ -26,7 +26,7 @@
 fn test_quarantine_refuses_by_itself() {
     let mut held = Quarantine::default();
     for instance in 1..=3 {
-        held.crashed(at(0), crash("bad", instance, 0));
+        held.record_crash(at(0), crash("bad", instance, 0));
     }
     assert!(held.refused(at(1), request("bad")).is_some());
     assert_eq!(held.refusals(at(1)).len(), 1);
@@ -50,8 +50,8 @@
 #[test]
 fn test_quarantine_tells_of_crashes_from_any_number_on() {
     let mut held = Quarantine::default();
-    let (first, _) = held.crashed(at(0), crash("bad", 1, 0));
-    held.crashed(at(0), crash("bad", 2, 0));
+    let (first, _) = held.record_crash(at(0), crash("bad", 1, 0));
+    held.record_crash(at(0), crash("bad", 2, 0));
     assert_eq!(held.since(first), [Event::Crashed(crash("bad", 2, 0))]);
     assert_eq!(held.since(0).len(), 2);
     assert!(held.since(held.newest()).is_empty());
@@ -62,8 +62,8 @@
 fn test_quarantine_tells_whether_the_path_was_answered() {
     let mut held = Quarantine::default();
     assert!(!held.succeeded(at(0), request_of("popular", 9)));
-    held.crashed(at(0), crash("popular", 1, 0));
-    held.crashed(at(0), crash("new", 1, 0));
+    held.record_crash(at(0), crash("popular", 1, 0));
+    held.record_crash(at(0), crash("new", 1, 0));
     let answered = held.since(0).into_iter().map(|event| match event {
         Event::Crashed(crash) => crash.answered,
         Event::Succeeded(_) => panic!("nobody is suspected"),
@@ -77,12 +77,12 @@
     let mut held = Quarantine::default();
     held.succeeded(at(0), request("good"));
     for instance in 1..=10 {
-        let (number, outcome) = held.crashed(at(1), crash("good", instance, 1));
+        let (number, outcome) = held.record_crash(at(1), crash("good", instance, 1));
         assert_eq!((number, outcome), (0, Outcome::Answered));
     }
     // What changed since may have made it crash.
     for instance in 11..=13 {
-        held.crashed(at(61), crash("good", instance, 61));
+        held.record_crash(at(61), crash("good", instance, 61));
     }
     assert!(held.refused(at(61), request("good")).is_some());
 }
@@ -91,7 +91,7 @@
 #[test]
 fn test_quarantine_acquits_what_was_answered() {
     let mut held = Quarantine::default();
-    held.crashed(at(0), crash("own", 1, 0));
+    held.record_crash(at(0), crash("own", 1, 0));
     held.take(at(0), &[suspect("other", 0)]);
     assert!(held.concerns(head("other")));
     assert!(held.succeeded(at(1), request("own")));
--- a/crates/quarantine/tests/test_tracker.rs
+++ b/crates/quarantine/tests/test_tracker.rs
@@ -26,7 +26,7 @@
 
 /// Tells of a crash as it happens.
 fn tell(tracker: &mut Tracker, name: &str, instance: u64, seconds: u64) -> Outcome {
-    tracker.crashed(at(seconds), &crash(name, instance, seconds))
+    tracker.record_crash(at(seconds), &crash(name, instance, seconds))
 }
 
 fn is_refused(tracker: &Tracker, name: &str, seconds: u64) -> bool {
@@ -66,7 +66,7 @@
     for incarnation in 1..3 {
         let mut again = crash("twice", 1, 11);
         again.run.incarnation = incarnation;
-        tracker.crashed(at(11), &again);
+        tracker.record_crash(at(11), &again);
     }
     assert!(is_refused(&tracker, "twice", 11));
 }
@@ -110,7 +110,7 @@
         tell(&mut tracker, "before", instance, 1);
         let mut other = crash("elsewhere", 100 + instance, 100);
         other.service = ServiceName::new("grants").expect("a name");
-        tracker.crashed(at(100), &other);
+        tracker.record_crash(at(100), &other);
     }
     for instance in 21..24 {
         tell(&mut tracker, "bad", instance, 100);
@@ -202,7 +202,7 @@
         request: request_of(name, caller),
         ..crash(name, instance, 0)
     };
-    tracker.crashed(at(0), &crash)
+    tracker.record_crash(at(0), &crash)
 }
 
 fn is_refused_to(tracker: &Tracker, name: &str, caller: u8) -> bool {
@@ -250,7 +250,7 @@
             answered: number % 3 == 0,
             ..crash("popular", number.into(), 0)
         };
-        tracker.crashed(at(0), &crash);
+        tracker.record_crash(at(0), &crash);
         assert!(!is_refused_to(&tracker, "popular", 99));
     }
 }
