--- a/crates/entry/src/core/suspects.rs
+++ b/crates/entry/src/core/suspects.rs
@@ -47,10 +47,10 @@
     }
 
     /// Takes that an instance has answered a request.
-    pub fn succeeded(&self, request: Fingerprint) {
+    pub fn record_success(&self, request: Fingerprint) {
         let now = self.clock.now();
         let mut known = self.known();
-        if known.quarantine.succeeded(now, request) {
+        if known.quarantine.record_success(now, request) {
             let newest = known.quarantine.newest();
             drop(known);
             info!(self.log, "suspect answered"; "fingerprint" => %request);
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -43,9 +43,9 @@
 
 impl Subject {
     /// Notes that an instance has answered it.
-    pub fn succeeded(&self, core: &Core) {
+    pub fn record_success(&self, core: &Core) {
         if let Some(request) = self.content.known_fingerprint(self.head) {
-            core.succeeded(request);
+            core.record_success(request);
         }
     }
 }
--- a/crates/entry/src/flow/guard.rs
+++ b/crates/entry/src/flow/guard.rs
@@ -45,7 +45,7 @@
         match end {
             End::Unknown => self.broke_off(upstream, sent).await,
             End::Answer(parts, Answered::Whole(_)) if !parts.status.is_server_error() => {
-                self.subject().succeeded(&self.core);
+                self.subject().record_success(&self.core);
             }
             _ => {}
         }
--- a/crates/entry/src/tail.rs
+++ b/crates/entry/src/tail.rs
@@ -105,7 +105,7 @@
     /// The answer has ended whole.
     pub fn whole(self) {
         let asked = self.asked;
-        asked.subject.succeeded(&asked.core);
+        asked.subject.record_success(&asked.core);
         let latency = asked.sent.elapsed();
         let bytes = asked.bytes + self.came;
         let learn = |habit: &mut Habit| habit.learn(latency, &asked.choice, bytes);
--- a/crates/hub/src/suspects.rs
+++ b/crates/hub/src/suspects.rs
@@ -44,7 +44,7 @@
 
     fn take_answer(&self, known: &mut Known, report: &Report, request: wire::hub::Fingerprint) {
         let request = Fingerprint::from(request);
-        if known.tracker.succeeded(self.clock.now(), request) {
+        if known.tracker.record_success(self.clock.now(), request) {
             info!(self.log, "suspect answered"; "fingerprint" => %request,
                 "entry" => &report.host);
         }
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -82,11 +82,11 @@
 
     /// Takes that an instance has answered a request of this process. Gives whether it was
     /// suspected.
-    pub fn succeeded(&mut self, now: Moment, request: Fingerprint) -> bool {
+    pub fn record_success(&mut self, now: Moment, request: Fingerprint) -> bool {
         self.answered.note(now, request);
         let one = self.suspected.remove(&request).is_some();
         let suspected = self.suspected.remove(&request.of_all()).is_some() || one;
-        if !self.tracker.succeeded(now, request) && !suspected {
+        if !self.tracker.record_success(now, request) && !suspected {
             return false;
         }
         let of = |event: &Event| matches!(event, Event::Crashed(c) if c.request == request);
--- a/crates/quarantine/src/tracker.rs
+++ b/crates/quarantine/src/tracker.rs
@@ -257,7 +257,7 @@
 
     /// Takes that an instance has answered a request: whatever crashed before, it wasn't the
     /// request, nor what all its senders ask for. Gives whether that is news.
-    pub fn succeeded(&mut self, now: Moment, request: Fingerprint) -> bool {
+    pub fn record_success(&mut self, now: Moment, request: Fingerprint) -> bool {
         let mut news = false;
         for request in [request, request.of_all()] {
             if let Some(record) = self.records.remove(&request) {
--- a/crates/quarantine/tests/test_quarantine.rs
+++ b/crates/quarantine/tests/test_quarantine.rs
@@ -61,7 +61,7 @@
 #[test]
 fn test_quarantine_tells_whether_the_path_was_answered() {
     let mut held = Quarantine::default();
-    assert!(!held.succeeded(at(0), request_of("popular", 9)));
+    assert!(!held.record_success(at(0), request_of("popular", 9)));
     held.record_crash(at(0), crash("popular", 1, 0));
     held.record_crash(at(0), crash("new", 1, 0));
     let answered = held.since(0).into_iter().map(|event| match event {
@@ -75,7 +75,7 @@
 #[test]
 fn test_quarantine_request_that_was_answered_lately_is_not_counted() {
     let mut held = Quarantine::default();
-    held.succeeded(at(0), request("good"));
+    held.record_success(at(0), request("good"));
     for instance in 1..=10 {
         let (number, outcome) = held.record_crash(at(1), crash("good", instance, 1));
         assert_eq!((number, outcome), (0, Outcome::Answered));
@@ -94,9 +94,9 @@
     held.record_crash(at(0), crash("own", 1, 0));
     held.take(at(0), &[suspect("other", 0)]);
     assert!(held.concerns(head("other")));
-    assert!(held.succeeded(at(1), request("own")));
-    assert!(held.succeeded(at(1), request("other")));
-    assert!(!held.succeeded(at(1), request("other")));
+    assert!(held.record_success(at(1), request("own")));
+    assert!(held.record_success(at(1), request("other")));
+    assert!(!held.record_success(at(1), request("other")));
     assert!(!held.concerns(head("other")));
     // A hub that is told everything again doesn't hear of the crash.
     let answered = ["own", "other"].map(|name| Event::Succeeded(request(name)));
--- a/crates/quarantine/tests/test_tracker.rs
+++ b/crates/quarantine/tests/test_tracker.rs
@@ -79,11 +79,11 @@
     for instance in 1..20 {
         tell(&mut tracker, "innocent", instance, instance);
         if instance % 2 == 0 {
-            assert!(tracker.succeeded(at(instance), request("innocent")));
+            assert!(tracker.record_success(at(instance), request("innocent")));
         }
         assert!(!is_refused(&tracker, "innocent", instance));
     }
-    assert!(!tracker.succeeded(at(20), request("never seen")));
+    assert!(!tracker.record_success(at(20), request("never seen")));
 }
 
 /// Instances go down by themselves, again and again, and requests that nobody
@@ -261,7 +261,7 @@
     let mut tracker = Tracker::default();
     for instance in 1..=3 {
         tell_of(&mut tracker, "same", 1, instance);
-        tracker.succeeded(at(0), request_of("same", 2));
+        tracker.record_success(at(0), request_of("same", 2));
     }
     assert!(is_refused_to(&tracker, "same", 1));
     assert!(!is_refused_to(&tracker, "same", 2));
@@ -289,7 +289,7 @@
         instances.iter().all(|instance| {
             tell(&mut tracker, "good", u64::from(*instance), 0);
             let refused = is_refused(&tracker, "good", 0);
-            tracker.succeeded(at(0), request("good"));
+            tracker.record_success(at(0), request("good"));
             !refused
         })
     }
