--- a/crates/entry/src/core/suspects.rs
+++ b/crates/entry/src/core/suspects.rs
@@ -19,8 +19,8 @@
 impl Core {
     /// Whether anything is known of requests with this head.
     #[must_use]
-    pub fn concerns(&self, head: Head) -> bool {
-        self.known().quarantine.concerns(head)
+    pub fn tracks_path(&self, head: Head) -> bool {
+        self.known().quarantine.tracks_path(head)
     }
 
     /// How much longer the request is refused, if it is.
--- a/crates/entry/src/flow/guard.rs
+++ b/crates/entry/src/flow/guard.rs
@@ -25,7 +25,7 @@
     /// Refuses a request that crashes what runs it.
     pub(super) async fn check(&mut self) -> Result<(), Reason> {
         let head = self.call.head;
-        if !self.core.concerns(head) {
+        if !self.core.tracks_path(head) {
             return Ok(());
         }
         let Some(request) = self.content.fingerprint(head).await else {
--- a/crates/entry/tests/test_quarantine.rs
+++ b/crates/entry/tests/test_quarantine.rs
@@ -159,7 +159,11 @@
     let row = fakes::instance(&well, "status");
     entry.core().take_instances(HUB, &[row], &[]);
     assert_eq!(call(entry.front(), "GET", READ, "r-2").await.status, 200);
-    assert!(!entry.core().concerns(Head::new(CALLER, "GET", HOST, READ)));
+    assert!(
+        !entry
+            .core()
+            .tracks_path(Head::new(CALLER, "GET", HOST, READ))
+    );
     upstreams.push(well);
 }
 
@@ -175,5 +179,9 @@
         let answer = call(entry.front(), "GET", READ, &format!("r-{number}")).await;
         assert_eq!(answer.status, 502);
     }
-    assert!(!entry.core().concerns(Head::new(CALLER, "GET", HOST, READ)));
+    assert!(
+        !entry
+            .core()
+            .tracks_path(Head::new(CALLER, "GET", HOST, READ))
+    );
 }
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -61,9 +61,9 @@
 
     /// Whether anything is known of requests for this path; else none is refused.
     #[must_use]
-    pub fn concerns(&self, head: Head) -> bool {
+    pub fn tracks_path(&self, head: Head) -> bool {
         let suspected = self.suspected.range(all_of(head)).next();
-        self.tracker.concerns(head) || suspected.is_some()
+        self.tracker.tracks_path(head) || suspected.is_some()
     }
 
     /// Takes that an instance crashed while it ran a request of this process. Gives the number
--- a/crates/quarantine/src/tracker.rs
+++ b/crates/quarantine/src/tracker.rs
@@ -295,7 +295,7 @@
 
     /// Whether anything is known of requests for this path.
     #[must_use]
-    pub fn concerns(&self, head: Head) -> bool {
+    pub fn tracks_path(&self, head: Head) -> bool {
         self.records.range(all_of(head)).next().is_some()
     }
 
--- a/crates/quarantine/tests/test_quarantine.rs
+++ b/crates/quarantine/tests/test_quarantine.rs
@@ -93,11 +93,11 @@
     let mut held = Quarantine::default();
     held.record_crash(at(0), crash("own", 1, 0));
     held.take(at(0), &[suspect("other", 0)]);
-    assert!(held.concerns(head("other")));
+    assert!(held.tracks_path(head("other")));
     assert!(held.record_success(at(1), request("own")));
     assert!(held.record_success(at(1), request("other")));
     assert!(!held.record_success(at(1), request("other")));
-    assert!(!held.concerns(head("other")));
+    assert!(!held.tracks_path(head("other")));
     // A hub that is told everything again doesn't hear of the crash.
     let answered = ["own", "other"].map(|name| Event::Succeeded(request(name)));
     assert_eq!(held.since(0), answered);
--- a/crates/quarantine/tests/test_tracker.rs
+++ b/crates/quarantine/tests/test_tracker.rs
@@ -49,8 +49,8 @@
     assert_eq!(outcome, refused);
     assert!(is_refused(&tracker, "bad", 4));
     assert!(!is_refused(&tracker, "good", 4));
-    assert!(tracker.concerns(head("bad")));
-    assert!(!tracker.concerns(head("good")));
+    assert!(tracker.tracks_path(head("bad")));
+    assert!(!tracker.tracks_path(head("good")));
 }
 
 /// Copies of a request run at one instance, and each process that had one tells of it.
