--- a/crates/hub/src/suspects.rs
+++ b/crates/hub/src/suspects.rs
@@ -71,7 +71,10 @@
     fn take_refusal(&self, known: &mut Known, report: &Report, told: &wire::hub::Suspect) {
         match Suspect::from_wire(told) {
             Ok(Suspect { request, refused }) => {
-                if known.tracker.learn(self.clock.now(), request, refused) {
+                if known
+                    .tracker
+                    .record_refusal(self.clock.now(), request, refused)
+                {
                     info!(self.log, "refusal learned"; "fingerprint" => %request,
                         "left_ms" => told.refused_ms, "entry" => &report.host);
                 }
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -127,7 +127,10 @@
         for suspect in told {
             if suspect.refused.is_zero() {
                 self.suspected.insert(suspect.request, now);
-            } else if self.tracker.learn(now, suspect.request, suspect.refused) {
+            } else if self
+                .tracker
+                .record_refusal(now, suspect.request, suspect.refused)
+            {
                 refused.push(*suspect);
             }
         }
--- a/crates/quarantine/src/tracker.rs
+++ b/crates/quarantine/src/tracker.rs
@@ -272,7 +272,7 @@
 
     /// Takes that another process refuses a request, for so long. Gives whether that is
     /// news.
-    pub fn learn(&mut self, now: Moment, request: Fingerprint, left: Duration) -> bool {
+    pub fn record_refusal(&mut self, now: Moment, request: Fingerprint, left: Duration) -> bool {
         let record = self.records.entry(request).or_default();
         let news = !record.is_refused(now);
         // Messages take time, and each process counts for itself.
--- a/crates/quarantine/tests/test_tracker.rs
+++ b/crates/quarantine/tests/test_tracker.rs
@@ -165,8 +165,8 @@
 fn test_tracker_learns_refusals_of_others() {
     let mut tracker = Tracker::default();
     let left = Duration::from_secs(50);
-    assert!(tracker.learn(at(0), request("bad"), left));
-    assert!(!tracker.learn(at(1), request("bad"), left));
+    assert!(tracker.record_refusal(at(0), request("bad"), left));
+    assert!(!tracker.record_refusal(at(1), request("bad"), left));
     assert!(is_refused(&tracker, "bad", 50));
     assert!(!is_refused(&tracker, "bad", 51));
     // It was tried again, and nothing has changed.
