--- a/crates/entry/src/core/suspects.rs
+++ b/crates/entry/src/core/suspects.rs
@@ -70,7 +70,10 @@
                 "count" => errors.len(), "error" => %err);
         }
         let rows: Vec<Suspect> = rows.into_iter().flatten().collect();
-        let refused = self.known().quarantine.take(self.clock.now(), &rows);
+        let refused = self
+            .known()
+            .quarantine
+            .apply_suspects(self.clock.now(), &rows);
         for suspect in refused {
             info!(self.log, "quarantine"; "fingerprint" => %suspect.request, "hub" => %hub,
                 "revision" => told.revision, "left_ms" => suspect.refused.as_millis());
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -121,7 +121,7 @@
     }
 
     /// Takes what a hub tells. Gives the requests that are refused from now on.
-    pub fn take(&mut self, now: Moment, told: &[Suspect]) -> Vec<Suspect> {
+    pub fn apply_suspects(&mut self, now: Moment, told: &[Suspect]) -> Vec<Suspect> {
         self.forget(now);
         let mut refused = Vec::new();
         for suspect in told {
--- a/crates/quarantine/tests/test_quarantine.rs
+++ b/crates/quarantine/tests/test_quarantine.rs
@@ -36,12 +36,12 @@
 fn test_quarantine_refuses_what_any_hub_says() {
     let mut held = Quarantine::default();
     assert_eq!(
-        held.take(at(0), &[suspect("bad", 60), suspect("maybe", 0)]),
+        held.apply_suspects(at(0), &[suspect("bad", 60), suspect("maybe", 0)]),
         [suspect("bad", 60)]
     );
     // A hub that knows nothing takes nothing back.
-    assert!(held.take(at(1), &[]).is_empty());
-    assert!(held.take(at(1), &[suspect("bad", 59)]).is_empty());
+    assert!(held.apply_suspects(at(1), &[]).is_empty());
+    assert!(held.apply_suspects(at(1), &[suspect("bad", 59)]).is_empty());
     assert!(held.refused(at(59), request("bad")).is_some());
     assert!(held.refused(at(61), request("bad")).is_none());
     assert!(held.refused(at(1), request("maybe")).is_none());
@@ -92,7 +92,7 @@
 fn test_quarantine_acquits_what_was_answered() {
     let mut held = Quarantine::default();
     held.record_crash(at(0), crash("own", 1, 0));
-    held.take(at(0), &[suspect("other", 0)]);
+    held.apply_suspects(at(0), &[suspect("other", 0)]);
     assert!(held.tracks_path(head("other")));
     assert!(held.record_success(at(1), request("own")));
     assert!(held.record_success(at(1), request("other")));
