--- a/crates/admit/src/admission.rs
+++ b/crates/admit/src/admission.rs
@@ -6,15 +6,15 @@
 
 use base::prelude::*;
 
+use crate::class_scheduler;
+use crate::class_scheduler::ORDER;
+use crate::class_scheduler::Shares;
 use crate::limit::Mode;
 use crate::refusal::Refusal;
 use crate::refusal::Refused;
 use crate::service_queue::Finish;
 use crate::service_queue::ServiceConfig;
 use crate::service_queue::ServiceQueue;
-use crate::share;
-use crate::share::ORDER;
-use crate::share::Shares;
 
 /// Names one call at this gateway; the adapter counts up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -290,7 +290,7 @@
     fn start_next(&mut self, now: Moment, out: &mut Vec<Action>) -> bool {
         let mut waiting = [false; ORDER.len()];
         for service_queue in self.lanes.values() {
-            waiting[share::rank(service_queue.class())] |= can_start(service_queue);
+            waiting[class_scheduler::rank(service_queue.class())] |= can_start(service_queue);
         }
         let Some(class) = self.shares.pick(waiting) else {
             return false;
@@ -322,7 +322,7 @@
         let Some(class) = self.service_queue(service).map(ServiceQueue::class) else {
             return false;
         };
-        let lower = &ORDER[share::rank(class) + 1..];
+        let lower = &ORDER[class_scheduler::rank(class) + 1..];
         let yields = lower.iter().rev().find(|class| self.may_yield(**class));
         let Some(yields) = yields.copied() else {
             return false;
@@ -355,7 +355,7 @@
             .values()
             .filter(|service_queue| service_queue.class() == class);
         let held: usize = lanes.map(ServiceQueue::queued).sum();
-        let share = self.settings.queue * share::percent(class) / 100;
+        let share = self.settings.queue * class_scheduler::percent(class) / 100;
         held > to_usize(share.max(1))
     }
 
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Admission`] takes arrivals, ends and the time, and gives [`Action`]s. Each
 //! service has a [`Lane`](lane::Lane): its running calls under an adaptive
 //! [`Limit`](limit::Limit), and its queue, ordered by deadline. Lanes of all classes
-//! share the gateway's own concurrency by [`Shares`](share::Shares). Nothing here
+//! share the gateway's own concurrency by [`Shares`](class_scheduler::Shares). Nothing here
 //! does input or output.
 //!
 //! Rules that hold whatever the schedule of events:
@@ -14,12 +14,12 @@
 //! - a class that waits gets at least its share of the starts.
 
 pub mod admission;
-pub mod drain;
+pub mod class_scheduler;
 pub mod limit;
 pub mod refusal;
 pub mod service_queue;
-pub mod share;
-pub mod waiting;
+pub mod wait_estimator;
+pub mod wait_queue;
 
 pub use admission::Action;
 pub use admission::Admission;
@@ -32,4 +32,4 @@
 pub use refusal::Refused;
 pub use service_queue::Finish;
 pub use service_queue::ServiceConfig;
-pub use waiting::WaitQueue;
+pub use wait_queue::WaitQueue;
--- a/crates/admit/src/service_queue.rs
+++ b/crates/admit/src/service_queue.rs
@@ -7,9 +7,9 @@
 
 use crate::admission::Request;
 use crate::admission::Ticket;
-use crate::drain::Drain;
 use crate::limit::Limit;
 use crate::limit::Mode;
+use crate::wait_estimator::Drain;
 
 /// What the catalogue says of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/admit/tests/test_admission.rs
+++ b/crates/admit/tests/test_admission.rs
@@ -248,7 +248,7 @@
         *counts.entry(class).or_insert(0) += 1;
     }
     for class in CLASSES {
-        let fewest = admit::share::percent(class) * 10 - 1;
+        let fewest = admit::class_scheduler::percent(class) * 10 - 1;
         assert!(counts[&class] >= fewest, "{class}: {counts:?}");
     }
 }
