--- a/crates/admit/src/admission.rs
+++ b/crates/admit/src/admission.rs
@@ -1,4 +1,4 @@
-//! The state machine of a gateway's admission.
+//! The admission state machine of a gateway.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -7,8 +7,8 @@
 use base::prelude::*;
 
 use crate::class_scheduler;
+use crate::class_scheduler::ClassScheduler;
 use crate::class_scheduler::ORDER;
-use crate::class_scheduler::Shares;
 use crate::limit::Mode;
 use crate::refusal::Refusal;
 use crate::refusal::Refused;
@@ -16,47 +16,48 @@
 use crate::service_queue::ServiceConfig;
 use crate::service_queue::ServiceQueue;
 
-/// Names one call at this gateway; the adapter counts up.
+/// Identifies a call at this gateway. The caller of [`Admission`] assigns tickets by counting
+/// up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// Bounds of the gateway itself, over all services.
+/// Limits of the gateway, over all services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Most calls that run.
+    /// Maximum number of running calls.
     pub concurrency: u32,
-    /// Most calls that wait.
+    /// Maximum number of queued calls.
     pub queue: u32,
 }
 
 /// A call that asks to be admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its name from here on.
+    /// Identifies the call from now on.
     pub ticket: Ticket,
-    /// The service it is for.
+    /// The service that is called.
     pub service: ServiceName,
     /// When its caller stops waiting.
     pub deadline: Moment,
 }
 
-/// What becomes of a call at its arrival.
+/// The decision on a call at its arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// It starts now.
+    /// The call starts now.
     Started,
-    /// It waits; an [`Action`] tells how that ends.
+    /// The call is queued; an [`Action`] will start or refuse it.
     Queued,
-    /// It gets its final answer now.
+    /// The call is refused now.
     Refused(Refusal),
 }
 
-/// What becomes of a call that waited.
+/// The decision on a queued call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// It starts now.
+    /// The call starts now.
     Start(Ticket),
-    /// It gets its final answer now.
+    /// The call is refused now.
     Refuse(Ticket, Refusal),
 }
 
@@ -69,183 +70,188 @@
 #[derive(Clone, Debug)]
 struct Running {
     service: ServiceName,
-    started: Moment,
+    started_at: Moment,
 }
 
-/// Admission of one gateway.
+/// Admission control of one gateway.
 ///
-/// `running` holds exactly the calls started and not yet finished; the lanes'
-/// counts sum to it. A ticket is never in both
-/// `queued` and `running`.
+/// `running` contains exactly the calls that were started and have not finished; its size is
+/// the sum of the counts of the service queues. A ticket is never in both `queued` and
+/// `running`.
 #[derive(Clone, Debug)]
 pub struct Admission {
     settings: Settings,
     mode: Mode,
-    lanes: BTreeMap<ServiceName, ServiceQueue>,
-    shares: Shares,
+    services: BTreeMap<ServiceName, ServiceQueue>,
+    scheduler: ClassScheduler,
     queued: HashMap<Ticket, Queued>,
     running: HashMap<Ticket, Running>,
     stopping: bool,
 }
 
 impl Admission {
-    /// Admission without services.
+    /// Creates an admission without services.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self::with_mode(settings, Mode::default())
     }
 
-    /// Admission without services, with adaptive or fixed bounds on their calls.
+    /// Creates an admission without services, whose limits on running calls are adaptive or
+    /// fixed.
     #[must_use]
     pub fn with_mode(settings: Settings, mode: Mode) -> Self {
         Self {
             settings,
             mode,
-            lanes: BTreeMap::new(),
-            shares: Shares::default(),
+            services: BTreeMap::new(),
+            scheduler: ClassScheduler::default(),
             queued: HashMap::new(),
             running: HashMap::new(),
             stopping: false,
         }
     }
 
-    /// Adds a service or changes its terms; calls already running stay.
-    pub fn set_service(&mut self, service: &ServiceName, terms: ServiceConfig) {
-        if let Some(service_queue) = self.lanes.get_mut(service) {
-            service_queue.set_terms(terms);
+    /// Adds a service or changes its configuration; running calls are not affected.
+    pub fn set_service(&mut self, service: &ServiceName, config: ServiceConfig) {
+        if let Some(queue) = self.services.get_mut(service) {
+            queue.set_config(config);
             return;
         }
-        self.lanes
-            .insert(service.clone(), ServiceQueue::new(self.mode, terms));
+        self.services
+            .insert(service.clone(), ServiceQueue::new(self.mode, config));
     }
 
-    /// Removes a service; calls of it that wait are refused, those that run go on.
+    /// Removes a service. Its queued calls are refused; its running calls continue.
     pub fn remove_service(&mut self, service: &ServiceName, out: &mut Vec<Action>) {
-        let Some(service_queue) = self.lanes.get_mut(service) else {
+        let Some(queue) = self.services.get_mut(service) else {
             return;
         };
-        service_queue.remove();
-        while let Some(ticket) = service_queue.take_first() {
+        queue.mark_removed();
+        while let Some(ticket) = queue.take_first() {
             self.queued.remove(&ticket);
             out.push(Action::Refuse(ticket, without_retry(Refused::Removed)));
         }
-        self.forget(service);
+        self.remove_if_drained(service);
     }
 
-    /// Refuses new calls from now on; those admitted go on.
+    /// Refuses new calls from now on; queued and running calls continue.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Decides on a call that arrives; `out` gets what becomes of calls that waited.
+    /// Decides on an arriving call; decisions on queued calls are appended to `out`.
     pub fn arrive(&mut self, request: &Request, now: Moment, out: &mut Vec<Action>) -> Arrival {
         if self.stopping {
             return Arrival::Refused(self.refusal(Refused::Stopping, None, now));
         }
         self.poll(now, out);
         let has_slot = self.has_slot();
-        let known = self.lanes.get_mut(&request.service);
-        let Some(service_queue) = known.filter(|service_queue| !service_queue.is_removed()) else {
+        let queue = self.services.get_mut(&request.service);
+        let Some(queue) = queue.filter(|queue| !queue.is_removed()) else {
             return Arrival::Refused(without_retry(Refused::UnknownService));
         };
         if request.deadline <= now {
             return self.refuse(Refused::Expired, &request.service, now);
         }
-        if has_slot && service_queue.has_room() && service_queue.queued() == 0 {
-            service_queue.start();
-            self.run(request.ticket, request.service.clone(), now);
+        if has_slot && queue.has_room() && queue.queued() == 0 {
+            queue.start();
+            self.insert_running(request.ticket, request.service.clone(), now);
             return Arrival::Started;
         }
-        if !service_queue.fits(request, now) {
+        if !queue.can_meet_deadline(request, now) {
             return self.refuse(Refused::Overloaded, &request.service, now);
         }
-        if service_queue.is_full() || !self.make_place(&request.service, now, out) {
+        if queue.is_full() || !self.make_room_in_queue(&request.service, now, out) {
             return self.refuse(Refused::QueueFull, &request.service, now);
         }
         self.enqueue(request, now);
         Arrival::Queued
     }
 
-    /// The caller of a waiting call went away; a running one ends by [`Self::finish`].
+    /// Removes a queued call whose caller disconnected; a running one ends by [`Self::finish`].
     pub fn cancel_queued(&mut self, ticket: Ticket) {
         if let Some(queued) = self.queued.remove(&ticket)
-            && let Some(service_queue) = self.lanes.get_mut(&queued.service)
+            && let Some(queue) = self.services.get_mut(&queued.service)
         {
-            service_queue.take(queued.deadline, ticket);
+            queue.remove_queued(queued.deadline, ticket);
         }
     }
 
-    /// A started call ended; what waits may start in its place.
+    /// Records the end of a started call; a queued one may start in its place.
     pub fn finish(&mut self, ticket: Ticket, finish: Finish, now: Moment, out: &mut Vec<Action>) {
         let Some(running) = self.running.remove(&ticket) else {
             return;
         };
-        if let Some(service_queue) = self.lanes.get_mut(&running.service) {
-            service_queue.finish(finish, now.since(running.started), now);
+        if let Some(queue) = self.services.get_mut(&running.service) {
+            queue.finish(finish, now.since(running.started_at), now);
         }
-        self.forget(&running.service);
+        self.remove_if_drained(&running.service);
         self.poll(now, out);
     }
 
-    /// An upstream shed an attempt of a call that goes on.
+    /// Records that an upstream shed an attempt of a call that continues.
     pub fn shed(&mut self, service: &ServiceName, now: Moment) {
-        if let Some(service_queue) = self.lanes.get_mut(service) {
-            service_queue.shed(now);
+        if let Some(queue) = self.services.get_mut(service) {
+            queue.shed(now);
         }
     }
 
-    /// Refuses what can no longer be answered in time, and starts what has room.
+    /// Refuses queued calls that can no longer be answered by their deadlines, and starts those
+    /// that the limits allow.
     pub fn poll(&mut self, now: Moment, out: &mut Vec<Action>) {
         self.expire(now, out);
         while self.has_slot() && self.start_next(now, out) {}
     }
 
-    /// When [`Self::poll`] is wanted at the latest; none when nothing waits.
+    /// When [`Self::poll`] has to be called next; none if no call is queued.
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Moment> {
-        self.lanes.values().filter_map(ServiceQueue::expiry).min()
+        self.services
+            .values()
+            .filter_map(ServiceQueue::expiry)
+            .min()
     }
 
-    /// The lane of a service, for the operators' view.
+    /// The state of a service, for monitoring.
     #[must_use]
     pub fn service_queue(&self, service: &ServiceName) -> Option<&ServiceQueue> {
-        self.lanes.get(service)
+        self.services.get(service)
     }
 
-    /// Whether calls of the service wait, so that hedges would only add load.
+    /// Whether calls of the service are queued, so that hedges would only add load.
     #[must_use]
     pub fn is_backlogged(&self, service: &ServiceName) -> bool {
         self.service_queue(service)
-            .is_some_and(|service_queue| service_queue.queued() > 0)
+            .is_some_and(|queue| queue.queued() > 0)
     }
 
-    /// When a caller refused now may come back, for refusals that others decide.
+    /// The `Retry-After` for calls that are refused now elsewhere.
     #[must_use]
     pub fn retry_after(&self, service: &ServiceName, now: Moment) -> Duration {
         let wait = self
             .service_queue(service)
-            .map(|service_queue| service_queue.retry_after(now));
+            .map(|queue| queue.retry_after(now));
         wait.unwrap_or_default()
     }
 
-    /// Calls that run, over all services.
+    /// Number of running calls, over all services.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Calls that wait, over all services.
+    /// Number of queued calls, over all services.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.queued.len()
     }
 
-    fn forget(&mut self, service: &ServiceName) {
+    fn remove_if_drained(&mut self, service: &ServiceName) {
         if self
             .service_queue(service)
-            .is_some_and(ServiceQueue::is_over)
+            .is_some_and(ServiceQueue::is_drained)
         {
-            self.lanes.remove(service);
+            self.services.remove(service);
         }
     }
 
@@ -254,8 +260,8 @@
     }
 
     fn enqueue(&mut self, request: &Request, now: Moment) {
-        if let Some(service_queue) = self.lanes.get_mut(&request.service) {
-            service_queue.push(request, now);
+        if let Some(queue) = self.services.get_mut(&request.service) {
+            queue.push(request, now);
         }
         let queued = Queued {
             service: request.service.clone(),
@@ -264,16 +270,22 @@
         self.queued.insert(request.ticket, queued);
     }
 
-    fn run(&mut self, ticket: Ticket, service: ServiceName, now: Moment) {
-        let started = now;
-        self.running.insert(ticket, Running { service, started });
+    fn insert_running(&mut self, ticket: Ticket, service: ServiceName, now: Moment) {
+        let started_at = now;
+        self.running.insert(
+            ticket,
+            Running {
+                service,
+                started_at,
+            },
+        );
     }
 
     fn expire(&mut self, now: Moment, out: &mut Vec<Action>) {
-        for service_queue in self.lanes.values_mut() {
-            while service_queue.expiry().is_some_and(|at| at <= now) {
-                let retry_after = Some(service_queue.retry_after(now));
-                let Some(ticket) = service_queue.take_first() else {
+        for queue in self.services.values_mut() {
+            while queue.expiry().is_some_and(|at| at <= now) {
+                let retry_after = Some(queue.retry_after(now));
+                let Some(ticket) = queue.take_first() else {
                     break;
                 };
                 self.queued.remove(&ticket);
@@ -289,33 +301,38 @@
 
     fn start_next(&mut self, now: Moment, out: &mut Vec<Action>) -> bool {
         let mut waiting = [false; ORDER.len()];
-        for service_queue in self.lanes.values() {
-            waiting[class_scheduler::rank(service_queue.class())] |= can_start(service_queue);
+        for queue in self.services.values() {
+            waiting[class_scheduler::rank(queue.class())] |= can_start(queue);
         }
-        let Some(class) = self.shares.pick(waiting) else {
+        let Some(class) = self.scheduler.pick(waiting) else {
             return false;
         };
         let next = self
-            .lanes
+            .services
             .iter_mut()
-            .filter(|(_, service_queue)| service_queue.class() == class && can_start(service_queue))
-            .min_by_key(|(_, service_queue)| service_queue.first());
-        let Some((service, service_queue)) = next else {
+            .filter(|(_, queue)| queue.class() == class && can_start(queue))
+            .min_by_key(|(_, queue)| queue.earliest_deadline());
+        let Some((service, queue)) = next else {
             return false;
         };
-        let Some(ticket) = service_queue.pop(now) else {
+        let Some(ticket) = queue.start_first(now) else {
             return false;
         };
         let service = service.clone();
         self.queued.remove(&ticket);
-        self.run(ticket, service, now);
+        self.insert_running(ticket, service, now);
         out.push(Action::Start(ticket));
         true
     }
 
-    // Room in the gateway's queue, by refusing a call of the lowest class below this
-    // one that holds more than its share of the queue.
-    fn make_place(&mut self, service: &ServiceName, now: Moment, out: &mut Vec<Action>) -> bool {
+    // If the gateway's queue is full, refuses the queued call with the latest deadline of the
+    // lowest class that is below this one and exceeds its share of the queue.
+    fn make_room_in_queue(
+        &mut self,
+        service: &ServiceName,
+        now: Moment,
+        out: &mut Vec<Action>,
+    ) -> bool {
         if self.queued.len() < to_usize(self.settings.queue) {
             return true;
         }
@@ -323,20 +340,20 @@
             return false;
         };
         let lower = &ORDER[class_scheduler::rank(class) + 1..];
-        let yields = lower.iter().rev().find(|class| self.may_yield(**class));
-        let Some(yields) = yields.copied() else {
+        let victim = lower.iter().rev().find(|class| self.exceeds_share(**class));
+        let Some(victim) = victim.copied() else {
             return false;
         };
         let last = self
-            .lanes
+            .services
             .values_mut()
-            .filter(|service_queue| service_queue.class() == yields && service_queue.queued() > 0)
-            .max_by_key(|service_queue| service_queue.last());
-        let Some(service_queue) = last else {
+            .filter(|queue| queue.class() == victim && queue.queued() > 0)
+            .max_by_key(|queue| queue.latest_deadline());
+        let Some(queue) = last else {
             return false;
         };
-        let retry_after = Some(service_queue.retry_after(now));
-        let Some(ticket) = service_queue.take_last() else {
+        let retry_after = Some(queue.retry_after(now));
+        let Some(ticket) = queue.take_last() else {
             return false;
         };
         self.queued.remove(&ticket);
@@ -349,14 +366,14 @@
         true
     }
 
-    fn may_yield(&self, class: Class) -> bool {
-        let lanes = self
-            .lanes
+    fn exceeds_share(&self, class: Class) -> bool {
+        let services = self
+            .services
             .values()
-            .filter(|service_queue| service_queue.class() == class);
-        let held: usize = lanes.map(ServiceQueue::queued).sum();
+            .filter(|queue| queue.class() == class);
+        let queued: usize = services.map(ServiceQueue::queued).sum();
         let share = self.settings.queue * class_scheduler::percent(class) / 100;
-        held > to_usize(share.max(1))
+        queued > to_usize(share.max(1))
     }
 
     fn refuse(&self, reason: Refused, service: &ServiceName, now: Moment) -> Arrival {
@@ -372,8 +389,8 @@
     }
 }
 
-fn can_start(service_queue: &ServiceQueue) -> bool {
-    service_queue.queued() > 0 && service_queue.has_room()
+fn can_start(queue: &ServiceQueue) -> bool {
+    queue.queued() > 0 && queue.has_room()
 }
 
 fn without_retry(reason: Refused) -> Refusal {
--- a/crates/admit/src/class_scheduler.rs
+++ b/crates/admit/src/class_scheduler.rs
@@ -1,17 +1,19 @@
-//! Which class starts next when the gateway's own concurrency is short.
+//! Weighted scheduling of classes when the gateway's own concurrency is exhausted.
 //!
-//! The order is urgent, once, durable, deferred. Each class that waits earns its
-//! share at every start of another, and goes first once it has earned a whole
-//! start. So a class that always waits gets at least its share of the starts.
+//! Calls start in the order of [`ORDER`], except that a waiting class accumulates
+//! credit at every start of another class and goes first once its credit covers a start.
+//! A class that always has queued calls therefore gets at least [`percent`] of the
+//! starts.
 
 use base::prelude::*;
 
 /// Classes from the first to the last to be served.
 pub const ORDER: [Class; 4] = [Class::Urgent, Class::Once, Class::Durable, Class::Deferred];
 
-const WHOLE: u32 = 100;
+// Credit of one start, in percent of a start.
+const START_COST: u32 = 100;
 
-/// Least share of the starts for a class that waits, in percent.
+/// Minimum share of the starts for a class with queued calls, in percent.
 #[must_use]
 pub fn percent(class: Class) -> u32 {
     match class {
@@ -22,7 +24,7 @@
     }
 }
 
-/// Rank of a class in [`ORDER`].
+/// Index of a class in [`ORDER`].
 #[must_use]
 pub fn rank(class: Class) -> usize {
     match class {
@@ -33,34 +35,34 @@
     }
 }
 
-/// What each class has earned.
+/// Picks the class of the next call to start.
 #[derive(Clone, Debug, Default)]
-pub struct Shares {
-    earned: [u32; ORDER.len()],
+pub struct ClassScheduler {
+    credits: [u32; ORDER.len()],
 }
 
-impl Shares {
+impl ClassScheduler {
     /// Picks among the classes that have a call to start, and counts the start.
     ///
-    /// `waiting` has one flag a class, in [`ORDER`].
+    /// `waiting` has one flag per class, in [`ORDER`].
     pub fn pick(&mut self, waiting: [bool; ORDER.len()]) -> Option<Class> {
-        let owed = ORDER
+        let entitled = ORDER
             .into_iter()
-            .filter(|class| waiting[rank(*class)] && self.earned[rank(*class)] >= WHOLE)
-            .max_by_key(|class| self.earned[rank(*class)]);
+            .filter(|class| waiting[rank(*class)] && self.credits[rank(*class)] >= START_COST)
+            .max_by_key(|class| self.credits[rank(*class)]);
         let first = ORDER.into_iter().find(|class| waiting[rank(*class)]);
-        let picked = owed.or(first)?;
-        self.count(picked, waiting);
+        let picked = entitled.or(first)?;
+        self.update_credits(picked, waiting);
         Some(picked)
     }
 
-    fn count(&mut self, picked: Class, waiting: [bool; ORDER.len()]) {
+    fn update_credits(&mut self, picked: Class, waiting: [bool; ORDER.len()]) {
         for class in ORDER {
-            let earned = &mut self.earned[rank(class)];
-            *earned = match (waiting[rank(class)], class == picked) {
-                (_, true) => earned.saturating_sub(WHOLE - percent(class)),
-                (true, false) => *earned + percent(class),
-                // What was earned while waiting is not saved for a later surge.
+            let credit = &mut self.credits[rank(class)];
+            *credit = match (waiting[rank(class)], class == picked) {
+                (_, true) => credit.saturating_sub(START_COST - percent(class)),
+                (true, false) => *credit + percent(class),
+                // What was earned while waiting is not saved for a later burst.
                 (false, false) => 0,
             };
         }
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -1,17 +1,20 @@
-//! Admission of calls at one gateway: who starts now, who waits, who is refused.
+//! Admission control of one gateway: which calls start, which are queued and which are
+//! refused.
 //!
-//! [`Admission`] takes arrivals, ends and the time, and gives [`Action`]s. Each
-//! service has a [`Lane`](lane::Lane): its running calls under an adaptive
-//! [`Limit`](limit::Limit), and its queue, ordered by deadline. Lanes of all classes
-//! share the gateway's own concurrency by [`Shares`](class_scheduler::Shares). Nothing here
-//! does input or output.
+//! [`Admission`] is a state machine without I/O: it takes arrivals, completions and the
+//! current time, and returns [`Action`]s. Each service has a
+//! [`ServiceQueue`](service_queue::ServiceQueue): its running calls, bounded by an adaptive
+//! [`ConcurrencyLimit`](limit::ConcurrencyLimit), and its queued calls, ordered by deadline.
+//! A [`ClassScheduler`](class_scheduler::ClassScheduler) divides the gateway's own
+//! concurrency among the classes.
 //!
-//! Rules that hold whatever the schedule of events:
+//! Invariants, for any order of events:
 //!
-//! - a refusal comes at the moment it is certain, with a time to come back;
+//! - a call is refused as soon as it is certain that it can't be served, and the refusal
+//!   says when to retry where a retry can help;
 //! - a refused call was never started, so its outcome is `not-run`;
-//! - running calls stay within the limits of the entry and of the gateway;
-//! - a class that waits gets at least its share of the starts.
+//! - running calls stay within the limits of the catalogue entry and of the gateway;
+//! - a class with queued calls gets at least its share of the starts.
 
 pub mod admission;
 pub mod class_scheduler;
--- a/crates/admit/src/refusal.rs
+++ b/crates/admit/src/refusal.rs
@@ -1,14 +1,14 @@
-//! Why a call isn't admitted, and when its caller may come back.
+//! Refusals of calls that aren't admitted.
 
 use std::time::Duration;
 
 use strum::Display;
 use strum::IntoStaticStr;
 
-/// Longest time a caller is told to wait.
-pub const MOST_WAIT: Duration = Duration::from_secs(30);
+/// Maximum `Retry-After` of a refusal.
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Why a call was refused; it was not run.
+/// Why a call was refused. A refused call was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Refused {
@@ -16,13 +16,13 @@
     UnknownService,
     /// The queue of the service or of the gateway is full.
     QueueFull,
-    /// The predicted wait doesn't fit the deadline.
+    /// The call is not expected to be answered by its deadline.
     Overloaded,
-    /// It waited in the queue until its deadline couldn't be met.
+    /// The deadline passed, or can no longer be met by the queued call.
     Expired,
-    /// A queued call of a lower class made room for a higher one.
+    /// The call was removed from the full queue in favour of a call of a higher class.
     Yielded,
-    /// The service left the catalogue while the call was queued.
+    /// The service was removed from the catalogue while the call was queued.
     Removed,
     /// The gateway is stopping.
     Stopping,
@@ -31,14 +31,14 @@
 /// The final answer to a call that was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// For [`base::header::REASON`] and the log.
+    /// Value of [`base::header::REASON`], also logged.
     pub reason: Refused,
-    /// For `Retry-After`, rounded up to seconds; none where coming back doesn't help.
+    /// Value of `Retry-After`; none if retrying doesn't help.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// The HTTP status of the answer.
+    /// The HTTP status of the response.
     #[must_use]
     pub fn status(self) -> u16 {
         match self.reason {
@@ -47,10 +47,10 @@
         }
     }
 
-    /// Whole seconds for `Retry-After`, at least one.
+    /// [`Self::retry_after`] in seconds, rounded up, at least 1 and at most [`MAX_RETRY_AFTER`].
     #[must_use]
     pub fn retry_seconds(self) -> Option<u64> {
-        let wait = self.retry_after?.min(MOST_WAIT);
+        let wait = self.retry_after?.min(MAX_RETRY_AFTER);
         Some(
             wait.as_millis()
                 .div_ceil(1000)
--- a/crates/admit/src/wait_queue.rs
+++ b/crates/admit/src/wait_queue.rs
@@ -1,22 +1,20 @@
-//! Requests that wait for room at an upstream.
-//!
-//! The most urgent one goes first, and among equals the newest: where requests
-//! come faster than they are served, the oldest would otherwise all be served
-//! just when they are too late to be of use. One whose time is over is dropped,
-//! and its owner refuses it.
+//! A queue of requests that wait for capacity at an upstream.
 
 use base::prelude::*;
 
-/// One request that waits.
 #[derive(Debug)]
 struct Waiter<T> {
     priority: u32,
-    until: Moment,
+    deadline: Moment,
     order: u64,
-    owner: T,
+    value: T,
 }
 
-/// Those that wait for one service.
+/// The requests that wait for one service, ordered by priority and then newest first.
+///
+/// Newest first, because under sustained overload an oldest-first queue serves every
+/// request just as it becomes too late to be useful. Requests past their deadline are
+/// dropped without notice; whoever queued them refuses them.
 #[derive(Debug)]
 pub struct WaitQueue<T> {
     waiters: Vec<Waiter<T>>,
@@ -33,33 +31,33 @@
 }
 
 impl<T> WaitQueue<T> {
-    /// Adds one of `priority`, 0 the most urgent, that waits `until` then.
-    pub fn push(&mut self, priority: u32, until: Moment, owner: T) {
+    /// Adds a request. Priority 0 is the most urgent.
+    pub fn push(&mut self, priority: u32, deadline: Moment, value: T) {
         self.next += 1;
         self.waiters.push(Waiter {
             priority,
-            until,
+            deadline,
             order: self.next,
-            owner,
+            value,
         });
     }
 
-    /// Takes the one that goes next.
+    /// Removes and returns the next request whose deadline has not passed.
     pub fn pop(&mut self, now: Moment) -> Option<T> {
-        self.waiters.retain(|waiter| waiter.until > now);
+        self.waiters.retain(|waiter| waiter.deadline > now);
         let rank = |waiter: &Waiter<T>| (waiter.priority, u64::MAX - waiter.order);
         let best = (0..self.waiters.len()).min_by_key(|i| rank(&self.waiters[*i]))?;
-        Some(self.waiters.swap_remove(best).owner)
+        Some(self.waiters.swap_remove(best).value)
     }
 
-    /// How many wait.
+    /// Number of requests whose deadline has not passed.
     #[must_use]
     pub fn len(&self, now: Moment) -> usize {
-        let open = |waiter: &&Waiter<T>| waiter.until > now;
+        let open = |waiter: &&Waiter<T>| waiter.deadline > now;
         self.waiters.iter().filter(open).count()
     }
 
-    /// Whether none waits.
+    /// Whether the queue is empty. Requests past their deadline count until they are dropped.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiters.is_empty()
