--- a/crates/admit/examples/overload/main.rs
+++ b/crates/admit/examples/overload/main.rs
@@ -1,25 +1,25 @@
-//! Overload of one service, shared by gateways that don't talk to each other.
+//! Simulates the overload of one service behind gateways that don't coordinate.
 //!
 //! `cargo run --release -p admit --example overload -- [SEED]` prints one line of
-//! key=value pairs for each bound on running calls and each kind of upstream.
+//! key=value pairs for each load, upstream backlog and limit on running calls.
 
 mod report;
-mod scene;
+mod simulation;
 
 use admit::Mode;
 
 use crate::report::Setup;
-use crate::scene::Scene;
+use crate::simulation::Simulation;
 
 const SLOTS: u32 = 60;
-// What one of 15 gateways could hold if it knew the slots and the others.
-const EXACT: u32 = 4;
+// The slots divided by the 15 gateways.
+const FAIR_SHARE: u32 = 4;
 
 fn main() {
     let seed = std::env::args().nth(1).and_then(|text| text.parse().ok());
     let seed = seed.unwrap_or(1);
-    let bounds = [
-        (Mode::Fixed, EXACT),
+    let limits = [
+        (Mode::Fixed, FAIR_SHARE),
         (Mode::Fixed, 8),
         (Mode::Fixed, 32),
         (Mode::Adaptive, 8),
@@ -28,7 +28,7 @@
     ];
     for load in [0.7, 1.0, 2.0] {
         for backlog in [6, 64] {
-            for (mode, concurrency) in bounds {
+            for (mode, concurrency) in limits {
                 let setup = Setup {
                     seed,
                     mode,
@@ -36,7 +36,7 @@
                     backlog,
                     load,
                 };
-                println!("{setup} slots={SLOTS} {}", Scene::new(setup).run());
+                println!("{setup} slots={SLOTS} {}", Simulation::new(setup).run());
             }
         }
     }
--- a/crates/admit/examples/overload/report.rs
+++ b/crates/admit/examples/overload/report.rs
@@ -1,24 +1,24 @@
-//! What is run, and what is counted of it.
+//! The parameters and the results of a simulation.
 
 use std::fmt;
 use std::time::Duration;
 
 use admit::Mode;
 
-use crate::scene::END;
-use crate::scene::INSTANCES;
-use crate::scene::SLOTS;
-use crate::scene::WARM;
-use crate::scene::WORK;
+use crate::simulation::END;
+use crate::simulation::INSTANCES;
+use crate::simulation::SERVICE_TIME;
+use crate::simulation::SLOTS;
+use crate::simulation::WARM_UP_END;
 
 #[derive(Clone, Copy)]
 pub struct Setup {
     pub seed: u64,
     pub mode: Mode,
     pub concurrency: u32,
-    // Requests that an instance holds beside its slots before it sheds.
+    // Requests that an instance queues beyond its slots before it sheds.
     pub backlog: usize,
-    // Calls offered, as a share of capacity.
+    // Offered load as a fraction of the capacity.
     pub load: f64,
 }
 
@@ -48,31 +48,31 @@
     pub good: f64,
     pub attempts: f64,
     pub started: f64,
-    pub spans: Vec<Duration>,
+    pub latencies: Vec<Duration>,
 }
 
 impl Report {
-    // Calls answered in their deadline, as a share of what the slots can do.
+    // Calls answered by their deadline, as a fraction of the capacity of the slots.
     pub fn goodput(&self) -> f64 {
         let slots = f64::from(u32::try_from(INSTANCES * SLOTS).unwrap_or(0));
-        self.good / (slots / WORK.as_secs_f64() * END.since(WARM).as_secs_f64())
+        self.good / (slots / SERVICE_TIME.as_secs_f64() * END.since(WARM_UP_END).as_secs_f64())
     }
 
-    // Of the calls started, the share answered in their deadline.
+    // Fraction of the started calls that were answered by their deadline.
     pub fn in_deadline(&self) -> f64 {
         self.good / (self.good + self.late + self.failed)
     }
 
-    // Attempts a call that was started.
+    // Attempts per started call.
     pub fn attempts(&self) -> f64 {
         self.attempts / self.started
     }
 
     fn millis(&self, permille: usize) -> f64 {
-        let mut spans = self.spans.clone();
-        spans.sort_unstable();
-        let span = spans.get(spans.len() * permille / 1000);
-        span.map_or(0.0, |span| span.as_secs_f64() * 1e3)
+        let mut latencies = self.latencies.clone();
+        latencies.sort_unstable();
+        let latency = latencies.get(latencies.len() * permille / 1000);
+        latency.map_or(0.0, |latency| latency.as_secs_f64() * 1e3)
     }
 }
 
--- a/crates/admit/examples/overload/scene.rs
+++ b/crates/admit/examples/overload/simulation.rs
@@ -1,4 +1,5 @@
-//! Fifteen gateways with the product's admission and attempts, ten fake upstreams.
+//! A discrete-event simulation of gateways with the real admission and attempts, and fake
+//! upstreams.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -28,12 +29,11 @@
 const GATEWAYS: usize = 15;
 pub const INSTANCES: usize = 10;
 pub const SLOTS: usize = 6;
-/// 10 instances of 6 slots by 15 gateways.
-const SLOTS_A_GATEWAY: u32 = 4;
-pub const WORK: Duration = Duration::from_millis(10);
-const TRANSIT: Duration = Duration::from_micros(500);
-const PATIENCE: Duration = Duration::from_millis(100);
-pub const WARM: Moment = Moment::from_millis(2_000);
+const SLOTS_PER_GATEWAY: u32 = 4;
+pub const SERVICE_TIME: Duration = Duration::from_millis(10);
+const NETWORK_DELAY: Duration = Duration::from_micros(500);
+const TIMEOUT: Duration = Duration::from_millis(100);
+pub const WARM_UP_END: Moment = Moment::from_millis(2_000);
 pub const END: Moment = Moment::from_millis(10_000);
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -44,10 +44,10 @@
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Item {
+enum SimEvent {
     Arrive,
-    Reach(usize, Job),
-    Done(usize, Job),
+    Arrived(usize, Job),
+    Completed(usize, Job),
     Answer(Job, bool),
     Wake(usize, Ticket),
     Poll(usize),
@@ -70,23 +70,23 @@
 
 struct Running {
     call: Call,
-    arrived: Moment,
-    places: Vec<(u8, usize)>,
+    arrived_at: Moment,
+    attempts: Vec<(u8, usize)>,
 }
 
-pub struct Scene {
+pub struct Simulation {
     setup: Setup,
     rng: StdRng,
     now: Moment,
     tickets: u64,
-    order: u64,
-    items: BinaryHeap<Reverse<(Moment, u64, Item)>>,
+    sequence: u64,
+    events: BinaryHeap<Reverse<(Moment, u64, SimEvent)>>,
     gateways: Vec<Gateway>,
     instances: Vec<Instance>,
     report: Report,
 }
 
-impl Scene {
+impl Simulation {
     pub fn new(setup: Setup) -> Self {
         let gateway = || {
             let settings = Settings {
@@ -98,7 +98,7 @@
                 class: Class::Urgent,
                 concurrency: setup.concurrency,
                 queue: 200,
-                slots: SLOTS_A_GATEWAY,
+                slots: SLOTS_PER_GATEWAY,
             };
             admission.set_service(&name(), terms);
             Gateway {
@@ -115,8 +115,8 @@
             rng: StdRng::seed_from_u64(setup.seed),
             now: Moment::ZERO,
             tickets: 0,
-            order: 0,
-            items: BinaryHeap::new(),
+            sequence: 0,
+            events: BinaryHeap::new(),
             gateways: (0..GATEWAYS).map(|_| gateway()).collect(),
             instances: (0..INSTANCES).map(|_| Instance::default()).collect(),
             report: Report::default(),
@@ -124,48 +124,48 @@
     }
 
     pub fn run(mut self) -> Report {
-        self.put(Duration::ZERO, Item::Arrive);
-        while let Some(Reverse((at, _, item))) = self.items.pop() {
+        self.schedule(Duration::ZERO, SimEvent::Arrive);
+        while let Some(Reverse((at, _, event))) = self.events.pop() {
             if at > END {
                 break;
             }
             self.now = at;
-            match item {
-                Item::Arrive => self.arrive(),
-                Item::Reach(instance, job) => self.reach(instance, job),
-                Item::Done(instance, job) => self.done(instance, job),
-                Item::Answer(job, shed) => self.answer(job, shed),
-                Item::Wake(gateway, ticket) => self.step(gateway, ticket, Event::Tick),
-                Item::Poll(gateway) => self.poll(gateway),
+            match event {
+                SimEvent::Arrive => self.arrive(),
+                SimEvent::Arrived(instance, job) => self.receive(instance, job),
+                SimEvent::Completed(instance, job) => self.complete(instance, job),
+                SimEvent::Answer(job, shed) => self.answer(job, shed),
+                SimEvent::Wake(gateway, ticket) => self.step(gateway, ticket, Event::Tick),
+                SimEvent::Poll(gateway) => self.poll(gateway),
             }
         }
         self.report
     }
 
-    fn put(&mut self, span: Duration, item: Item) {
-        self.order += 1;
-        self.items
-            .push(Reverse((self.now + span, self.order, item)));
+    fn schedule(&mut self, delay: Duration, event: SimEvent) {
+        self.sequence += 1;
+        self.events
+            .push(Reverse((self.now + delay, self.sequence, event)));
     }
 
     fn is_counted(&self) -> bool {
-        self.now >= WARM
+        self.now >= WARM_UP_END
     }
 
-    fn random_span(&mut self, mean: Duration) -> Duration {
+    fn random_duration(&mut self, mean: Duration) -> Duration {
         mean.mul_f64(-(1.0 - self.rng.random::<f64>()).ln())
     }
 
     fn arrive(&mut self) {
-        let gap = WORK.div_f64(60.0 * self.setup.load);
-        let next = self.random_span(gap);
-        self.put(next, Item::Arrive);
+        let interval = SERVICE_TIME.div_f64(60.0 * self.setup.load);
+        let next = self.random_duration(interval);
+        self.schedule(next, SimEvent::Arrive);
         self.tickets += 1;
         let gateway = self.rng.random_range(0..GATEWAYS);
         let request = Request {
             ticket: Ticket(self.tickets),
             service: name(),
-            deadline: self.now + PATIENCE,
+            deadline: self.now + TIMEOUT,
         };
         let counted = f64::from(u8::from(self.is_counted()));
         self.report.offered += counted;
@@ -179,17 +179,17 @@
                 deadlines.insert(request.ticket, request.deadline);
             }
         }
-        self.act(gateway, out);
+        self.apply_admission(gateway, out);
     }
 
     fn poll(&mut self, gateway: usize) {
         let mut out = Vec::new();
         self.gateways[gateway].poll_at = None;
         self.gateways[gateway].admission.poll(self.now, &mut out);
-        self.act(gateway, out);
+        self.apply_admission(gateway, out);
     }
 
-    fn act(&mut self, gateway: usize, actions: Vec<admit::Action>) {
+    fn apply_admission(&mut self, gateway: usize, actions: Vec<admit::Action>) {
         for action in actions {
             match action {
                 admit::Action::Start(ticket) => {
@@ -206,7 +206,7 @@
         let next_wakeup = owner.admission.next_wakeup();
         if let Some(at) = next_wakeup.filter(|at| owner.poll_at.is_none_or(|set| *at < set)) {
             owner.poll_at = Some(at);
-            self.put(at.since(self.now), Item::Poll(gateway));
+            self.schedule(at.since(self.now), SimEvent::Poll(gateway));
         }
     }
 
@@ -224,11 +224,11 @@
         let actions = call.start(service, self.now);
         let running = Running {
             call,
-            arrived: deadline.before(PATIENCE),
-            places: Vec::new(),
+            arrived_at: deadline.before(TIMEOUT),
+            attempts: Vec::new(),
         };
         self.gateways[gateway].calls.insert(ticket, running);
-        self.follow(gateway, ticket, actions);
+        self.apply_attempt(gateway, ticket, actions);
     }
 
     fn step(&mut self, gateway: usize, ticket: Ticket, event: Event) {
@@ -238,10 +238,10 @@
         };
         let service = &mut owner.service;
         let actions = running.call.step(event, service, &mut self.rng, self.now);
-        self.follow(gateway, ticket, actions);
+        self.apply_attempt(gateway, ticket, actions);
     }
 
-    fn follow(&mut self, gateway: usize, ticket: Ticket, actions: attempt::Actions) {
+    fn apply_attempt(&mut self, gateway: usize, ticket: Ticket, actions: attempt::Actions) {
         for action in actions {
             match action {
                 attempt::Action::Start(start) => self.send(gateway, ticket, start.number),
@@ -261,11 +261,11 @@
         }
         let running = self.gateways[gateway].calls.get(&ticket);
         if let Some(at) = running.and_then(|running| running.call.next_wakeup()) {
-            self.put(at.since(self.now), Item::Wake(gateway, ticket));
+            self.schedule(at.since(self.now), SimEvent::Wake(gateway, ticket));
         }
     }
 
-    // Two choices by own requests in flight, but for those tried.
+    // The power of two choices by requests in flight, among the instances not tried yet.
     fn send(&mut self, gateway: usize, ticket: Ticket, number: u8) {
         self.report.attempts += f64::from(u8::from(self.is_counted()));
         let owner = &mut self.gateways[gateway];
@@ -274,7 +274,7 @@
         };
         let mut pick = || loop {
             let picked = self.rng.random_range(0..INSTANCES);
-            if running.places.iter().all(|(_, tried)| *tried != picked) {
+            if running.attempts.iter().all(|(_, tried)| *tried != picked) {
                 return picked;
             }
         };
@@ -282,20 +282,20 @@
         let lesser = owner.in_flight[two] < owner.in_flight[one];
         let picked = if lesser { two } else { one };
         owner.in_flight[picked] += 1;
-        running.places.push((number, picked));
+        running.attempts.push((number, picked));
         let job = Job {
             gateway,
             ticket,
             number,
         };
-        self.put(TRANSIT, Item::Reach(picked, job));
+        self.schedule(NETWORK_DELAY, SimEvent::Arrived(picked, job));
     }
 
     fn cancel(&mut self, gateway: usize, ticket: Ticket, number: u8) {
         let running = self.gateways[gateway].calls.get(&ticket);
-        let places = running.map(|running| running.places.as_slice());
-        let place = places.and_then(|places| places.iter().find(|(n, _)| *n == number));
-        let Some((_, instance)) = place.copied() else {
+        let attempts = running.map(|running| running.attempts.as_slice());
+        let found = attempts.and_then(|attempts| attempts.iter().find(|(n, _)| *n == number));
+        let Some((_, instance)) = found.copied() else {
             return;
         };
         let job = Job {
@@ -313,49 +313,49 @@
         let Some(running) = owner.calls.remove(&ticket) else {
             return;
         };
-        for (_, instance) in &running.places {
+        for (_, instance) in &running.attempts {
             owner.in_flight[*instance] -= 1;
         }
-        let span = self.now.since(running.arrived);
+        let elapsed = self.now.since(running.arrived_at);
         let mut out = Vec::new();
         owner.admission.finish(ticket, finish, self.now, &mut out);
         if self.is_counted() {
-            let count = match (finish, span <= PATIENCE) {
+            let count = match (finish, elapsed <= TIMEOUT) {
                 (Finish::Answered, true) => &mut self.report.good,
                 (Finish::Answered, false) => &mut self.report.late,
                 _ => &mut self.report.failed,
             };
             *count += 1.0;
             if finish == Finish::Answered {
-                self.report.spans.push(span);
+                self.report.latencies.push(elapsed);
             }
         }
-        self.act(gateway, out);
+        self.apply_admission(gateway, out);
     }
 
-    fn reach(&mut self, instance: usize, job: Job) {
+    fn receive(&mut self, instance: usize, job: Job) {
         if !self.gateways[job.gateway].calls.contains_key(&job.ticket) {
             return;
         }
         let owner = &mut self.instances[instance];
         if owner.running.len() < SLOTS {
-            self.work(instance, job);
+            self.serve(instance, job);
         } else if owner.waiting.len() < self.setup.backlog {
             owner.waiting.push_back(job);
         } else {
-            self.put(TRANSIT, Item::Answer(job, true));
+            self.schedule(NETWORK_DELAY, SimEvent::Answer(job, true));
         }
     }
 
-    fn work(&mut self, instance: usize, job: Job) {
+    fn serve(&mut self, instance: usize, job: Job) {
         self.instances[instance].running.push(job);
-        let span = self.random_span(WORK);
-        self.put(span, Item::Done(instance, job));
+        let duration = self.random_duration(SERVICE_TIME);
+        self.schedule(duration, SimEvent::Completed(instance, job));
     }
 
-    fn done(&mut self, instance: usize, job: Job) {
+    fn complete(&mut self, instance: usize, job: Job) {
         if self.free(instance, job) {
-            self.put(TRANSIT, Item::Answer(job, false));
+            self.schedule(NETWORK_DELAY, SimEvent::Answer(job, false));
         }
     }
 
@@ -366,7 +366,7 @@
         };
         owner.running.swap_remove(at);
         if let Some(next) = owner.waiting.pop_front() {
-            self.work(instance, next);
+            self.serve(instance, next);
         }
         true
     }
--- a/crates/admit/tests/test_admission.rs
+++ b/crates/admit/tests/test_admission.rs
@@ -1,4 +1,4 @@
-//! Decisions of one gateway: cases one by one, and what holds over random schedules.
+//! Admission decisions of one gateway: single cases, and invariants over random schedules.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,14 +21,14 @@
 const CLASSES: [Class; 4] = [Class::Urgent, Class::Once, Class::Durable, Class::Deferred];
 
 fn name(class: Class) -> ServiceName {
-    ServiceName::new(&class.to_string()).expect("a class is a name")
+    ServiceName::new(&class.to_string()).expect("a class is a valid name")
 }
 
 fn at(millis: u64) -> Moment {
     Moment::from_millis(millis)
 }
 
-// One service a class, each with the limits given.
+// One service per class, each with the given limits.
 fn admission(settings: Settings, concurrency: u32, queue: u32) -> Admission {
     let mut admission = Admission::new(settings);
     for class in CLASSES {
@@ -108,13 +108,13 @@
     for ticket in 1..=2 {
         admission.finish(Ticket(ticket), Finish::Answered, at(ticket * 100), &mut out);
     }
-    // Two run or wait before it, so it can't end before 500 ms.
+    // Two calls are ahead of it, so it can't end before 500 ms.
     let short = admission.arrive(&request(5, urgent, 300), at(200), &mut out);
     let Arrival::Refused(refusal) = short else {
         panic!("{short:?}");
     };
     assert_eq!(refusal.reason, Refused::Overloaded);
-    let wait = refusal.retry_after.expect("a time to come back");
+    let wait = refusal.retry_after.expect("a retry time");
     assert!(wait >= Duration::from_millis(100), "{wait:?}");
     assert_eq!(refusal.retry_seconds(), Some(1));
     let long = admission.arrive(&request(6, urgent, 10_000), at(200), &mut out);
@@ -137,7 +137,7 @@
     admission.arrive(&request(3, Class::Urgent, 900), at(0), &mut out);
     let arrival = admission.arrive(&request(4, Class::Urgent, 900), at(0), &mut out);
     assert_eq!(refused(arrival), Some(Refused::QueueFull));
-    // A service that leaves the catalogue, and comes back while its call runs.
+    // The service is removed from the catalogue and added again while its call runs.
     admission.remove_service(&name(Class::Urgent), &mut out);
     assert_eq!(refusals(&out), [(3, Refused::Removed)]);
     let arrival = admission.arrive(&request(5, Class::Urgent, 900), at(0), &mut out);
@@ -156,10 +156,10 @@
     assert_eq!(refused(arrival), Some(Refused::Stopping));
 }
 
-/// A service whose slots are far from filled: neither a burst at the start nor
-/// answers that come late for another reason make calls wait.
+/// Guards against calls being queued while slots are free, after a burst at the start or
+/// answers that are slow for another reason than a queue.
 #[test]
-fn test_admission_free_slots_hold_nothing_back() {
+fn test_admission_starts_calls_while_slots_are_free() {
     let mut admission = Admission::new(Settings {
         concurrency: 1_000,
         queue: 10,
@@ -203,7 +203,7 @@
     for ticket in 1..=40 {
         admission.arrive(&request(ticket, Class::Deferred, 9_000), at(0), &mut out);
     }
-    // The queue is full: urgent calls push deferred ones out, but for their share of 2.
+    // The queue is full: urgent calls displace deferred ones down to their share of 2.
     for ticket in 41..=80 {
         let arrival = admission.arrive(&request(ticket, Class::Urgent, 9_000), at(0), &mut out);
         let expected = if ticket <= 78 {
@@ -243,18 +243,18 @@
         out.clear();
         admission.finish(Ticket(last), Finish::Failed, at(0), &mut out);
         last = starts(&out)[0];
-        // Tickets go round the classes.
+        // Tickets were assigned to the classes in turn.
         let class = CLASSES[usize::try_from((last - 1) % 4).expect("under 4")];
         *counts.entry(class).or_insert(0) += 1;
     }
     for class in CLASSES {
-        let fewest = admit::class_scheduler::percent(class) * 10 - 1;
-        assert!(counts[&class] >= fewest, "{class}: {counts:?}");
+        let min = admit::class_scheduler::percent(class) * 10 - 1;
+        assert!(counts[&class] >= min, "{class}: {counts:?}");
     }
 }
 
 #[test]
-fn test_admission_expiry_and_leaving() {
+fn test_admission_expiry_and_cancellation() {
     let mut admission = admission(SMALL, 1, 4);
     let mut out = Vec::new();
     for (ticket, deadline) in [(1, 900), (2, 300), (3, 200), (4, 400)] {
@@ -273,18 +273,18 @@
     assert_eq!(out.len(), 1);
 }
 
-// What the test knows: who waits until when, and who runs for which class.
+// The expected state: queued calls with class and deadline, running calls with class.
 #[derive(Default)]
-struct Truth {
-    waiting: BTreeMap<u64, (Class, Moment)>,
+struct Model {
+    queued: BTreeMap<u64, (Class, Moment)>,
     running: BTreeMap<u64, Class>,
 }
 
-impl Truth {
-    fn take(&mut self, out: &mut Vec<Action>, now: Moment) {
+impl Model {
+    fn apply(&mut self, out: &mut Vec<Action>, now: Moment) {
         for action in out.drain(..) {
             let (Action::Start(ticket) | Action::Refuse(ticket, _)) = action;
-            let (class, deadline) = self.waiting.remove(&ticket.0).expect("it waited");
+            let (class, deadline) = self.queued.remove(&ticket.0).expect("the call is queued");
             assert!(now <= deadline, "decided after its deadline");
             if matches!(action, Action::Start(_)) {
                 assert!(now < deadline, "started at its deadline");
@@ -302,26 +302,26 @@
     };
     let concurrency = rng.random_range(1..6);
     let mut admission = admission(settings, concurrency, 8);
-    let mut truth = Truth::default();
+    let mut model = Model::default();
     let mut now = Moment::ZERO;
     let mut out = Vec::new();
     for ticket in 0..1_500 {
         let next = now + Duration::from_micros(rng.random_range(0..4_000));
-        // The adapter polls at each wake on the way.
+        // Polls at each wakeup until then.
         while let Some(next_wakeup) = admission
             .next_wakeup()
             .filter(|next_wakeup| *next_wakeup <= next)
         {
             now = now.max(next_wakeup);
             admission.poll(now, &mut out);
-            truth.take(&mut out, now);
+            model.apply(&mut out, now);
             assert!(
                 admission.next_wakeup().is_none_or(|next| next > now),
                 "nothing expired"
             );
         }
         now = next;
-        let running: Vec<u64> = truth.running.keys().copied().collect();
+        let running: Vec<u64> = model.running.keys().copied().collect();
         match rng.random_range(0..10) {
             0..5 => {
                 let class = CLASSES[rng.random_range(0..4)];
@@ -332,14 +332,14 @@
                     deadline,
                 };
                 match admission.arrive(&request, now, &mut out) {
-                    Arrival::Started => drop(truth.running.insert(ticket, class)),
-                    Arrival::Queued => drop(truth.waiting.insert(ticket, (class, deadline))),
+                    Arrival::Started => drop(model.running.insert(ticket, class)),
+                    Arrival::Queued => drop(model.queued.insert(ticket, (class, deadline))),
                     Arrival::Refused(_) => {}
                 }
             }
             5..9 if !running.is_empty() => {
                 let ticket = running[rng.random_range(0..running.len())];
-                truth.running.remove(&ticket);
+                model.running.remove(&ticket);
                 let all = [
                     Finish::Answered,
                     Finish::Shed,
@@ -350,17 +350,17 @@
                 admission.finish(Ticket(ticket), finish, now, &mut out);
             }
             _ => {
-                if let Some((ticket, _)) = truth.waiting.pop_first() {
+                if let Some((ticket, _)) = model.queued.pop_first() {
                     admission.cancel_queued(Ticket(ticket));
                 }
             }
         }
-        truth.take(&mut out, now);
-        assert_eq!(admission.running(), truth.running.len());
-        assert_eq!(admission.queued(), truth.waiting.len());
-        assert!(truth.running.len() <= usize::try_from(settings.concurrency).unwrap());
+        model.apply(&mut out, now);
+        assert_eq!(admission.running(), model.running.len());
+        assert_eq!(admission.queued(), model.queued.len());
+        assert!(model.running.len() <= usize::try_from(settings.concurrency).unwrap());
         for class in CLASSES {
-            let count = truth.running.values().filter(|c| **c == class).count();
+            let count = model.running.values().filter(|c| **c == class).count();
             assert!(count <= usize::try_from(concurrency).unwrap(), "{class}");
         }
     }
--- a/crates/admit/tests/test_overload.rs
+++ b/crates/admit/tests/test_overload.rs
@@ -1,15 +1,15 @@
-//! Overload of two times, with the example's gateways and fake upstreams.
+//! Goodput and deadlines at twice the capacity, in the simulation of the example.
 
 #[path = "../examples/overload/report.rs"]
 mod report;
-#[path = "../examples/overload/scene.rs"]
-mod scene;
+#[path = "../examples/overload/simulation.rs"]
+mod simulation;
 
 use admit::Mode;
 
 use crate::report::Report;
 use crate::report::Setup;
-use crate::scene::Scene;
+use crate::simulation::Simulation;
 
 fn overload(mode: Mode, backlog: usize) -> Report {
     let setup = Setup {
@@ -19,7 +19,7 @@
         backlog,
         load: 2.0,
     };
-    Scene::new(setup).run()
+    Simulation::new(setup).run()
 }
 
 #[test]
--- a/crates/admit/tests/test_waiting.rs
+++ b/crates/admit/tests/test_wait_queue.rs
@@ -1,4 +1,4 @@
-//! Who goes next among those that wait for room.
+//! The order in which waiting requests are served.
 
 use admit::WaitQueue;
 use base::prelude::*;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn test_waiting_most_urgent_first_and_newest_among_equals() {
+fn test_wait_queue_most_urgent_first_and_newest_among_equals() {
     let mut waiting = WaitQueue::default();
     for (priority, owner) in [(1, "a"), (0, "b"), (1, "c"), (0, "d")] {
         waiting.push(priority, at(100), owner);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn test_waiting_drops_those_whose_time_is_over() {
+fn test_wait_queue_drops_expired_requests() {
     let mut waiting = WaitQueue::default();
     waiting.push(0, at(50), "short");
     waiting.push(1, at(200), "long");
