--- a/crates/admit/examples/overload/simulation.rs
+++ b/crates/admit/examples/overload/simulation.rs
@@ -94,13 +94,13 @@
                 queue: 1_000,
             };
             let mut admission = Admission::with_mode(settings, setup.mode);
-            let terms = admit::ServiceConfig {
+            let config = admit::ServiceConfig {
                 class: Class::Urgent,
                 concurrency: setup.concurrency,
                 queue: 200,
                 slots: SLOTS_PER_GATEWAY,
             };
-            admission.set_service(&name(), terms);
+            admission.set_service(&name(), config);
             Gateway {
                 admission,
                 service: Service::new(BudgetSettings::percent(10), Moment::ZERO),
@@ -211,7 +211,7 @@
     }
 
     fn start(&mut self, gateway: usize, ticket: Ticket, deadline: Moment) {
-        let terms = attempt::CallContext {
+        let context = attempt::CallContext {
             class: Class::Urgent,
             deadline,
             depth: 0,
@@ -220,7 +220,7 @@
         let backlogged = self.gateways[gateway].admission.is_backlogged(&name());
         let service = &mut self.gateways[gateway].service;
         service.backlogged = backlogged;
-        let mut call = Call::new(terms);
+        let mut call = Call::new(context);
         let actions = call.start(service, self.now);
         let running = Running {
             call,
--- a/crates/admit/tests/test_admission.rs
+++ b/crates/admit/tests/test_admission.rs
@@ -32,13 +32,13 @@
 fn admission(settings: Settings, concurrency: u32, queue: u32) -> Admission {
     let mut admission = Admission::new(settings);
     for class in CLASSES {
-        let terms = ServiceConfig {
+        let config = ServiceConfig {
             class,
             concurrency,
             queue,
             slots: 0,
         };
-        admission.set_service(&name(class), terms);
+        admission.set_service(&name(class), config);
     }
     admission
 }
@@ -142,13 +142,13 @@
     assert_eq!(refusals(&out), [(3, Refused::Removed)]);
     let arrival = admission.arrive(&request(5, Class::Urgent, 900), at(0), &mut out);
     assert_eq!(refused(arrival), Some(Refused::UnknownService));
-    let terms = ServiceConfig {
+    let config = ServiceConfig {
         class: Class::Urgent,
         concurrency: 1,
         queue: 1,
         slots: 0,
     };
-    admission.set_service(&name(Class::Urgent), terms);
+    admission.set_service(&name(Class::Urgent), config);
     let arrival = admission.arrive(&request(6, Class::Urgent, 900), at(0), &mut out);
     assert_eq!(arrival, Arrival::Queued);
     admission.stop();
@@ -164,13 +164,13 @@
         concurrency: 1_000,
         queue: 10,
     });
-    let terms = ServiceConfig {
+    let config = ServiceConfig {
         class: Class::Urgent,
         concurrency: 128,
         queue: 1,
         slots: 60,
     };
-    admission.set_service(&name(Class::Urgent), terms);
+    admission.set_service(&name(Class::Urgent), config);
     let mut out = Vec::new();
     let mut now = 0;
     for round in 0..50 {
--- a/crates/attempt/src/action.rs
+++ b/crates/attempt/src/action.rs
@@ -1,4 +1,4 @@
-//! What a call asks of its adapter.
+//! The actions that a call requests from its driver.
 
 use std::time::Duration;
 
@@ -9,59 +9,61 @@
 use crate::event::AttemptError;
 use crate::event::AttemptNumber;
 
-/// Most actions that one event brings: a failure and the end of two attempts.
-pub const MOST_ACTIONS: usize = 4;
+/// Maximum number of actions in response to one event.
+pub const MAX_ACTIONS: usize = 4;
 
-/// One thing to do.
+/// An action that a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Choose an upstream that this call hasn't tried, and send the request.
+    /// Choose an upstream that this call hasn't tried, and send the request to it.
     Start(Start),
-    /// Drop an attempt; its connection is never used again, unless its answer was whole.
+    /// Cancel an attempt. Its connection may be reused only if its answer was complete.
     Cancel(AttemptNumber),
-    /// Relay this attempt's answer; `marked` adds [`base::header::RETRIED`].
+    /// Relay the answer of an attempt to the caller.
     Relay {
-        /// The attempt.
+        /// The attempt to relay.
         number: AttemptNumber,
-        /// It is a failure, which no level above may retry, or took extra attempts,
-        /// which the levels above pay for from their budgets too.
+        /// Whether to add [`base::header::RETRIED`]: the answer is a failure, which callers
+        /// at higher levels must not retry, or took extra attempts, which they charge to
+        /// their budgets.
         retried: bool,
     },
-    /// Answer the caller at once with a failure.
+    /// Answer the caller with a failure.
     Fail(Failure),
-    /// Break the caller's connection or stream: a part of the body was relayed.
+    /// Abort the caller's connection or stream, because a part of the body was relayed.
     Break(Failure),
 }
 
 /// An attempt to start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Start {
-    /// From 1; goes into [`base::header::ATTEMPT`].
+    /// Value of [`base::header::ATTEMPT`].
     pub number: AttemptNumber,
-    /// When the adapter may drop it by itself: the call's deadline.
+    /// The call's deadline, after which the driver may drop the attempt by itself.
     pub deadline: Moment,
-    /// What goes into [`base::header::DEADLINE`]: less than what remains, so that the
-    /// failure of a level below, with its mark, comes before the deadline here.
+    /// Value of [`base::header::DEADLINE`]. Shorter than the remaining time, so that a failure
+    /// of the level below arrives before the deadline here.
     pub upstream_timeout: Duration,
-    /// What goes into [`base::header::DEPTH`].
+    /// Value of [`base::header::DEPTH`].
     pub depth: u8,
-    /// First byte of the body to ask for; over 0 only after a broken body.
+    /// First byte of the body to request; above 0 only when resuming a truncated body.
     pub offset: u64,
-    /// Runs beside another attempt.
+    /// Whether the attempt is a hedge, started while another is in flight.
     pub hedge: bool,
 }
 
-/// The final answer when it isn't the upstream's own; always carries [`base::header::RETRIED`].
+/// The final answer of a call without an upstream's answer. Always carries
+/// [`base::header::RETRIED`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// `not-run` only when certain over all attempts.
+    /// `not-run` only if this is certain for all attempts.
     pub outcome: Outcome,
-    /// Why the last attempt failed.
+    /// Why the call failed.
     pub reason: Reason,
 }
 
 impl Failure {
-    /// The HTTP status of the answer.
+    /// The HTTP status of the response.
     #[must_use]
     pub fn status(self) -> u16 {
         match (self.outcome, self.reason) {
@@ -72,29 +74,29 @@
     }
 }
 
-/// Why a call failed, for [`base::header::REASON`] and the log.
+/// Why a call failed. Value of [`base::header::REASON`], also logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Reason {
-    /// No upstream could be chosen.
+    /// No upstream is available.
     NoUpstream,
-    /// No upstream took the connection.
+    /// The connection to the upstream failed.
     Connect,
-    /// Every upstream tried refused before any work.
+    /// The upstream shed the request before any work.
     Shed,
     /// No answer to a request that may have been sent.
     NoAnswer,
-    /// The answer was another request's.
+    /// The answer belonged to another request.
     Mismatch,
     /// The deadline passed.
     Deadline,
-    /// The body of the answer was short.
+    /// The body of the answer was truncated.
     ShortBody,
 }
 
 impl From<AttemptError> for Reason {
-    fn from(ending: AttemptError) -> Self {
-        match ending {
+    fn from(err: AttemptError) -> Self {
+        match err {
             AttemptError::NoUpstream => Self::NoUpstream,
             AttemptError::ConnectFailed | AttemptError::NotSent => Self::Connect,
             AttemptError::NoAnswer => Self::NoAnswer,
@@ -105,27 +107,27 @@
     }
 }
 
-/// Up to [`MOST_ACTIONS`] actions, in order, without allocation.
+/// Up to [`MAX_ACTIONS`] actions, in order, without allocation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Actions {
-    items: [Option<Action>; MOST_ACTIONS],
+    items: [Option<Action>; MAX_ACTIONS],
 }
 
 impl Actions {
-    /// None.
+    /// No actions.
     #[must_use]
     pub fn none() -> Self {
         Self::default()
     }
 
-    /// Adds `action` as the last.
+    /// Appends `action`.
     ///
     /// # Panics
     ///
-    /// Panics when there are [`MOST_ACTIONS`] already, which no event brings.
+    /// Panics if there are [`MAX_ACTIONS`] already.
     pub fn push(&mut self, action: Action) {
         let free = self.items.iter_mut().find(|item| item.is_none());
-        *free.expect("an event brings at most MOST_ACTIONS actions") = Some(action);
+        *free.expect("an event leads to at most MAX_ACTIONS actions") = Some(action);
     }
 
     /// The actions in order.
@@ -136,7 +138,7 @@
 
 impl IntoIterator for Actions {
     type Item = Action;
-    type IntoIter = std::iter::Flatten<std::array::IntoIter<Option<Action>, MOST_ACTIONS>>;
+    type IntoIter = std::iter::Flatten<std::array::IntoIter<Option<Action>, MAX_ACTIONS>>;
 
     fn into_iter(self) -> Self::IntoIter {
         self.items.into_iter().flatten()
--- a/crates/attempt/src/budget.rs
+++ b/crates/attempt/src/budget.rs
@@ -1,40 +1,41 @@
 //! The retry budget of one service at one gateway.
 //!
-//! A token bucket: each call earns a share of a token, and each attempt beyond a
-//! call's first, hedges included, spends one. So that a service with few calls can
-//! retry at all, time lends a token while there is none, and calls pay that back
-//! before they earn. So over any stretch from the start the extra attempts are at
-//! most `share * calls`, or what was lent where calls are too few to repay it. A new
-//! budget lends a few retries besides, once.
+//! A token bucket: each call earns a fraction of a token, and each attempt beyond a call's
+//! first one, hedges included, spends a token. So that services with few calls can retry at all,
+//! an empty budget is lent one token per interval, which later calls repay before they earn.
+//! Over any period from the start, the extra attempts are therefore at most
+//! `percent * calls`, or the tokens lent if there are too few calls to repay them. In addition,
+//! a new budget can borrow a few tokens once.
 
 use std::time::Duration;
 
 use base::prelude::*;
 
+// Budgets are counted in millionths of a token.
 const TOKEN: u64 = 1_000_000;
-const FLOOR_PERIOD: Duration = Duration::from_secs(5);
+const LOAN_INTERVAL: Duration = Duration::from_secs(5);
 const BURST: u64 = 10;
-/// Retries that a new budget lends once, so that a process's first calls have some.
-const FIRST_LOAN: u64 = 3;
+// Tokens that a new budget can borrow once, so that the first calls of a process can retry.
+const INITIAL_LOANS: u64 = 3;
 
-/// How a budget fills.
+/// Parameters of a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BudgetSettings {
-    /// Extra attempts as a share of calls, in percent; 0 allows none at all.
+    /// Extra attempts as a share of calls, in percent; 0 disables extra attempts.
     pub percent: u32,
-    /// Time after which one token is lent without calls.
+    /// Interval in which one token is lent, regardless of calls.
     pub floor: Duration,
-    /// Most tokens saved.
+    /// Maximum number of tokens in the budget.
     pub burst: u64,
 }
 
 impl BudgetSettings {
-    /// `percent` of calls, one token in five seconds, ten saved.
+    /// Settings with the given share of calls, one token lent in 5 s, and at most 10 tokens.
     #[must_use]
     pub fn percent(percent: u32) -> Self {
         Self {
             percent,
-            floor: FLOOR_PERIOD,
+            floor: LOAN_INTERVAL,
             burst: BURST,
         }
     }
@@ -43,113 +44,114 @@
 /// Tokens for attempts beyond the first of each call.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    share: BudgetSettings,
-    // Millionths of a token.
+    settings: BudgetSettings,
+    // Available, in millionths of a token.
     level: u64,
-    // What was lent, by the floor or at first, and calls haven't paid back, in the same unit.
-    owed: u64,
-    // Tokens that can still be borrowed; never more, so that only a new process has any.
+    // Lent or borrowed and not yet repaid by calls, in millionths of a token.
+    debt: u64,
+    // Tokens that can still be borrowed; never increases.
     loans: u64,
-    filled: Moment,
+    filled_at: Moment,
 }
 
 impl Budget {
-    /// A budget without a token, so that restarts earn none.
+    /// Creates an empty budget, so that restarts don't earn tokens.
     #[must_use]
-    pub fn new(share: BudgetSettings, now: Moment) -> Self {
+    pub fn new(settings: BudgetSettings, now: Moment) -> Self {
         Self {
-            share,
+            settings,
             level: 0,
-            owed: 0,
-            loans: FIRST_LOAN,
-            filled: now,
+            debt: 0,
+            loans: INITIAL_LOANS,
+            filled_at: now,
         }
     }
 
-    /// Takes another share over; what was saved stays, up to the new burst.
-    pub fn set_settings(&mut self, share: BudgetSettings, now: Moment) {
+    /// Changes the settings. Saved tokens are kept, up to the new maximum.
+    pub fn set_settings(&mut self, settings: BudgetSettings, now: Moment) {
         self.fill(now);
-        self.share = share;
-        self.level = self.level.min(self.cap());
+        self.settings = settings;
+        self.level = self.level.min(self.max_level());
     }
 
-    /// Counts one call.
+    /// Credits the budget for one call.
     pub fn earn(&mut self, now: Moment) {
         self.fill(now);
-        let earned = TOKEN / 100 * u64::from(self.share.percent);
-        let paid = earned.min(self.owed);
-        self.owed -= paid;
-        self.level = (self.level + earned - paid).min(self.cap());
+        let earned = TOKEN / 100 * u64::from(self.settings.percent);
+        let repaid = earned.min(self.debt);
+        self.debt -= repaid;
+        self.level = (self.level + earned - repaid).min(self.max_level());
     }
 
-    /// Takes a token, if there is one.
+    /// Takes a token. Returns false if there is none.
     pub fn spend(&mut self, now: Moment) -> bool {
         self.fill(now);
-        if self.level < TOKEN || self.share.percent == 0 {
+        if self.level < TOKEN || self.settings.percent == 0 {
             return false;
         }
         self.level -= TOKEN;
         true
     }
 
-    /// Takes a token, or borrows one of the first few, for a retry after a failure.
+    /// Takes a token, or borrows one of the initial loans, for a retry after a failure.
     ///
-    /// A hedge borrows nothing: the level next to a failure may borrow for the same
-    /// call, and both would be spent on it.
+    /// Hedges must not borrow: the level next to a failure may borrow for the same call, which
+    /// would then cost two loans.
     pub fn spend_or_borrow(&mut self, now: Moment) -> bool {
         if self.spend(now) {
             return true;
         }
-        if self.loans == 0 || self.share.percent == 0 {
+        if self.loans == 0 || self.settings.percent == 0 {
             return false;
         }
         self.loans -= 1;
-        self.owed = (self.owed + TOKEN).min(self.cap());
+        self.debt = (self.debt + TOKEN).min(self.max_level());
         true
     }
 
-    /// Pays for an attempt that a level below spent on a call of this service.
+    /// Charges an extra attempt that a level below used for a call of this service.
     ///
-    /// Without a token it is owed, and calls pay it back before they earn. So the
-    /// extra attempts of all levels together stay within one level's share and burst.
+    /// If there is no token, the attempt is added to the debt, which calls repay before they
+    /// earn. The extra attempts of all levels together therefore stay within one level's
+    /// budget.
     pub fn charge(&mut self, now: Moment) {
         self.fill(now);
         let paid = self.level.min(TOKEN);
         self.level -= paid;
-        self.owed = (self.owed + TOKEN - paid).min(self.cap());
+        self.debt = (self.debt + TOKEN - paid).min(self.max_level());
     }
 
-    /// How long until the floor alone has lent a token.
+    /// Time until a token is available without further calls.
     #[must_use]
     pub fn wait(&self, now: Moment) -> Duration {
-        if self.share.percent == 0 {
+        if self.settings.percent == 0 {
             return Duration::MAX;
         }
-        let mut ahead = self.clone();
-        ahead.fill(now);
-        let missing = TOKEN.saturating_sub(ahead.level);
-        // Rounded up, so that a wait of this length always suffices.
-        let nanos = u128::from(missing) * self.share.floor.as_nanos() / u128::from(TOKEN) + 1;
+        let mut filled = self.clone();
+        filled.fill(now);
+        let missing = TOKEN.saturating_sub(filled.level);
+        // Rounded up, so that a token is available after the wait.
+        let nanos = u128::from(missing) * self.settings.floor.as_nanos() / u128::from(TOKEN) + 1;
         if missing == 0 {
             return Duration::ZERO;
         }
         Duration::from_nanos(u64::try_from(nanos).unwrap_or(u64::MAX))
     }
 
-    fn cap(&self) -> u64 {
-        self.share.burst * TOKEN
+    fn max_level(&self) -> u64 {
+        self.settings.burst * TOKEN
     }
 
     fn fill(&mut self, now: Moment) {
-        let floor = self.share.floor.as_nanos().max(1);
-        let lent = now.since(self.filled).as_nanos() * u128::from(TOKEN) / floor;
+        let interval = self.settings.floor.as_nanos().max(1);
+        let lent = now.since(self.filled_at).as_nanos() * u128::from(TOKEN) / interval;
         if lent == 0 {
             return;
         }
         let lent = u64::try_from(lent).unwrap_or(u64::MAX);
         let lent = lent.min(TOKEN.saturating_sub(self.level));
         self.level += lent;
-        self.owed = (self.owed + lent).min(self.cap());
-        self.filled = now;
+        self.debt = (self.debt + lent).min(self.max_level());
+        self.filled_at = now;
     }
 }
--- a/crates/attempt/src/call.rs
+++ b/crates/attempt/src/call.rs
@@ -1,11 +1,12 @@
-//! One call, from its first attempt to its answer.
+//! The state machine of one call, from its first attempt to its answer.
 //!
-//! A failed attempt is retried elsewhere if that is safe for the class, if this is
-//! the level next to the failure, if the service's budget has a token, and if the
-//! deadline leaves time; else the call gets its final answer at once. Silence (a
-//! slow or stalled attempt) can't be told from a failure further down, so only the
-//! edge, at depth 0, acts on it: by a hedge for class urgent, by cancelling and
-//! retrying for the other idempotent classes.
+//! A failed attempt is retried if that is safe for the class, if no level below has retried
+//! already, if the service's budget has a token, and if there is time before the deadline.
+//! Otherwise the call gets its final answer at once.
+//!
+//! A slow or stalled attempt may be caused by a failure at any level below, so only the edge
+//! (depth 0) reacts to it: with a hedge for class urgent, with a cancellation and a retry for the
+//! other idempotent classes.
 
 mod answer;
 
@@ -22,33 +23,33 @@
 use crate::service::Service;
 use crate::timing;
 
-/// Most attempts of one call, resumed ones that made progress not counted.
-pub const MOST_ATTEMPTS: u8 = 3;
-/// Most attempts with the resumed ones.
-pub const MOST_NUMBERS: u8 = 32;
+/// Maximum number of attempts of one call. Resumed attempts that made progress don't count.
+pub const MAX_ATTEMPTS: u8 = 3;
+/// Maximum number of attempts of one call, including all resumed ones.
+pub const MAX_ATTEMPTS_WITH_RESUMED: u8 = 32;
 
-/// What a call is bound by.
+/// Parameters of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallContext {
-    /// The class of its service.
+    /// Class of the called service.
     pub class: Class,
-    /// When the caller stops waiting.
+    /// When the caller stops waiting for an answer.
     pub deadline: Moment,
-    /// From [`base::header::DEPTH`], 0 when absent.
+    /// Value of [`base::header::DEPTH`], 0 when absent.
     pub depth: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Live {
+struct Attempt {
     number: AttemptNumber,
-    started: Moment,
+    started_at: Moment,
 }
 
-// Whether the call still acts, and on what.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
+    // Waiting for the head of an answer, or for a retry.
     Trying,
-    // An attempt's answer goes to the caller; it can be resumed or not.
+    // Relaying the answer of an attempt; `resumable` says whether a truncated body is resumed.
     Relaying {
         number: AttemptNumber,
         resumable: bool,
@@ -56,63 +57,63 @@
     Finished,
 }
 
-/// The state of one call.
+/// The state machine of one call.
 #[derive(Clone, Debug)]
 pub struct Call {
-    terms: CallContext,
+    context: CallContext,
     phase: Phase,
-    // The attempts that run; at most two.
-    live: [Option<Live>; 2],
-    // Attempts begun.
-    begun: u8,
-    // Attempts that count against [`MOST_ATTEMPTS`].
-    counted: u8,
-    // An attempt that ended may have run.
-    risky: bool,
-    // When a retry that was decided starts, paid or not.
+    // At most two attempts run at a time.
+    in_flight: [Option<Attempt>; 2],
+    // Number of attempts started.
+    started: u8,
+    // Number of attempts that count towards [`MAX_ATTEMPTS`].
+    counted_attempts: u8,
+    // An attempt that is no longer in flight may have run.
+    may_have_run: bool,
+    // When the scheduled retry starts, and whether its token was already taken.
     retry_at: Option<Moment>,
     paid: bool,
-    // When the attempt that runs is hedged or taken as stalled.
-    second_at: Option<Moment>,
-    // Bytes of the body relayed by broken attempts.
+    // When the attempt in flight is hedged or considered stalled.
+    late_at: Option<Moment>,
+    // Bytes of the body relayed by attempts whose answer was truncated.
     offset: u64,
 }
 
 impl Call {
-    /// A call that has begun no attempt.
+    /// Creates a call without attempts.
     #[must_use]
-    pub fn new(terms: CallContext) -> Self {
+    pub fn new(context: CallContext) -> Self {
         Self {
-            terms,
+            context,
             phase: Phase::Trying,
-            live: [None; 2],
-            begun: 0,
-            counted: 0,
-            risky: false,
+            in_flight: [None; 2],
+            started: 0,
+            counted_attempts: 0,
+            may_have_run: false,
             retry_at: None,
             paid: false,
-            second_at: None,
+            late_at: None,
             offset: 0,
         }
     }
 
-    /// Begins the first attempt and earns the service's budget its share.
+    /// Starts the first attempt and credits the service's budget for the call.
     ///
-    /// Called once, when the call was admitted.
+    /// Has to be called once, when the call is admitted.
     pub fn start(&mut self, service: &mut Service, now: Moment) -> Actions {
         service.budget.earn(now);
         let mut actions = Actions::none();
-        if now >= self.terms.deadline {
+        if now >= self.context.deadline {
             self.fail(Reason::Deadline, &mut actions);
         } else {
-            self.begin(false, service, now, &mut actions);
+            self.start_attempt(false, service, now, &mut actions);
         }
         actions
     }
 
-    /// Takes what happened and says what to do.
+    /// Handles an event and returns the actions to perform.
     ///
-    /// Events of attempts that are over or were cancelled change nothing.
+    /// Events of attempts that have ended or were cancelled are ignored.
     pub fn step(
         &mut self,
         event: Event,
@@ -124,54 +125,54 @@
         if self.is_finished() {
             return actions;
         }
-        let is_late = now >= self.terms.deadline;
+        let is_expired = now >= self.context.deadline;
         match event {
-            Event::Head(..) if is_late => {}
+            Event::Head(..) if is_expired => {}
             Event::Head(number, head) => {
-                self.head(number, head, service, rng, now, &mut actions);
+                self.handle_head(number, head, service, rng, now, &mut actions);
             }
-            Event::Complete(number) => self.whole(number),
-            Event::AttemptFailed(number, ending) => {
-                self.ended(number, ending, service, rng, now, &mut actions);
+            Event::Complete(number) => self.complete(number),
+            Event::AttemptFailed(number, err) => {
+                self.attempt_failed(number, err, service, rng, now, &mut actions);
             }
             Event::Tick => self.tick(service, now, &mut actions),
-            Event::CallerGone => self.leave(&mut actions),
+            Event::CallerGone => self.caller_gone(&mut actions),
         }
-        if is_late && !self.is_finished() {
+        if is_expired && !self.is_finished() {
             self.fail(Reason::Deadline, &mut actions);
         }
         actions
     }
 
-    /// When the call wants [`Event::Tick`] at the latest; none once it is finished.
+    /// When the call needs the next [`Event::Tick`]; none once it is finished.
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Moment> {
         if self.is_finished() {
             return None;
         }
-        [self.retry_at, self.second_at]
+        [self.retry_at, self.late_at]
             .into_iter()
             .flatten()
-            .chain([self.terms.deadline])
+            .chain([self.context.deadline])
             .min()
     }
 
-    /// Whether the final answer was given, or nobody waits for one.
+    /// Whether the final answer was given, or the caller of a cancelled call is gone.
     #[must_use]
     pub fn is_finished(&self) -> bool {
         self.phase == Phase::Finished
     }
 
-    /// Attempts begun so far.
+    /// Number of attempts started so far.
     #[must_use]
     pub fn attempts(&self) -> u8 {
-        self.begun
+        self.started
     }
 
-    /// What is certain of the call so far, running attempts included.
+    /// The outcome if the call ended now. Attempts in flight may have run.
     #[must_use]
     pub fn outcome(&self) -> Outcome {
-        if self.risky || self.live.iter().any(Option::is_some) {
+        if self.may_have_run || self.in_flight.iter().any(Option::is_some) {
             Outcome::Unknown
         } else {
             Outcome::NotRun
@@ -179,43 +180,43 @@
     }
 
     fn tick(&mut self, service: &mut Service, now: Moment, actions: &mut Actions) {
-        if now >= self.terms.deadline {
+        if now >= self.context.deadline {
             return;
         }
-        self.begin_due(service, now, actions);
-        if self.second_at.is_some_and(|at| at <= now) {
-            self.second_at = None;
-            self.second(service, now, actions);
+        self.start_due_retry(service, now, actions);
+        if self.late_at.is_some_and(|at| at <= now) {
+            self.late_at = None;
+            self.handle_late_attempt(service, now, actions);
         }
     }
 
-    // The one attempt that runs is late.
-    fn second(&mut self, service: &mut Service, now: Moment, actions: &mut Actions) {
-        let Some(first) = self.live[0].or(self.live[1]) else {
+    // Hedges or replaces the only attempt in flight, which is late.
+    fn handle_late_attempt(&mut self, service: &mut Service, now: Moment, actions: &mut Actions) {
+        let Some(first) = self.in_flight[0].or(self.in_flight[1]) else {
             return;
         };
-        if self.counted >= MOST_ATTEMPTS || !service.budget.spend(now) {
+        if self.counted_attempts >= MAX_ATTEMPTS || !service.budget.spend(now) {
             return;
         }
-        let hedge = self.terms.class == Class::Urgent;
+        let hedge = self.context.class == Class::Urgent;
         if !hedge {
-            self.risky = true;
-            self.drop_live(first.number);
+            self.may_have_run = true;
+            self.remove_attempt(first.number);
             actions.push(Action::Cancel(first.number));
         }
-        self.begin(hedge, service, now, actions);
+        self.start_attempt(hedge, service, now, actions);
     }
 
-    fn leave(&mut self, actions: &mut Actions) {
-        let may_cut = match self.terms.class {
+    fn caller_gone(&mut self, actions: &mut Actions) {
+        let may_cancel = match self.context.class {
             Class::Urgent | Class::Deferred => true,
             Class::Once => self.outcome() == Outcome::NotRun,
             Class::Durable => false,
         };
-        if !may_cut {
+        if !may_cancel {
             return;
         }
-        self.cancel_all(actions);
+        self.cancel_attempts(actions);
         self.phase = Phase::Finished;
     }
 
@@ -227,42 +228,46 @@
         now: Moment,
         actions: &mut Actions,
     ) {
-        let alone = self.live.iter().all(Option::is_none);
-        if alone && self.plan_retry(service, rng, now) {
-            self.begin_due(service, now, actions);
+        let none_in_flight = self.in_flight.iter().all(Option::is_none);
+        if none_in_flight && self.schedule_retry(service, rng, now) {
+            self.start_due_retry(service, now, actions);
             return;
         }
-        self.fail_if_alone(reason, actions);
+        self.fail_if_none_in_flight(reason, actions);
     }
 
-    // Decides a retry; false when it isn't safe, paid for or in time.
-    fn plan_retry(&mut self, service: &mut Service, rng: &mut impl Rng, now: Moment) -> bool {
-        let safe = self.terms.class.is_idempotent() || !self.risky;
-        if !safe || self.counted >= MOST_ATTEMPTS || self.begun >= MOST_NUMBERS {
+    // Schedules a retry. Returns false if it isn't safe, the budget has no token, or there is no
+    // time before the deadline.
+    fn schedule_retry(&mut self, service: &mut Service, rng: &mut impl Rng, now: Moment) -> bool {
+        let safe = self.context.class.is_idempotent() || !self.may_have_run;
+        if !safe
+            || self.counted_attempts >= MAX_ATTEMPTS
+            || self.started >= MAX_ATTEMPTS_WITH_RESUMED
+        {
             return false;
         }
         let needed = service.latency.quantile(500).unwrap_or_default();
-        if now + needed >= self.terms.deadline {
+        if now + needed >= self.context.deadline {
             return false;
         }
         self.paid = service.budget.spend_or_borrow(now);
-        let pause = if self.paid {
-            timing::backoff(self.counted, rng)
-        } else if self.terms.class == Class::Deferred {
+        let delay = if self.paid {
+            timing::backoff(self.counted_attempts, rng)
+        } else if self.context.class == Class::Deferred {
             service.budget.wait(now)
         } else {
             return false;
         };
-        let fits = now + pause + needed < self.terms.deadline;
+        let fits = now + delay + needed < self.context.deadline;
         if !fits && !self.paid {
             return false;
         }
-        self.retry_at = Some(if fits { now + pause } else { now });
+        self.retry_at = Some(if fits { now + delay } else { now });
         true
     }
 
-    // Starts a decided retry whose moment has come.
-    fn begin_due(&mut self, service: &mut Service, now: Moment, actions: &mut Actions) {
+    // Starts the scheduled retry if its time has come.
+    fn start_due_retry(&mut self, service: &mut Service, now: Moment, actions: &mut Actions) {
         if self.retry_at.is_none_or(|at| at > now) {
             return;
         }
@@ -272,29 +277,35 @@
         }
         self.retry_at = None;
         self.paid = false;
-        self.begin(false, service, now, actions);
+        self.start_attempt(false, service, now, actions);
     }
 
-    fn begin(&mut self, hedge: bool, service: &Service, now: Moment, actions: &mut Actions) {
-        self.begun += 1;
-        self.counted += 1;
-        let live = Live {
-            number: self.begun,
-            started: now,
+    fn start_attempt(
+        &mut self,
+        hedge: bool,
+        service: &Service,
+        now: Moment,
+        actions: &mut Actions,
+    ) {
+        self.started += 1;
+        self.counted_attempts += 1;
+        let attempt = Attempt {
+            number: self.started,
+            started_at: now,
         };
-        let free = self.live.iter_mut().find(|slot| slot.is_none());
-        *free.expect("at most two attempts run") = Some(live);
-        self.second_at = if hedge {
+        let free = self.in_flight.iter_mut().find(|slot| slot.is_none());
+        *free.expect("at most two attempts are in flight") = Some(attempt);
+        self.late_at = if hedge {
             None
         } else {
-            timing::late_at(&self.terms, service, now)
+            timing::late_at(&self.context, service, now)
         };
-        let remains = self.terms.deadline.since(now);
+        let remaining = self.context.deadline.since(now);
         actions.push(Action::Start(Start {
-            number: self.begun,
-            deadline: self.terms.deadline,
-            upstream_timeout: timing::upstream_timeout(remains),
-            depth: self.terms.depth.saturating_add(1),
+            number: self.started,
+            deadline: self.context.deadline,
+            upstream_timeout: timing::upstream_timeout(remaining),
+            depth: self.context.depth.saturating_add(1),
             offset: self.offset,
             hedge,
         }));
@@ -307,50 +318,53 @@
         }
     }
 
-    fn fail_if_alone(&mut self, reason: Reason, actions: &mut Actions) {
-        if self.live.iter().all(Option::is_none) {
+    fn fail_if_none_in_flight(&mut self, reason: Reason, actions: &mut Actions) {
+        if self.in_flight.iter().all(Option::is_none) {
             self.fail(reason, actions);
         }
     }
 
-    // Gives the call up: what runs is cancelled, and the answer goes out now.
+    // Cancels the attempts in flight and gives the final answer.
     fn fail(&mut self, reason: Reason, actions: &mut Actions) {
         let failure = self.failure(reason);
-        let begun = self.offset > 0 || matches!(self.phase, Phase::Relaying { .. });
-        let last = if begun {
+        let relaying = self.offset > 0 || matches!(self.phase, Phase::Relaying { .. });
+        let last = if relaying {
             Action::Break(failure)
         } else {
             Action::Fail(failure)
         };
-        self.finish_with(last, actions);
+        self.finish(last, actions);
     }
 
-    fn finish_with(&mut self, last: Action, actions: &mut Actions) {
-        self.cancel_all(actions);
+    fn finish(&mut self, last: Action, actions: &mut Actions) {
+        self.cancel_attempts(actions);
         self.phase = Phase::Finished;
         actions.push(last);
     }
 
-    fn cancel_all(&mut self, actions: &mut Actions) {
-        for live in self.live.into_iter().flatten() {
-            self.risky = true;
-            actions.push(Action::Cancel(live.number));
+    fn cancel_attempts(&mut self, actions: &mut Actions) {
+        for attempt in self.in_flight.into_iter().flatten() {
+            self.may_have_run = true;
+            actions.push(Action::Cancel(attempt.number));
         }
-        self.live = [None; 2];
+        self.in_flight = [None; 2];
     }
 
-    fn find(&self, number: AttemptNumber) -> Option<Live> {
-        self.live.into_iter().flatten().find(|l| l.number == number)
+    fn find(&self, number: AttemptNumber) -> Option<Attempt> {
+        self.in_flight
+            .into_iter()
+            .flatten()
+            .find(|a| a.number == number)
     }
 
-    fn drop_live(&mut self, number: AttemptNumber) {
-        for slot in &mut self.live {
-            if slot.is_some_and(|live| live.number == number) {
+    fn remove_attempt(&mut self, number: AttemptNumber) {
+        for slot in &mut self.in_flight {
+            if slot.is_some_and(|attempt| attempt.number == number) {
                 *slot = None;
             }
         }
-        if self.live.iter().all(Option::is_none) {
-            self.second_at = None;
+        if self.in_flight.iter().all(Option::is_none) {
+            self.late_at = None;
         }
     }
 }
--- a/crates/attempt/src/call/answer.rs
+++ b/crates/attempt/src/call/answer.rs
@@ -1,4 +1,4 @@
-//! What the answers and ends of a call's attempts lead to.
+//! Handling of the answers and failures of a call's attempts.
 
 use base::prelude::*;
 use rand::Rng;
@@ -17,7 +17,7 @@
 const SERVER_ERROR: u16 = 500;
 
 impl Call {
-    pub(super) fn head(
+    pub(super) fn handle_head(
         &mut self,
         number: AttemptNumber,
         head: Head,
@@ -26,7 +26,7 @@
         now: Moment,
         actions: &mut Actions,
     ) {
-        let Some(live) = self.find(number) else {
+        let Some(attempt) = self.find(number) else {
             return;
         };
         if self.phase != Phase::Trying {
@@ -36,27 +36,28 @@
             service.budget.charge(now);
         }
         if head.shed {
-            self.drop_live(number);
+            self.remove_attempt(number);
             actions.push(Action::Cancel(number));
             self.retry_or_fail(Reason::Shed, service, rng, now, actions);
             return;
         }
         if self.offset > 0 && head.status != PARTIAL {
-            self.risky = true;
-            self.drop_live(number);
+            self.may_have_run = true;
+            self.remove_attempt(number);
             actions.push(Action::Cancel(number));
             self.retry_or_fail(Reason::ShortBody, service, rng, now, actions);
             return;
         }
         if head.status < SERVER_ERROR {
-            service.latency.record(now.since(live.started));
+            service.latency.record(now.since(attempt.started_at));
             self.relay(number, head, actions);
             return;
         }
         self.server_error(number, head, service, rng, now, actions);
     }
 
-    // An upstream's own failure: relayed unless another attempt may do better.
+    // The upstream answered with a server error. It is relayed unless another attempt is in
+    // flight or can be started.
     fn server_error(
         &mut self,
         number: AttemptNumber,
@@ -66,45 +67,45 @@
         now: Moment,
         actions: &mut Actions,
     ) {
-        self.risky = true;
-        let alone = self.live.iter().flatten().count() == 1;
-        if alone && (head.retried || !self.plan_retry(service, rng, now)) {
+        self.may_have_run = true;
+        let only_attempt = self.in_flight.iter().flatten().count() == 1;
+        if only_attempt && (head.retried || !self.schedule_retry(service, rng, now)) {
             self.relay(number, head, actions);
             return;
         }
-        self.drop_live(number);
+        self.remove_attempt(number);
         actions.push(Action::Cancel(number));
-        self.begin_due(service, now, actions);
+        self.start_due_retry(service, now, actions);
     }
 
     fn relay(&mut self, number: AttemptNumber, head: Head, actions: &mut Actions) {
-        for other in self.live.into_iter().flatten() {
+        for other in self.in_flight.into_iter().flatten() {
             if other.number != number {
-                self.risky = true;
-                self.drop_live(other.number);
+                self.may_have_run = true;
+                self.remove_attempt(other.number);
                 actions.push(Action::Cancel(other.number));
             }
         }
-        let resumable = head.resumable && self.terms.class == Class::Deferred;
+        let resumable = head.resumable && self.context.class == Class::Deferred;
         self.phase = Phase::Relaying { number, resumable };
-        self.second_at = None;
+        self.late_at = None;
         actions.push(Action::Relay {
             number,
-            retried: head.retried || self.begun > 1 || head.status >= SERVER_ERROR,
+            retried: head.retried || self.started > 1 || head.status >= SERVER_ERROR,
         });
     }
 
-    pub(super) fn whole(&mut self, number: AttemptNumber) {
+    pub(super) fn complete(&mut self, number: AttemptNumber) {
         if matches!(self.phase, Phase::Relaying { number: n, .. } if n == number) {
-            self.live = [None; 2];
+            self.in_flight = [None; 2];
             self.phase = Phase::Finished;
         }
     }
 
-    pub(super) fn ended(
+    pub(super) fn attempt_failed(
         &mut self,
         number: AttemptNumber,
-        ending: AttemptError,
+        err: AttemptError,
         service: &mut Service,
         rng: &mut impl Rng,
         now: Moment,
@@ -113,45 +114,45 @@
         if self.find(number).is_none() {
             return;
         }
-        self.drop_live(number);
-        self.risky |= ending.may_have_run();
+        self.remove_attempt(number);
+        self.may_have_run |= err.may_have_run();
         if let Phase::Relaying { resumable, .. } = self.phase {
-            self.resume_or_break(ending, resumable, service, rng, now, actions);
+            self.resume_or_break(err, resumable, service, rng, now, actions);
             return;
         }
-        let reason = Reason::from(ending);
-        let useless = ending == AttemptError::NoUpstream;
-        let silent = ending == AttemptError::Timeout && self.terms.depth > 0;
-        if useless || silent {
-            self.fail_if_alone(reason, actions);
+        let reason = Reason::from(err);
+        let no_upstream = err == AttemptError::NoUpstream;
+        let timeout_below_edge = err == AttemptError::Timeout && self.context.depth > 0;
+        if no_upstream || timeout_below_edge {
+            self.fail_if_none_in_flight(reason, actions);
             return;
         }
         self.retry_or_fail(reason, service, rng, now, actions);
     }
 
-    // The body broke while it was relayed.
+    // The body was truncated while it was relayed.
     fn resume_or_break(
         &mut self,
-        ending: AttemptError,
+        err: AttemptError,
         resumable: bool,
         service: &mut Service,
         rng: &mut impl Rng,
         now: Moment,
         actions: &mut Actions,
     ) {
-        self.risky = true;
-        if let (AttemptError::ShortBody(offset), true) = (ending, resumable) {
+        self.may_have_run = true;
+        if let (AttemptError::ShortBody(offset), true) = (err, resumable) {
             if offset > self.offset {
-                self.counted = self.counted.saturating_sub(1);
+                self.counted_attempts = self.counted_attempts.saturating_sub(1);
             }
             self.offset = offset.max(self.offset);
             self.phase = Phase::Trying;
-            // With no byte relayed yet, a whole new answer would be taken for the rest.
-            if self.offset > 0 && self.plan_retry(service, rng, now) {
-                self.begin_due(service, now, actions);
+            // At offset 0, a complete new answer could not be told from the missing rest.
+            if self.offset > 0 && self.schedule_retry(service, rng, now) {
+                self.start_due_retry(service, now, actions);
                 return;
             }
         }
-        self.finish_with(Action::Break(self.failure(Reason::ShortBody)), actions);
+        self.finish(Action::Break(self.failure(Reason::ShortBody)), actions);
     }
 }
--- a/crates/attempt/src/event.rs
+++ b/crates/attempt/src/event.rs
@@ -1,4 +1,4 @@
-//! What a call is told: answers, endings of attempts, time and the caller.
+//! The events that drive a call.
 
 use strum::Display;
 use strum::IntoStaticStr;
@@ -6,52 +6,53 @@
 /// Number of an attempt within its call, from 1.
 pub type AttemptNumber = u8;
 
-/// Something that happened to a call.
+/// An event of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The head of an upstream's answer came.
+    /// The head of an upstream's answer was received.
     Head(AttemptNumber, Head),
-    /// The whole answer was relayed to the caller.
+    /// The answer was relayed to the caller completely.
     Complete(AttemptNumber),
-    /// An attempt ended without a whole answer.
+    /// An attempt ended without a complete answer.
     AttemptFailed(AttemptNumber, AttemptError),
-    /// The moment of [`Call::wake`](crate::call::Call::wake) has come, or any other moment.
+    /// Time has passed, for example until [`Call::next_wakeup`](crate::call::Call::next_wakeup).
     Tick,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// The head of an upstream's answer, as far as the decision needs it.
+/// The head of an upstream's answer, as far as a call's decisions need it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Head {
     /// The HTTP status.
     pub status: u16,
-    /// It carries [`base::header::SHED`]: refused before any work.
+    /// It carries [`base::header::SHED`]: the request was refused before any work.
     pub shed: bool,
-    /// It carries [`base::header::RETRIED`]: extra attempts were spent below, or could
-    /// not be, so that none is spent here.
+    /// It carries [`base::header::RETRIED`]: a level below used extra attempts, or was not able
+    /// to, so that this level must not retry.
     pub retried: bool,
-    /// The rest of a broken body can be asked for: `GET`, `Accept-Ranges: bytes`, strong `ETag`.
+    /// The rest of a truncated body can be requested: `GET`, `Accept-Ranges: bytes`, strong
+    /// `ETag`.
     pub resumable: bool,
 }
 
-/// How an attempt ended without a whole answer.
+/// Why an attempt ended without a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum AttemptError {
-    /// There was no upstream to choose; nothing was sent.
+    /// No upstream was available; nothing was sent.
     NoUpstream,
-    /// No connection; no byte of the request left.
+    /// The connection could not be established; nothing was sent.
     ConnectFailed,
-    /// The connection failed before the first byte of the request left.
+    /// The connection failed before the first byte of the request was sent.
     NotSent,
-    /// Bytes may have left, and no head of an answer came.
+    /// The request may have been sent, and no head of an answer was received.
     NoAnswer,
-    /// The answer was another request's: the echoed request id differs.
+    /// The answer echoes the id of another request.
     Mismatch,
-    /// The adapter's own timeout ended the attempt after bytes may have left.
+    /// The driver's timeout ended the attempt; the request may have been sent.
     Timeout,
-    /// The body broke off after this many bytes since the body's begin, earlier attempts included.
+    /// The body was truncated at this offset, counted from the start of the whole body.
     ShortBody(u64),
 }
 
--- a/crates/attempt/src/latency.rs
+++ b/crates/attempt/src/latency.rs
@@ -1,21 +1,21 @@
-//! Latency quantiles of one service from recent answers, in fixed memory.
+//! Latency quantiles of a service's recent answers, in constant memory.
 //!
-//! A histogram with four buckets an octave, halved as a whole once it holds
-//! [`WINDOW`] answers, so that old answers fade. A quantile is the upper bound of
-//! its bucket: at most 25 % too high.
+//! The latencies are counted in a histogram with four buckets per octave. All counts are halved
+//! once they sum to [`WINDOW`], so that old answers lose weight. A quantile is the upper bound
+//! of its bucket, at most 25 % too high.
 
 use std::time::Duration;
 
-/// Answers after which all counts are halved.
+/// Number of counted answers at which all counts are halved.
 pub const WINDOW: u32 = 2048;
-/// Answers below which no quantile is given.
-pub const FEWEST: u32 = 32;
+/// Minimum number of answers for a quantile.
+pub const MIN_ANSWERS: u32 = 32;
 
 const BUCKETS: usize = 96;
-const SMALLEST_NANOS: u64 = 1 << 14;
+const MIN_NANOS: u64 = 1 << 14;
 const PER_OCTAVE_BITS: u32 = 2;
 
-/// Recent latencies of one service.
+/// Latency histogram of one service.
 #[derive(Clone, Debug)]
 pub struct Latency {
     counts: [u32; BUCKETS],
@@ -32,9 +32,9 @@
 }
 
 impl Latency {
-    /// Counts one answer.
-    pub fn record(&mut self, span: Duration) {
-        let nanos = u64::try_from(span.as_nanos()).unwrap_or(u64::MAX);
+    /// Records the latency of an answer.
+    pub fn record(&mut self, latency: Duration) {
+        let nanos = u64::try_from(latency.as_nanos()).unwrap_or(u64::MAX);
         self.counts[bucket(nanos)] += 1;
         self.total += 1;
         if self.total >= WINDOW {
@@ -42,19 +42,19 @@
         }
     }
 
-    /// The quantile at `permille` thousandths; none with fewer than [`FEWEST`] answers.
+    /// The quantile at `permille` thousandths; none with fewer than [`MIN_ANSWERS`] answers.
     #[must_use]
     pub fn quantile(&self, permille: u32) -> Option<Duration> {
-        if self.total < FEWEST {
+        if self.total < MIN_ANSWERS {
             return None;
         }
         let rank = u64::from(self.total) * u64::from(permille) / 1000;
-        let mut seen = 0_u64;
+        let mut cumulative = 0_u64;
         let found = self.counts.iter().position(|count| {
-            seen += u64::from(*count);
-            seen > rank
+            cumulative += u64::from(*count);
+            cumulative > rank
         });
-        Some(upper(found.unwrap_or(BUCKETS - 1)))
+        Some(upper_bound(found.unwrap_or(BUCKETS - 1)))
     }
 
     fn halve(&mut self) {
@@ -64,17 +64,17 @@
 }
 
 fn bucket(nanos: u64) -> usize {
-    let nanos = nanos.max(SMALLEST_NANOS);
+    let nanos = nanos.max(MIN_NANOS);
     let octave = nanos.ilog2();
-    let within = (nanos >> (octave - PER_OCTAVE_BITS)) & 3;
-    let octaves = usize::try_from(octave - SMALLEST_NANOS.ilog2()).unwrap_or(BUCKETS);
-    let within = usize::try_from(within).unwrap_or(0);
-    (octaves * 4 + within).min(BUCKETS - 1)
+    let quarter = (nanos >> (octave - PER_OCTAVE_BITS)) & 3;
+    let octaves = usize::try_from(octave - MIN_NANOS.ilog2()).unwrap_or(BUCKETS);
+    let quarter = usize::try_from(quarter).unwrap_or(0);
+    (octaves * 4 + quarter).min(BUCKETS - 1)
 }
 
-fn upper(index: usize) -> Duration {
-    let octave = SMALLEST_NANOS << (index / 4);
+fn upper_bound(index: usize) -> Duration {
+    let octave = MIN_NANOS << (index / 4);
     let step = octave / 4;
-    let within = u64::try_from(index % 4).unwrap_or(0);
-    Duration::from_nanos(octave + step * (within + 1))
+    let quarter = u64::try_from(index % 4).unwrap_or(0);
+    Duration::from_nanos(octave + step * (quarter + 1))
 }
--- a/crates/attempt/src/lib.rs
+++ b/crates/attempt/src/lib.rs
@@ -1,14 +1,14 @@
-//! The life of one call's attempts at upstreams, and the retry budget of a service.
+//! Attempts of a call at upstreams: retries, hedges and the retry budget of a service.
 //!
-//! A [`Call`](call::Call) takes [`Event`](event::Event)s and the time, and gives
-//! [`Action`](action::Action)s: start an attempt, cancel one, relay an answer,
-//! finish with a failure. It shares a [`Service`](service::Service) with the other
-//! calls of its service: the retry [`Budget`](budget::Budget) and the observed
-//! [`Latency`](latency::Latency). Nothing here does input or output.
+//! A [`Call`](call::Call) is a state machine without I/O: it takes [`Event`](event::Event)s
+//! and the current time, and returns [`Action`](action::Action)s such as to start or cancel an
+//! attempt, to relay an answer, or to fail. The calls of a service share its
+//! [`Service`](service::Service): the retry [`Budget`](budget::Budget) and the observed
+//! [`Latency`](latency::Latency).
 //!
-//! Three rules hold whatever the schedule of results:
+//! Invariants, for any order of events:
 //!
-//! - `not-run` is said only if no attempt of the call may have run;
+//! - the outcome `not-run` is given only if no attempt of the call may have run;
 //! - a call of class once has at most one attempt that may have run;
 //! - attempts beyond the first of each call stay within the service's budget.
 
--- a/crates/attempt/src/service.rs
+++ b/crates/attempt/src/service.rs
@@ -1,4 +1,4 @@
-//! What the calls of one service share at one gateway.
+//! State that the calls of a service share at one gateway.
 
 use base::prelude::*;
 
@@ -6,23 +6,24 @@
 use crate::budget::BudgetSettings;
 use crate::latency::Latency;
 
-/// Retry budget, observed latency and load of one service.
+/// State that the calls of a service share: retry budget, latency and load.
 #[derive(Clone, Debug)]
 pub struct Service {
     /// Tokens for retries and hedges.
     pub budget: Budget,
-    /// Time from an attempt's start to the head of a successful answer.
+    /// Times from the start of an attempt to the head of a successful answer.
     pub latency: Latency,
-    /// Requests are queued for the service, so that a hedge would only add load; set by the adapter.
+    /// Whether calls of the service are queued, so that hedges would only add load. Set by the
+    /// driver.
     pub backlogged: bool,
 }
 
 impl Service {
-    /// A service without answers yet.
+    /// Creates the state of a service without calls.
     #[must_use]
-    pub fn new(share: BudgetSettings, now: Moment) -> Self {
+    pub fn new(settings: BudgetSettings, now: Moment) -> Self {
         Self {
-            budget: Budget::new(share, now),
+            budget: Budget::new(settings, now),
             latency: Latency::default(),
             backlogged: false,
         }
--- a/crates/attempt/tests/test_call.rs
+++ b/crates/attempt/tests/test_call.rs
@@ -1,4 +1,4 @@
-//! Single calls: what each result leads to, by class, as tables.
+//! Actions of a single call in response to each event, by class.
 
 use std::time::Duration;
 
@@ -17,14 +17,14 @@
 
 const LATENCY: Duration = Duration::from_millis(10);
 
-struct Bench {
+struct Fixture {
     call: Call,
     service: Service,
     rng: StdRng,
     now: Moment,
 }
 
-impl Bench {
+impl Fixture {
     fn new(class: Class, depth: u8) -> Self {
         Self::with_percent(class, depth, 100)
     }
@@ -35,43 +35,43 @@
             service.latency.record(LATENCY);
         }
         let deadline = Moment::from_millis(1_000);
-        let terms = CallContext {
+        let context = CallContext {
             class,
             deadline,
             depth,
         };
-        let mut bench = Self {
-            call: Call::new(terms),
+        let mut fixture = Self {
+            call: Call::new(context),
             service,
             rng: StdRng::seed_from_u64(1),
             now: Moment::ZERO,
         };
-        bench.service.budget.earn(Moment::ZERO);
-        let actions = bench.call.start(&mut bench.service, bench.now);
-        assert_eq!(words(actions), "start-1");
-        bench
+        fixture.service.budget.earn(Moment::ZERO);
+        let actions = fixture.call.start(&mut fixture.service, fixture.now);
+        assert_eq!(format_actions(actions), "start-1");
+        fixture
     }
 
     fn step(&mut self, event: Event) -> String {
         let Self {
             call, service, rng, ..
         } = self;
-        words(call.step(event, service, rng, self.now))
+        format_actions(call.step(event, service, rng, self.now))
     }
 
-    // Moves to the call's next wake and ticks.
-    fn next_wakeup(&mut self) -> String {
-        self.now = self.call.next_wakeup().expect("a call that isn't over");
+    // Advances the time to the call's next wakeup and ticks.
+    fn advance(&mut self) -> String {
+        self.now = self.call.next_wakeup().expect("the call is not finished");
         self.step(Event::Tick)
     }
 }
 
-fn words(actions: Actions) -> String {
-    let words: Vec<String> = actions.iter().map(word).collect();
-    words.join(" ")
+fn format_actions(actions: Actions) -> String {
+    let format_actions: Vec<String> = actions.iter().map(format_action).collect();
+    format_actions.join(" ")
 }
 
-fn word(action: Action) -> String {
+fn format_action(action: Action) -> String {
     match action {
         Action::Start(start) if start.hedge => format!("hedge-{}", start.number),
         Action::Start(start) if start.offset > 0 => {
@@ -129,14 +129,14 @@
         (Urgent, 0, Event::Head(1, head(200)), "relay-1"),
         (Once, 0, Event::Head(1, head(200)), "relay-1"),
         (Urgent, 0, Event::Head(1, head(404)), "relay-1"),
-        // Refused before work, or nothing sent: safe for every class.
+        // Refused before any work, or nothing sent: safe for every class.
         (Urgent, 0, Event::Head(1, shed()), "cancel-1 start-2"),
         (Once, 0, Event::Head(1, shed()), "cancel-1 start-2"),
         (Once, 3, Event::Head(1, shed()), "cancel-1 start-2"),
         (Once, 0, ended(AttemptError::ConnectFailed), "start-2"),
         (Once, 0, ended(AttemptError::NotSent), "start-2"),
         (Durable, 0, ended(AttemptError::ConnectFailed), "start-2"),
-        // It may have run: only an idempotent request is sent again.
+        // The request may have run: only idempotent classes retry.
         (
             Once,
             0,
@@ -171,29 +171,29 @@
         (Durable, 0, Event::Head(1, retried()), "relay-1-marked"),
         (Urgent, 6, Event::Head(1, retried()), "relay-1-marked"),
         (Urgent, 6, ended(AttemptError::NoAnswer), "start-2"),
-        // Silence may come from further down: only the edge acts on it.
+        // A timeout may be caused further down: only the edge retries.
         (
             Urgent,
             1,
             ended(AttemptError::Timeout),
             "fail-unknown-deadline",
         ),
-        // There is nowhere else to go.
+        // No upstream is left.
         (
             Durable,
             0,
             ended(AttemptError::NoUpstream),
             "fail-not-run-no-upstream",
         ),
-        // The caller went away.
+        // The caller disconnected.
         (Urgent, 0, Event::CallerGone, "cancel-1"),
         (Deferred, 0, Event::CallerGone, "cancel-1"),
         (Once, 0, Event::CallerGone, ""),
         (Durable, 0, Event::CallerGone, ""),
     ];
     for (class, depth, event, expected) in cases {
-        let mut bench = Bench::new(class, depth);
-        assert_eq!(bench.step(event), expected, "{class} {depth} {event:?}");
+        let mut fixture = Fixture::new(class, depth);
+        assert_eq!(fixture.step(event), expected, "{class} {depth} {event:?}");
     }
 }
 
@@ -201,7 +201,7 @@
 fn test_call_outcome_over_attempts() {
     let ended = |number, ending| Event::AttemptFailed(number, ending);
     let cases = [
-        // An earlier unknown attempt makes the whole unknown.
+        // If one attempt may have run, the outcome of the call is unknown.
         (
             Class::Durable,
             ended(1, AttemptError::NoAnswer),
@@ -228,64 +228,64 @@
         ),
     ];
     for (class, first, retry, last) in cases {
-        let mut bench = Bench::new(class, 0);
-        assert_eq!(bench.step(first), retry, "{class} {first:?}");
+        let mut fixture = Fixture::new(class, 0);
+        assert_eq!(fixture.step(first), retry, "{class} {first:?}");
         assert_eq!(
-            bench.step(ended(2, AttemptError::NoUpstream)),
+            fixture.step(ended(2, AttemptError::NoUpstream)),
             last,
             "{class} {first:?}"
         );
-        assert!(bench.call.is_finished());
+        assert!(fixture.call.is_finished());
     }
 }
 
 #[test]
-fn test_call_hedge_and_losers() {
-    let mut bench = Bench::new(Class::Urgent, 0);
-    assert_eq!(bench.next_wakeup(), "hedge-2");
-    assert!(bench.now.since(Moment::ZERO) < LATENCY * 2);
+fn test_call_hedge_and_cancelled_attempt() {
+    let mut fixture = Fixture::new(Class::Urgent, 0);
+    assert_eq!(fixture.advance(), "hedge-2");
+    assert!(fixture.now.since(Moment::ZERO) < LATENCY * 2);
     assert_eq!(
-        bench.step(Event::Head(2, head(200))),
+        fixture.step(Event::Head(2, head(200))),
         "cancel-1 relay-2-marked"
     );
-    // A late answer of the loser changes nothing.
-    assert_eq!(bench.step(Event::Head(1, head(200))), "");
-    assert_eq!(bench.step(Event::Complete(2)), "");
-    assert!(bench.call.is_finished());
+    // A late answer of the cancelled attempt is ignored.
+    assert_eq!(fixture.step(Event::Head(1, head(200))), "");
+    assert_eq!(fixture.step(Event::Complete(2)), "");
+    assert!(fixture.call.is_finished());
 
-    // A failure of one waits for the other.
-    let mut bench = Bench::new(Class::Urgent, 0);
-    bench.next_wakeup();
-    assert_eq!(bench.step(Event::Head(1, head(500))), "cancel-1");
-    assert_eq!(bench.step(Event::Head(2, head(200))), "relay-2-marked");
+    // After the failure of one attempt, the call waits for the other.
+    let mut fixture = Fixture::new(Class::Urgent, 0);
+    fixture.advance();
+    assert_eq!(fixture.step(Event::Head(1, head(500))), "cancel-1");
+    assert_eq!(fixture.step(Event::Head(2, head(200))), "relay-2-marked");
 
     // No hedge below the edge, for other classes, or under load.
-    let mut bench = Bench::new(Class::Urgent, 1);
-    assert_eq!(bench.next_wakeup(), "cancel-1 fail-unknown-deadline");
-    let mut bench = Bench::new(Class::Once, 0);
-    assert_eq!(bench.next_wakeup(), "cancel-1 fail-unknown-deadline");
-    let mut bench = Bench::new(Class::Durable, 0);
-    assert_eq!(bench.next_wakeup(), "cancel-1 start-2");
-    assert!(bench.now.since(Moment::ZERO) > LATENCY * 3);
+    let mut fixture = Fixture::new(Class::Urgent, 1);
+    assert_eq!(fixture.advance(), "cancel-1 fail-unknown-deadline");
+    let mut fixture = Fixture::new(Class::Once, 0);
+    assert_eq!(fixture.advance(), "cancel-1 fail-unknown-deadline");
+    let mut fixture = Fixture::new(Class::Durable, 0);
+    assert_eq!(fixture.advance(), "cancel-1 start-2");
+    assert!(fixture.now.since(Moment::ZERO) > LATENCY * 3);
 }
 
 #[test]
 fn test_call_budget_empty() {
     for class in [Class::Urgent, Class::Once, Class::Durable, Class::Deferred] {
-        let mut bench = Bench::with_percent(class, 0, 0);
+        let mut fixture = Fixture::with_percent(class, 0, 0);
         let ended = Event::AttemptFailed(1, AttemptError::ConnectFailed);
-        assert_eq!(bench.step(ended), "fail-not-run-connect", "{class}");
+        assert_eq!(fixture.step(ended), "fail-not-run-connect", "{class}");
     }
-    // Without a token a late attempt goes on.
-    let mut bench = Bench::with_percent(Class::Durable, 0, 0);
-    assert_eq!(bench.next_wakeup(), "");
-    assert_eq!(bench.step(Event::Head(1, head(200))), "relay-1");
+    // Without a token, a late attempt continues.
+    let mut fixture = Fixture::with_percent(Class::Durable, 0, 0);
+    assert_eq!(fixture.advance(), "");
+    assert_eq!(fixture.step(Event::Head(1, head(200))), "relay-1");
 }
 
-/// A gateway that has just started can still retry what may be retried: time has
-/// lent its budget a few tokens, which its calls pay back.
+/// Guards against a new gateway that can't retry because its budget is empty. It borrows a few
+/// tokens, which later calls repay.
 #[test]
-fn test_call_young_gateway_retries() {
+fn test_call_new_gateway_retries() {
     let mut service = Service::new(BudgetSettings::percent(10), Moment::ZERO);
     let mut rng = StdRng::seed_from_u64(1);
     let mut extra = 0;
@@ -298,7 +298,7 @@
         });
         call.start(&mut service, now);
         let refused = Event::AttemptFailed(1, AttemptError::ConnectFailed);
-        let retried = words(call.step(refused, &mut service, &mut rng, now));
+        let retried = format_actions(call.step(refused, &mut service, &mut rng, now));
         let again = retried == "start-2";
         extra += u32::from(again);
         assert!(
@@ -311,55 +311,55 @@
 
 #[test]
 fn test_call_no_time_left() {
-    // A retry that can't be answered in time is given up at once, not at the deadline.
-    let mut bench = Bench::new(Class::Durable, 0);
-    bench.now = Moment::from_millis(995);
+    // A retry that can't be answered in time fails now instead of at the deadline.
+    let mut fixture = Fixture::new(Class::Durable, 0);
+    fixture.now = Moment::from_millis(995);
     let ended = Event::AttemptFailed(1, AttemptError::ConnectFailed);
-    assert_eq!(bench.step(ended), "fail-not-run-connect");
+    assert_eq!(fixture.step(ended), "fail-not-run-connect");
 }
 
 #[test]
 fn test_call_deferred_resumes() {
-    let mut bench = Bench::new(Class::Deferred, 0);
-    assert_eq!(bench.step(Event::Head(1, resumable())), "relay-1");
+    let mut fixture = Fixture::new(Class::Deferred, 0);
+    assert_eq!(fixture.step(Event::Head(1, resumable())), "relay-1");
     let short = Event::AttemptFailed(1, AttemptError::ShortBody(700));
-    assert_eq!(bench.step(short), "resume-2@700");
+    assert_eq!(fixture.step(short), "resume-2@700");
     let part = Head {
         status: 206,
         ..resumable()
     };
-    assert_eq!(bench.step(Event::Head(2, part)), "relay-2-marked");
-    assert_eq!(bench.step(Event::Complete(2)), "");
-    assert!(bench.call.is_finished());
+    assert_eq!(fixture.step(Event::Head(2, part)), "relay-2-marked");
+    assert_eq!(fixture.step(Event::Complete(2)), "");
+    assert!(fixture.call.is_finished());
 
-    // A whole new answer is never appended to the part that was relayed.
-    let mut bench = Bench::new(Class::Deferred, 0);
-    bench.step(Event::Head(1, resumable()));
-    bench.step(short);
+    // A complete new answer is never appended to a relayed part.
+    let mut fixture = Fixture::new(Class::Deferred, 0);
+    fixture.step(Event::Head(1, resumable()));
+    fixture.step(short);
     assert_eq!(
-        bench.step(Event::Head(2, resumable())),
+        fixture.step(Event::Head(2, resumable())),
         "cancel-2 resume-3@700"
     );
     let ended = Event::AttemptFailed(3, AttemptError::NoUpstream);
-    assert_eq!(bench.step(ended), "break-unknown-no-upstream");
+    assert_eq!(fixture.step(ended), "break-unknown-no-upstream");
 
-    // What can't be resumed is broken off visibly.
+    // An answer that can't be resumed breaks the caller's connection.
     for class in [Class::Urgent, Class::Once, Class::Durable] {
-        let mut bench = Bench::new(class, 0);
-        bench.step(Event::Head(1, resumable()));
-        assert_eq!(bench.step(short), "break-unknown-short-body", "{class}");
+        let mut fixture = Fixture::new(class, 0);
+        fixture.step(Event::Head(1, resumable()));
+        assert_eq!(fixture.step(short), "break-unknown-short-body", "{class}");
     }
 }
 
 #[test]
-fn test_call_told_deadline_shrinks() {
-    let terms = CallContext {
+fn test_call_upstream_timeout_shrinks() {
+    let context = CallContext {
         class: Class::Urgent,
         deadline: Moment::from_millis(160),
         depth: 2,
     };
     let mut service = Service::new(BudgetSettings::percent(10), Moment::ZERO);
-    let actions = Call::new(terms).start(&mut service, Moment::ZERO);
+    let actions = Call::new(context).start(&mut service, Moment::ZERO);
     let Some(Action::Start(start)) = actions.iter().next() else {
         panic!("no start in {actions:?}");
     };
--- a/crates/attempt/tests/test_levels.rs
+++ b/crates/attempt/tests/test_levels.rs
@@ -1,4 +1,5 @@
-//! Seven levels of calls, each through a gateway, when the bottom fails.
+//! Guards against retry amplification over seven levels of calls, each through a gateway, when
+//! the bottom level fails.
 
 use std::time::Duration;
 
@@ -17,7 +18,7 @@
 
 const LEVELS: u8 = 7;
 const CALLS: u32 = 2_000;
-const PERCENT: u32 = 10;
+const RETRY_PERCENT: u32 = 10;
 const DEADLINE: Duration = Duration::from_millis(200);
 const WORK: Duration = Duration::from_millis(1);
 
@@ -33,21 +34,21 @@
     SomeSlow,
 }
 
-// What a level's attempt leads to, and when; silence never comes.
+// The event that ends an attempt and its time; none if there is no answer.
 type Result = Option<(Moment, Event)>;
 
-struct Tower {
+struct Stack {
     bottom: Bottom,
     class: Class,
     services: Vec<Service>,
     rng: StdRng,
-    // Attempts that reached the bottom.
+    // Attempts that reached the bottom level.
     reached: u32,
 }
 
-impl Tower {
+impl Stack {
     fn new(bottom: Bottom, class: Class) -> Self {
-        let mut service = Service::new(BudgetSettings::percent(PERCENT), Moment::ZERO);
+        let mut service = Service::new(BudgetSettings::percent(RETRY_PERCENT), Moment::ZERO);
         for _ in 0..100 {
             service.latency.record(WORK * 5);
         }
@@ -60,14 +61,14 @@
         }
     }
 
-    // One call of a level's gateway: what it answers, and when.
+    // Runs one call at the gateway of a level; returns the time and the head of its answer.
     fn call(&mut self, depth: u8, upstream_timeout: Duration, start: Moment) -> (Moment, Head) {
-        let terms = CallContext {
+        let context = CallContext {
             class: self.class,
             deadline: start + upstream_timeout,
             depth,
         };
-        let mut call = Call::new(terms);
+        let mut call = Call::new(context);
         let mut now = start;
         let mut pending: Vec<(u8, Result)> = Vec::new();
         let mut actions = call.start(&mut self.services[usize::from(depth)], now);
@@ -86,7 +87,7 @@
             }
             let next = pending.iter().filter_map(|(_, result)| *result);
             let next = next.min_by_key(|(at, _)| *at);
-            let next_wakeup = call.next_wakeup().expect("a call that isn't over");
+            let next_wakeup = call.next_wakeup().expect("the call is not finished");
             let event = match next {
                 Some((at, event)) if at <= next_wakeup => {
                     now = at;
@@ -106,7 +107,8 @@
         }
     }
 
-    // An instance of the level below takes the request, and calls on unless it is the bottom.
+    // Runs an attempt at an instance of the level below, which calls the next level unless it is
+    // the bottom.
     fn attempt(
         &mut self,
         number: u8,
@@ -115,7 +117,7 @@
         now: Moment,
     ) -> Result {
         if depth < LEVELS {
-            // The instance passes the depth on, and the mark back up.
+            // The instance passes the depth down and the retried header back up.
             let (at, head) = self.call(depth, upstream_timeout, now + WORK);
             return Some((at, Event::Head(number, head)));
         }
@@ -165,9 +167,9 @@
     }
 }
 
-// Where the bottom mostly succeeds, the level above it may spend tokens that it saved
-// after the edge has spent its own; the edge pays for those later.
-fn saved(bottom: Bottom) -> u32 {
+// If the bottom mostly succeeds, the level above it may spend saved tokens after the edge has
+// spent its own; they are charged to the edge later.
+fn max_saved_tokens(bottom: Bottom) -> u32 {
     match bottom {
         Bottom::SomeErrors | Bottom::SomeSlow => 10,
         _ => 0,
@@ -187,15 +189,15 @@
     ];
     for bottom in bottoms {
         for class in [Class::Urgent, Class::Once, Class::Durable, Class::Deferred] {
-            let mut tower = Tower::new(bottom, class);
+            let mut stack = Stack::new(bottom, class);
             for call in 0..CALLS {
                 let start = Moment::from_millis(u64::from(call) * 2);
-                tower.call(0, DEADLINE, start);
+                stack.call(0, DEADLINE, start);
             }
-            let most = CALLS * (100 + PERCENT) / 100 + saved(bottom);
-            let reached = tower.reached;
+            let max = CALLS * (100 + RETRY_PERCENT) / 100 + max_saved_tokens(bottom);
+            let reached = stack.reached;
             assert!(reached >= CALLS, "{bottom:?} {class}: {reached}");
-            assert!(reached <= most, "{bottom:?} {class}: {reached} of {most}");
+            assert!(reached <= max, "{bottom:?} {class}: {reached} of {max}");
         }
     }
 }
--- a/crates/attempt/tests/test_safety.rs
+++ b/crates/attempt/tests/test_safety.rs
@@ -1,4 +1,4 @@
-//! What holds over random schedules of results, counted by the test itself.
+//! Safety invariants of calls over random schedules of events, checked against a model.
 
 use std::time::Duration;
 
@@ -18,33 +18,33 @@
 use rand::rngs::StdRng;
 
 const CALLS: u32 = 300;
-const PERCENT: u32 = 20;
+const RETRY_PERCENT: u32 = 20;
 const CLASSES: [Class; 4] = [Class::Urgent, Class::Once, Class::Durable, Class::Deferred];
 
-// What the test knows of one call.
+// The expected state of one call.
 #[derive(Default)]
-struct Truth {
-    // Numbers that run.
-    live: Vec<u8>,
-    // Attempts that may have run, those that run left out.
+struct Model {
+    // Numbers of the attempts in flight.
+    in_flight: Vec<u8>,
+    // Attempts no longer in flight that may have run.
     ran: u32,
     started: u32,
     relayed: Vec<u8>,
     finals: u32,
 }
 
-struct World {
+struct Harness {
     rng: StdRng,
     service: Service,
     now: Moment,
     started: u32,
 }
 
-impl World {
+impl Harness {
     fn new(seed: u64) -> Self {
         Self {
             rng: StdRng::seed_from_u64(seed),
-            service: Service::new(BudgetSettings::percent(PERCENT), Moment::ZERO),
+            service: Service::new(BudgetSettings::percent(RETRY_PERCENT), Moment::ZERO),
             now: Moment::ZERO,
             started: 0,
         }
@@ -53,40 +53,40 @@
     fn call(&mut self) {
         let class = CLASSES[self.rng.random_range(0..4)];
         let span = Duration::from_millis(self.rng.random_range(1..300));
-        let terms = CallContext {
+        let context = CallContext {
             class,
             deadline: self.now + span,
             depth: self.rng.random_range(0..3),
         };
-        let mut call = Call::new(terms);
-        let mut truth = Truth::default();
+        let mut call = Call::new(context);
+        let mut model = Model::default();
         let actions = call.start(&mut self.service, self.now);
-        truth.take(class, actions);
-        truth.check(class, &call, terms.deadline);
+        model.apply(class, actions);
+        model.check(class, &call, context.deadline);
         while !call.is_finished() {
-            let event = self.event(&truth, &call);
+            let event = self.event(&model, &call);
             let actions = call.step(event, &mut self.service, &mut self.rng, self.now);
-            // The test counts what the event says before what the call makes of it.
-            truth.note(event);
-            truth.take(class, actions);
-            truth.check(class, &call, terms.deadline);
-            assert!(call.is_finished() || self.now < terms.deadline);
+            // The model takes the event before the resulting actions.
+            model.record_event(event);
+            model.apply(class, actions);
+            model.check(class, &call, context.deadline);
+            assert!(call.is_finished() || self.now < context.deadline);
         }
-        self.started += truth.started;
+        self.started += model.started;
     }
 
-    // A result of an attempt, a late one of another, or the next wake.
-    fn event(&mut self, truth: &Truth, call: &Call) -> Event {
-        let number = match truth.live.as_slice() {
-            [] => return self.sleep(call),
-            live => live[self.rng.random_range(0..live.len())],
+    // An event of an attempt in flight, a stray one, or a tick at the next wakeup.
+    fn event(&mut self, model: &Model, call: &Call) -> Event {
+        let number = match model.in_flight.as_slice() {
+            [] => return self.advance(call),
+            in_flight => in_flight[self.rng.random_range(0..in_flight.len())],
         };
         let step = Duration::from_micros(self.rng.random_range(0..20_000));
-        let next_wakeup = call.next_wakeup().expect("a call that isn't over");
+        let next_wakeup = call.next_wakeup().expect("the call is not finished");
         self.now = (self.now + step).min(next_wakeup);
         match self.rng.random_range(0..20) {
-            0..4 => self.sleep(call),
-            4..9 => Event::AttemptFailed(number, self.ending()),
+            0..4 => self.advance(call),
+            4..9 => Event::AttemptFailed(number, self.error()),
             9..15 => Event::Head(number, self.head()),
             15..18 => Event::Complete(number),
             18 => Event::CallerGone,
@@ -94,14 +94,14 @@
         }
     }
 
-    fn sleep(&mut self, call: &Call) -> Event {
-        self.now = call.next_wakeup().expect("a call that isn't over");
+    fn advance(&mut self, call: &Call) -> Event {
+        self.now = call.next_wakeup().expect("the call is not finished");
         Event::Tick
     }
 
-    fn ending(&mut self) -> AttemptError {
+    fn error(&mut self) -> AttemptError {
         let offset = self.rng.random_range(0..1_000);
-        let endings = [
+        let errors = [
             AttemptError::NoUpstream,
             AttemptError::ConnectFailed,
             AttemptError::NotSent,
@@ -110,7 +110,7 @@
             AttemptError::Timeout,
             AttemptError::ShortBody(offset),
         ];
-        endings[self.rng.random_range(0..endings.len())]
+        errors[self.rng.random_range(0..errors.len())]
     }
 
     fn head(&mut self) -> Head {
@@ -124,17 +124,18 @@
     }
 }
 
-impl Truth {
-    // An attempt that ends: only three endings and a shed before the relay prove that it never ran.
-    fn note(&mut self, event: Event) {
+impl Model {
+    // Records the end of an attempt. Only three errors, and a shed before the answer is relayed,
+    // prove that it never ran.
+    fn record_event(&mut self, event: Event) {
         let (number, ran) = match event {
-            Event::AttemptFailed(number, ending) => {
+            Event::AttemptFailed(number, error) => {
                 let safe = [
                     AttemptError::NoUpstream,
                     AttemptError::ConnectFailed,
                     AttemptError::NotSent,
                 ];
-                (number, !safe.contains(&ending))
+                (number, !safe.contains(&error))
             }
             Event::Head(number, head) if head.shed && !self.relayed.contains(&number) => {
                 (number, false)
@@ -142,32 +143,32 @@
             Event::Complete(number) if self.relayed.contains(&number) => (number, true),
             _ => return,
         };
-        if let Some(at) = self.live.iter().position(|live| *live == number) {
-            self.live.remove(at);
+        if let Some(at) = self.in_flight.iter().position(|n| *n == number) {
+            self.in_flight.remove(at);
             self.ran += u32::from(ran);
         }
     }
 
-    fn take(&mut self, class: Class, actions: Actions) {
+    fn apply(&mut self, class: Class, actions: Actions) {
         for action in actions {
             assert_eq!(self.finals, 0, "{action:?} after the final answer");
             match action {
                 Action::Start(start) => {
                     self.started += 1;
-                    self.live.push(start.number);
+                    self.in_flight.push(start.number);
                     assert!(!start.hedge || class == Class::Urgent);
-                    assert!(start.hedge || self.live.len() == 1);
+                    assert!(start.hedge || self.in_flight.len() == 1);
                 }
                 Action::Cancel(number) => {
-                    let before = self.live.len();
-                    self.live.retain(|live| *live != number);
-                    self.ran += u32::try_from(before - self.live.len()).unwrap();
+                    let before = self.in_flight.len();
+                    self.in_flight.retain(|n| *n != number);
+                    self.ran += u32::try_from(before - self.in_flight.len()).unwrap();
                 }
                 Action::Relay { number, .. } => self.relayed.push(number),
                 Action::Fail(failure) => {
                     self.finals += 1;
                     assert!(self.relayed.is_empty(), "a second head");
-                    let ran = self.ran > 0 || !self.live.is_empty();
+                    let ran = self.ran > 0 || !self.in_flight.is_empty();
                     assert!(
                         !ran || failure.outcome == Outcome::Unknown,
                         "not-run, but it ran"
@@ -182,31 +183,37 @@
     }
 
     fn check(&self, class: Class, call: &Call, deadline: Moment) {
-        let running = u32::try_from(self.live.len()).unwrap();
+        let running = u32::try_from(self.in_flight.len()).unwrap();
         assert!(running <= 2);
         if class == Class::Once {
             assert!(self.ran + running <= 1, "a second run of class once");
         }
         if call.is_finished() {
-            assert!(self.live.is_empty(), "an attempt outlives the call");
+            assert!(
+                self.in_flight.is_empty(),
+                "an attempt in flight after the call finished"
+            );
         } else if running == 0 {
-            // Given up means answered: without an attempt there is a retry ahead.
-            assert!(call.next_wakeup() < Some(deadline), "an answer held back");
+            // Without an attempt in flight, an unfinished call has a retry scheduled.
+            assert!(
+                call.next_wakeup() < Some(deadline),
+                "no retry before the deadline"
+            );
         }
     }
 }
 
 fn schedule(seed: u64) -> bool {
-    let mut world = World::new(seed);
+    let mut harness = Harness::new(seed);
     for _ in 0..CALLS {
-        world.call();
+        harness.call();
     }
-    let floor = world.now.since(Moment::ZERO).as_secs_f64() / 5.0;
-    let most = f64::from(CALLS * (100 + PERCENT)) / 100.0 + floor + 1.0;
+    let floor = harness.now.since(Moment::ZERO).as_secs_f64() / 5.0;
+    let max = f64::from(CALLS * (100 + RETRY_PERCENT)) / 100.0 + floor + 1.0;
     assert!(
-        f64::from(world.started) <= most,
-        "{} > {most}",
-        world.started
+        f64::from(harness.started) <= max,
+        "{} > {max}",
+        harness.started
     );
     true
 }
