--- a/crates/attempt/src/call.rs
+++ b/crates/attempt/src/call.rs
@@ -236,8 +236,8 @@
         self.fail_if_none_in_flight(reason, actions);
     }
 
-    // Schedules a retry. Returns false if it isn't safe, the budget has no token, or there is no
-    // time before the deadline.
+    // Schedules a retry. Returns false if it isn't safe, there is no time before the deadline, or
+    // the budget has no token. Class deferred waits for a token if the deadline allows it.
     fn schedule_retry(&mut self, service: &mut Service, rng: &mut impl Rng, now: Moment) -> bool {
         let safe = self.context.class.is_idempotent() || !self.may_have_run;
         if !safe
--- a/crates/measure/src/allowance.rs
+++ b/crates/measure/src/allowance.rs
@@ -1,48 +1,46 @@
-//! One process's share of the probes that a service's instances may get, spent
-//! on whichever instance is worth asking.
+//! One process's share of the probe budget of a service, over all of its instances.
 //!
-//! The share is the budget of one instance a second, times the instances, parted
-//! equally among the processes. It starts empty and saves up a second of it, so
-//! that in `T` seconds all processes together send each instance at most
-//! `budget * (T + 1)` on average.
+//! The rate is the budget of one instance, times the number of instances, divided by the number
+//! of processes. The allowance starts empty and saves up to one second of its rate, so that in
+//! `T` seconds all processes together send each instance at max_saved `budget * (T + 1)` probes on
+//! average.
 
 use std::time::Duration;
 
 use base::prelude::*;
 
-/// What is saved up at most.
-const SAVED: Duration = Duration::from_secs(1);
+// Maximum time for which unused probes are saved.
+const MAX_SAVED: Duration = Duration::from_secs(1);
 
-/// Probes that may be sent.
+/// A rate limit on probes.
 #[derive(Clone, Debug)]
 pub struct Allowance {
-    /// Probes a second.
+    // Probes per second.
     rate: f64,
     saved: f64,
-    filled: Moment,
+    filled_at: Moment,
 }
 
 impl Allowance {
-    /// Nothing yet.
+    /// Creates an empty allowance with a rate of zero.
     #[must_use]
     pub fn new(now: Moment) -> Self {
         Self {
             rate: 0.0,
             saved: 0.0,
-            filled: now,
+            filled_at: now,
         }
     }
 
-    /// Takes another share over: `budget` probes of one instance a second,
-    /// `instances` of them, and `processes` that share.
+    /// Changes the rate. `budget` is the maximum number of probes per second and instance.
     pub fn set(&mut self, now: Moment, budget: u32, instances: usize, processes: u32) {
         self.fill(now);
         let instances = u32::try_from(instances).unwrap_or(u32::MAX);
         self.rate = f64::from(budget) * f64::from(instances) / f64::from(processes.max(1));
-        self.saved = self.saved.min(self.most());
+        self.saved = self.saved.min(self.max_saved());
     }
 
-    /// Takes up to `count` probes, and gives how many may be sent.
+    /// Takes up to `count` probes and returns how many may be sent now.
     pub fn take(&mut self, now: Moment, count: usize) -> usize {
         self.fill(now);
         let mut taken = 0;
@@ -53,13 +51,13 @@
         taken
     }
 
-    fn most(&self) -> f64 {
-        (self.rate * SAVED.as_secs_f64()).max(1.0)
+    fn max_saved(&self) -> f64 {
+        (self.rate * MAX_SAVED.as_secs_f64()).max(1.0)
     }
 
     fn fill(&mut self, now: Moment) {
-        self.saved += now.since(self.filled).as_secs_f64() * self.rate;
-        self.saved = self.saved.min(self.most());
-        self.filled = now;
+        self.saved += now.since(self.filled_at).as_secs_f64() * self.rate;
+        self.saved = self.saved.min(self.max_saved());
+        self.filled_at = now;
     }
 }
--- a/crates/measure/src/bucket.rs
+++ b/crates/measure/src/bucket.rs
@@ -6,62 +6,63 @@
 
 use crate::registry::Share;
 
-/// One probe, in thousandths of a probe a second times nanoseconds.
-pub const PROBE: u64 = 1_000 * 1_000_000_000;
+/// Cost of one probe. Levels are budgets in thousandths of a probe per second, times
+/// nanoseconds.
+pub const PROBE_COST: u64 = 1_000 * 1_000_000_000;
 
-/// One gateway's saved part of the next probe of one instance.
+/// One gateway's token bucket for probes of one instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     level: u64,
-    filled: Moment,
+    filled_at: Moment,
 }
 
 impl Bucket {
-    /// An empty bucket.
+    /// Creates an empty bucket.
     #[must_use]
     pub fn new(now: Moment) -> Self {
         Self {
             level: 0,
-            filled: now,
+            filled_at: now,
         }
     }
 
-    /// Up to when it was filled.
+    /// Time up to which the bucket was filled.
     #[must_use]
-    pub fn filled(&self) -> Moment {
-        self.filled
+    pub fn filled_at(&self) -> Moment {
+        self.filled_at
     }
 
-    /// Fills it at the rate of `share` up to `until`; none adds nothing.
+    /// Fills the bucket up to `until`, at the rate of `share` or, if there is none, at zero.
     pub fn fill(&mut self, share: Option<Share>, until: Moment) {
-        let span = until.since(self.filled).as_nanos();
-        self.filled = self.filled.max(until);
+        let elapsed = until.since(self.filled_at).as_nanos();
+        self.filled_at = self.filled_at.max(until);
         let Some(share) = share else {
             return;
         };
-        let earned = span * u128::from(share.millis) / u128::from(share.gateways);
-        let earned = u64::try_from(earned).unwrap_or(PROBE);
-        self.level = self.level.saturating_add(earned).min(PROBE);
+        let earned = elapsed * u128::from(share.budget) / u128::from(share.gateways);
+        let earned = u64::try_from(earned).unwrap_or(PROBE_COST);
+        self.level = self.level.saturating_add(earned).min(PROBE_COST);
     }
 
-    /// Takes a probe, if one is saved.
+    /// Takes a probe. Returns false if the bucket is not full.
     pub fn spend(&mut self) -> bool {
-        let is_full = self.level >= PROBE;
+        let is_full = self.level >= PROBE_COST;
         if is_full {
             self.level = 0;
         }
         is_full
     }
 
-    /// Time until it holds a probe at the rate of `share`.
+    /// Time until the bucket is full at the rate of `share`.
     #[must_use]
     pub fn wait(&self, share: Share) -> Duration {
-        let missing = u128::from(PROBE - self.level) * u128::from(share.gateways);
-        let nanos = missing.div_ceil(u128::from(share.millis));
+        let missing = u128::from(PROBE_COST - self.level) * u128::from(share.gateways);
+        let nanos = missing.div_ceil(u128::from(share.budget));
         Duration::from_nanos(u64::try_from(nanos).unwrap_or(u64::MAX))
     }
 
-    /// Drops what was saved.
+    /// Empties the bucket.
     pub fn clear(&mut self, now: Moment) {
         *self = Self::new(now);
     }
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -1,18 +1,16 @@
-//! The measuring budget: what one upstream instance receives in probes from all
-//! gateways together.
+//! Probe budgets: limits on the probes that an upstream instance receives from all gateways.
 //!
-//! The catalogue sets the budget of a service and registers the gateways. Each
-//! gateway's [`Meter`](probe_limiter::Meter) spends only its share, from buckets that start
-//! empty and hold one probe, so no gateway needs to hear of another's probes.
-//! Nothing here does input or output.
+//! The catalogue sets the budget of each service and registers the gateways. Each gateway's
+//! [`ProbeLimiter`](probe_limiter::ProbeLimiter) spends only its share of the budget, from token
+//! buckets that start empty and hold one probe, so gateways don't need to coordinate. This crate
+//! does no I/O.
 //!
-//! What is proved: at each moment the rates of all gateways sum to at most the
-//! budget under one catalogue version that was current within the last lease. So
-//! in any window of `T` seconds one instance receives at most `budget * T + G`
-//! probes, `G` the gateways registered at some time in it, whichever of them
-//! restart, run twice on a host, or are cut off, and whatever their clocks show.
-//! Where clocks agree to a quarter of `1 / budget`, slots tighten this to
-//! `budget * T + 2`.
+//! At any time, the rates of all gateways sum to at most the budget of one catalogue version
+//! that was current within the last lease. In any window of `T` seconds, an instance therefore
+//! receives at most `budget * T + G` probes, where `G` is the number of gateways registered at
+//! some time in the window. This holds if gateways restart, run twice on a host or are
+//! partitioned, and for any clock offsets. If clocks agree within a quarter of `1 / budget`, time
+//! slots lower the bound to `budget * T + 2`.
 
 pub mod allowance;
 pub mod bucket;
--- a/crates/measure/src/probe_limiter.rs
+++ b/crates/measure/src/probe_limiter.rs
@@ -1,11 +1,10 @@
-//! One gateway's spending of its share.
+//! The limit on the probes of one gateway.
 //!
-//! A share is lowered at once and raised only when no gateway can still act on an
-//! older version: a gateway without a confirmation younger than the lease spends
-//! nothing, so that is one lease after the version was learned. Until then the
-//! smallest share counts among the versions that may still be in use. A version
-//! that was skipped is unknown, so after a skip, as after a start, nothing is spent
-//! for a lease.
+//! A gateway whose last confirmation of the catalogue is older than the lease sends no probes.
+//! One lease after a version was learned, no gateway therefore acts on an older one. Until then
+//! the smallest share of the versions that may still be in use applies, so that a share is
+//! lowered immediately and raised after a lease. After a start or a skipped version, an unknown
+//! version may be in use, so nothing is spent for a lease.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -21,40 +20,40 @@
 use crate::registry::Share;
 use crate::slot::Slots;
 
-// Clocks of two machines may differ in pace by a thirty-second part.
-const PACE: u32 = 32;
+// Maximum difference in clock rate between two hosts, as a divisor.
+const MAX_CLOCK_DRIFT: u32 = 32;
 
-/// Why no probe may be sent now.
+/// Why a probe may not be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Denied {
-    /// No confirmation of the catalogue that is younger than the lease.
+    /// The last confirmation of the catalogue is older than the lease.
     Fenced,
-    /// Another process of this host name has the right to probe.
+    /// Another process of this host has the right to probe.
     NotHolder,
-    /// The host isn't registered, or the service has no budget.
+    /// The host isn't registered as a gateway, or the service has no budget.
     NoShare,
-    /// A gateway may still act on a version that leaves nothing for this one.
+    /// A version in which this gateway has no share, or an unknown one, may still be in use.
     Settling,
-    /// The instance isn't known.
+    /// The instance was not added.
     UnknownInstance,
-    /// The share, or the slot, gives the next probe at this moment.
+    /// The bucket or the time slot allows the next probe at this time.
     #[strum(to_string = "early")]
     Early(Moment),
 }
 
 #[derive(Clone, Debug)]
-struct Past {
+struct OldVersion {
     registry: Arc<Registry>,
-    // When no gateway can act on it any more.
-    over: Moment,
+    // When no gateway can use the version any more.
+    expires_at: Moment,
 }
 
-/// The buckets of one gateway process.
+/// Limits the probes of one gateway process.
 ///
-/// Each bucket is filled only for times at which this process was confirmed and
-/// held the right to probe, at the smallest share of the versions that may have
-/// been in use then.
+/// Each bucket is filled only for times at which this process had a confirmation younger than
+/// the lease and the right to probe, at the smallest share of the versions that may have been
+/// in use at that time.
 #[derive(Clone, Debug)]
 pub struct ProbeLimiter {
     host: HostName,
@@ -63,17 +62,17 @@
     holder: bool,
     confirmed: Option<Moment>,
     current: Option<Arc<Registry>>,
-    past: VecDeque<Past>,
-    // Before this moment a version that was never seen may be in use.
-    blind: Moment,
+    old_versions: VecDeque<OldVersion>,
+    // Until this time, a version that this process never received may be in use.
+    unknown_until: Moment,
     buckets: HashMap<ServiceName, HashMap<InstanceId, Bucket>>,
 }
 
 impl ProbeLimiter {
-    /// A meter that may spend nothing yet.
+    /// Creates a limiter that allows no probes yet.
     ///
-    /// `lease` is the one after which an unconfirmed gateway is fenced; `anchor` the
-    /// wall-clock time at [`Moment::ZERO`].
+    /// `lease` is the time after which a gateway without a confirmation sends no probes, and
+    /// `anchor` the wall-clock time at [`Moment::ZERO`].
     #[must_use]
     pub fn new(host: HostName, lease: Duration, anchor: Duration) -> Self {
         Self {
@@ -83,21 +82,21 @@
             holder: false,
             confirmed: None,
             current: None,
-            past: VecDeque::new(),
-            blind: Moment::ZERO,
+            old_versions: VecDeque::new(),
+            unknown_until: Moment::ZERO,
             buckets: HashMap::new(),
         }
     }
 
-    /// Sets the wall-clock time at [`Moment::ZERO`] anew, as clocks drift.
+    /// Updates the wall-clock time at [`Moment::ZERO`], as clocks drift.
     pub fn set_anchor(&mut self, anchor: Duration) {
         self.anchor = anchor;
     }
 
-    /// Says whether this process has the right to probe under its host name.
+    /// Sets whether this process has the right to probe for its host.
     ///
-    /// At most one process of a host name may have it at a time, such as the one
-    /// that has bound an exclusive local port. A process that gets it starts empty.
+    /// At most one process of a host may have it at a time, such as the one that has bound an
+    /// exclusive local port. All buckets are emptied when the right changes.
     pub fn set_holder(&mut self, holder: bool, now: Moment) {
         if holder == self.holder {
             return;
@@ -107,42 +106,42 @@
         buckets.for_each(|bucket| bucket.clear(now));
     }
 
-    /// Takes over a newer accepted version; an older or equal one changes nothing.
+    /// Switches to a newer accepted version. Older and equal versions are ignored.
     pub fn update_registry(&mut self, registry: Arc<Registry>, now: Moment) {
-        let known = self.current.as_ref().map(|current| current.version);
-        if known.is_some_and(|version| registry.version <= version) {
+        let current_version = self.current.as_ref().map(|current| current.version);
+        if current_version.is_some_and(|version| registry.version <= version) {
             return;
         }
         self.fill_all(now);
-        let hold = now + self.lease + self.lease / PACE;
-        let follows = known.is_some_and(|version| registry.version == version + 1);
+        let outdated_at = now + self.lease + self.lease / MAX_CLOCK_DRIFT;
+        let is_consecutive = current_version.is_some_and(|version| registry.version == version + 1);
         match self.current.replace(registry) {
-            Some(registry) if follows => self.past.push_back(Past {
+            Some(registry) if is_consecutive => self.old_versions.push_back(OldVersion {
                 registry,
-                over: hold,
+                expires_at: outdated_at,
             }),
             _ => {
-                self.past.clear();
-                self.blind = hold;
+                self.old_versions.clear();
+                self.unknown_until = outdated_at;
             }
         }
-        self.past.retain(|past| past.over > now);
+        self.old_versions.retain(|old| old.expires_at > now);
     }
 
-    /// Takes a confirmation that `version` was current at `sent` or later.
+    /// Records a confirmation that `version` was current at `sent` or later.
     ///
-    /// `sent` is when the request for it was sent, less the age that the answer
-    /// states. A version that isn't known yet confirms nothing.
+    /// `sent` is the time at which the confirmation was requested, minus the age that the answer
+    /// states. Versions newer than the current one are ignored.
     pub fn confirm(&mut self, version: u64, sent: Moment, now: Moment) {
-        let known = self.current.as_ref().map(|current| current.version);
-        if known.is_none_or(|known| version > known) {
+        let current_version = self.current.as_ref().map(|current| current.version);
+        if current_version.is_none_or(|current_version| version > current_version) {
             return;
         }
         self.fill_all(now);
         self.confirmed = self.confirmed.max(Some(sent));
     }
 
-    /// Adds an instance with an empty bucket; one already known keeps its own.
+    /// Adds an instance with an empty bucket, unless it was added already.
     pub fn add(&mut self, service: &ServiceName, instance: &InstanceId, now: Moment) {
         let buckets = self.buckets.entry(service.clone()).or_default();
         buckets
@@ -150,7 +149,7 @@
             .or_insert_with(|| Bucket::new(now));
     }
 
-    /// Forgets an instance; if it comes back, it starts empty.
+    /// Removes an instance and its bucket.
     pub fn remove(&mut self, service: &ServiceName, instance: &InstanceId) {
         if let Some(buckets) = self.buckets.get_mut(service) {
             buckets.remove(instance);
@@ -158,29 +157,29 @@
         self.buckets.retain(|_, buckets| !buckets.is_empty());
     }
 
-    /// Spends one probe of an instance; the probe must be sent now or never.
+    /// Takes one probe of an instance. The probe has to be sent immediately.
     ///
     /// # Errors
     ///
-    /// Says why not, and for [`Denied::Early`] from when on.
+    /// Fails if no probe may be sent now; [`Denied::Early`] says from when on.
     pub fn spend(
         &mut self,
         service: &ServiceName,
         instance: &InstanceId,
         now: Moment,
     ) -> Result<(), Denied> {
-        let share = self.right(service, now)?;
+        let share = self.effective_share(service, now)?;
         let mut bucket = self.bucket(service, instance)?;
         self.fill(&mut bucket, service, now);
         let wait = bucket.wait(share);
         let ready = now + wait;
         let start = ready + self.slots(service, instance)?.wait(self.anchor, ready);
         if start > now {
-            self.put(service, instance, bucket);
+            self.store(service, instance, bucket);
             return Err(Denied::Early(start));
         }
         let spent = bucket.spend();
-        self.put(service, instance, bucket);
+        self.store(service, instance, bucket);
         if spent {
             Ok(())
         } else {
@@ -188,43 +187,43 @@
         }
     }
 
-    // The share that counts now, or why there is none.
-    fn right(&self, service: &ServiceName, now: Moment) -> Result<Share, Denied> {
+    // The share that applies now.
+    fn effective_share(&self, service: &ServiceName, now: Moment) -> Result<Share, Denied> {
         if !self.holder {
             return Err(Denied::NotHolder);
         }
-        if now >= self.fence().ok_or(Denied::Fenced)? {
+        if now >= self.fenced_at().ok_or(Denied::Fenced)? {
             return Err(Denied::Fenced);
         }
-        self.own(service).ok_or(Denied::NoShare)?;
+        self.current_share(service).ok_or(Denied::NoShare)?;
         self.share_at(service, now).ok_or(Denied::Settling)
     }
 
-    fn own(&self, service: &ServiceName) -> Option<Share> {
+    fn current_share(&self, service: &ServiceName) -> Option<Share> {
         self.current.as_ref()?.share(&self.host, service)
     }
 
     fn slots(&self, service: &ServiceName, instance: &InstanceId) -> Result<Slots, Denied> {
-        let share = self.own(service).ok_or(Denied::NoShare)?;
+        let share = self.current_share(service).ok_or(Denied::NoShare)?;
         Ok(Slots::new(share, instance))
     }
 
-    // The smallest share among the versions that may be in use at `at`.
+    // The smallest share of the versions that may be in use at `at`.
     fn share_at(&self, service: &ServiceName, at: Moment) -> Option<Share> {
-        if at < self.blind {
+        if at < self.unknown_until {
             return None;
         }
-        let mut least = self.own(service)?;
-        for past in self.past.iter().filter(|past| past.over > at) {
-            let share = past.registry.share(&self.host, service)?;
-            if share.is_below(&least) {
-                least = share;
+        let mut min_share = self.current_share(service)?;
+        for old in self.old_versions.iter().filter(|old| old.expires_at > at) {
+            let share = old.registry.share(&self.host, service)?;
+            if share.is_below(&min_share) {
+                min_share = share;
             }
         }
-        Some(least)
+        Some(min_share)
     }
 
-    fn fence(&self) -> Option<Moment> {
+    fn fenced_at(&self) -> Option<Moment> {
         Some(self.confirmed? + self.lease)
     }
 
@@ -236,10 +235,10 @@
             .ok_or(Denied::UnknownInstance)
     }
 
-    fn put(&mut self, service: &ServiceName, instance: &InstanceId, bucket: Bucket) {
+    fn store(&mut self, service: &ServiceName, instance: &InstanceId, bucket: Bucket) {
         let buckets = self.buckets.get_mut(service);
-        if let Some(kept) = buckets.and_then(|buckets| buckets.get_mut(instance)) {
-            *kept = bucket;
+        if let Some(stored) = buckets.and_then(|buckets| buckets.get_mut(instance)) {
+            *stored = bucket;
         }
     }
 
@@ -252,15 +251,18 @@
         self.buckets = buckets;
     }
 
-    // Fills up to `now`, stretch by stretch, as the share changes where an older
-    // version falls out of use; nothing is earned while fenced or without the right.
+    // Fills up to `now`, in steps that end when an old version expires and the share changes.
+    // Times without a valid confirmation or the right to probe add nothing.
     fn fill(&self, bucket: &mut Bucket, service: &ServiceName, now: Moment) {
-        let earns = self.fence().filter(|_| self.holder);
-        let until = earns.unwrap_or(bucket.filled()).min(now);
-        while bucket.filled() < until {
-            let from = bucket.filled();
-            let overs = self.past.iter().map(|past| past.over);
-            let next = overs.chain([self.blind]).filter(|at| *at > from).min();
+        let confirmed_until = self.fenced_at().filter(|_| self.holder);
+        let until = confirmed_until.unwrap_or(bucket.filled_at()).min(now);
+        while bucket.filled_at() < until {
+            let from = bucket.filled_at();
+            let expiries = self.old_versions.iter().map(|old| old.expires_at);
+            let next = expiries
+                .chain([self.unknown_until])
+                .filter(|at| *at > from)
+                .min();
             let next = next.unwrap_or(until).min(until);
             bucket.fill(self.share_at(service, from), next);
         }
--- a/crates/measure/src/slot.rs
+++ b/crates/measure/src/slot.rs
@@ -1,32 +1,33 @@
-//! Time slots that keep the gateways' probes of one instance apart.
+//! Time slots that spread the probes of one instance over the gateways.
 //!
-//! Each gateway has one slot in a period of `gateways / budget`, at a place set by
-//! its rank, in wall-clock time. The first half of a slot may be used; the rest
-//! takes up differences between clocks. The hard bound on the sum doesn't rest on
-//! slots, so a wrong clock costs evenness and nothing else.
+//! In each period of `gateways / budget`, each gateway has one slot of wall-clock time at the
+//! position given by its rank. Only the first half of a slot is used; the rest absorbs clock
+//! offsets. The bound on the sum of all probes doesn't depend on slots, so wrong clocks only make
+//! probes less even.
 
 use std::time::Duration;
 
 use base::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::bucket::PROBE;
+use crate::bucket::PROBE_COST;
 use crate::registry::Share;
 
 /// The slots of one gateway for one instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Slots {
-    // Nanoseconds.
+    // All in nanoseconds.
     period: u64,
     width: u64,
     offset: u64,
 }
 
 impl Slots {
-    /// The slots of `share` for `instance`, whose name spreads instances over the period.
+    /// The slots of the gateway with `share` for `instance`. The offset is derived from the
+    /// instance id, so that the slots of different instances differ.
     #[must_use]
     pub fn new(share: Share, instance: &InstanceId) -> Self {
-        let length = PROBE / u64::from(share.millis.max(1));
+        let length = PROBE_COST / u64::from(share.budget.max(1));
         let period = length.saturating_mul(share.gateways);
         let spread = xxh3_64(instance.as_str().as_bytes()) % period.max(1);
         let offset = length.saturating_mul(share.rank).saturating_add(spread);
@@ -37,15 +38,16 @@
         }
     }
 
-    /// Time from `now` until a slot; zero inside one. `anchor` is the wall-clock time of [`Moment::ZERO`].
+    /// Time from `now` until the next slot; zero within a slot. `anchor` is the wall-clock time of
+    /// [`Moment::ZERO`].
     #[must_use]
     pub fn wait(&self, anchor: Duration, now: Moment) -> Duration {
         let period = u128::from(self.period.max(1));
         let wall = anchor.as_nanos() + u128::from(now.nanos());
-        let into = (wall + period - u128::from(self.offset)) % period;
-        if into < u128::from(self.width) {
+        let position = (wall + period - u128::from(self.offset)) % period;
+        if position < u128::from(self.width) {
             return Duration::ZERO;
         }
-        Duration::from_nanos(u64::try_from(period - into).unwrap_or(u64::MAX))
+        Duration::from_nanos(u64::try_from(period - position).unwrap_or(u64::MAX))
     }
 }
--- a/crates/measure/tests/fleet/mod.rs
+++ b/crates/measure/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Gateways with meters under a random schedule of changes and faults.
+//! A simulation of gateways with probe limiters under random changes and faults.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,31 +21,32 @@
 const PROCESSES: usize = HOSTS * 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MeterKind {
-    Product,
-    // A bucket a gateway with the whole budget, full at the start.
+pub enum LimiterKind {
+    Real,
+    // Each gateway has a bucket that is full at the start and filled at the whole budget.
     Naive,
 }
 
 struct Naive {
     level: f64,
-    filled: Moment,
+    filled_at: Moment,
 }
 
 struct Process {
     host: usize,
     up: bool,
-    cut: bool,
-    // The process's clock has its own origin and pace, in parts of a thousand.
+    partitioned: bool,
+    // Time at which the process's clock starts.
     origin: Moment,
-    pace: u64,
-    meter: ProbeLimiter,
+    // Rate of the process's clock, in thousandths.
+    clock_rate: u64,
+    limiter: ProbeLimiter,
     naive: Naive,
 }
 
-// One step: the largest budget and the gateways of the versions that may be in use.
-struct Allowed {
-    // Probes allowed since the start.
+// The bound at one step, from the versions that may be in use.
+struct Bound {
+    // Probes allowed since the start, at the largest budget.
     total: f64,
     gateways: BTreeSet<HostName>,
 }
@@ -53,31 +54,31 @@
 pub struct Excess {
     count: u32,
     span: Duration,
-    most: f64,
+    max: f64,
 }
 
 impl fmt::Display for Excess {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { count, span, most } = self;
-        write!(f, "{count} probes in {span:?}, at most {most:.2} allowed")
+        let Self { count, span, max } = self;
+        write!(f, "{count} probes in {span:?}, at most {max:.2} allowed")
     }
 }
 
 pub struct Fleet {
-    kind: MeterKind,
+    kind: LimiterKind,
     faults: bool,
     rng: StdRng,
     now: Moment,
-    // Accepted versions with the time of each, oldest first.
+    // Accepted versions with their times, oldest first.
     versions: Vec<(Moment, Arc<Registry>)>,
     processes: Vec<Process>,
-    allowed: Vec<Allowed>,
+    bounds: Vec<Bound>,
     // Step and time of each probe.
     probes: Vec<(usize, Moment)>,
 }
 
 impl Fleet {
-    pub fn new(kind: MeterKind, seed: u64) -> Self {
+    pub fn new(kind: LimiterKind, seed: u64) -> Self {
         let processes = (0..PROCESSES).map(|index| process(index / 2, Moment::ZERO, 1000));
         Self {
             kind,
@@ -86,23 +87,23 @@
             now: Moment::ZERO,
             versions: vec![(Moment::ZERO, Arc::new(registry(1, &[0, 1, 2], 2_000)))],
             processes: processes.collect(),
-            allowed: Vec::new(),
+            bounds: Vec::new(),
             probes: Vec::new(),
         }
     }
 
-    // Nothing changes or fails, and clocks agree.
-    pub fn steady(gateways: usize, millis: u32) -> Self {
+    // A fleet without changes, faults and clock differences.
+    pub fn steady(gateways: usize, budget: u32) -> Self {
         let hosts: Vec<usize> = (0..gateways).collect();
-        let mut fleet = Self::new(MeterKind::Product, 0);
+        let mut fleet = Self::new(LimiterKind::Real, 0);
         fleet.faults = false;
-        fleet.versions = vec![(Moment::ZERO, Arc::new(registry(1, &hosts, millis)))];
+        fleet.versions = vec![(Moment::ZERO, Arc::new(registry(1, &hosts, budget)))];
         fleet.processes = hosts
             .iter()
             .map(|host| process(*host, Moment::ZERO, 1000))
             .collect();
         fleet.processes.iter_mut().for_each(|p| p.up = true);
-        fleet.share_holders();
+        fleet.assign_holders();
         fleet
     }
 
@@ -116,8 +117,8 @@
             self.change_catalogue();
             self.change_processes();
         }
-        self.spread();
-        self.allow();
+        self.distribute_catalogue();
+        self.record_bound();
         self.probe();
     }
 
@@ -129,9 +130,9 @@
         for _ in 0..self.rng.random_range(1..4) {
             let mut hosts: Vec<usize> = (0..HOSTS).collect();
             hosts.retain(|_| self.rng.random_bool(0.5));
-            let millis = self.rng.random_range(0..8) * 1_000;
+            let budget = self.rng.random_range(0..8) * 1_000;
             let version = self.last().version + 1;
-            let next = Arc::new(registry(version, &hosts, millis));
+            let next = Arc::new(registry(version, &hosts, budget));
             self.versions.push((self.now, next));
         }
     }
@@ -141,72 +142,76 @@
             if self.rng.random_bool(0.002) {
                 let old = &self.processes[index];
                 let (host, was_up) = (old.host, old.up);
-                let pace = self.rng.random_range(990..=1010);
-                self.processes[index] = process(host, self.now, pace);
+                let clock_rate = self.rng.random_range(990..=1010);
+                self.processes[index] = process(host, self.now, clock_rate);
                 self.processes[index].up = !was_up;
-                self.share_holders();
+                self.assign_holders();
             }
             if self.rng.random_bool(0.003) {
-                self.processes[index].cut ^= true;
+                self.processes[index].partitioned ^= true;
             }
         }
     }
 
-    // The right to probe goes to the first process of a host that is up.
-    fn share_holders(&mut self) {
-        let mut held = BTreeSet::new();
+    // Gives the right to probe to the first process of each host that is up.
+    fn assign_holders(&mut self) {
+        let mut hosts = BTreeSet::new();
         for process in &mut self.processes {
             let now = process.clock(self.now);
-            let holds = process.up && held.insert(process.host);
-            process.meter.set_holder(holds, now);
+            let is_holder = process.up && hosts.insert(process.host);
+            process.limiter.set_holder(is_holder, now);
         }
     }
 
-    // A process that isn't cut asks, and hears what was current when it asked or later.
-    fn spread(&mut self) {
+    // A process that isn't partitioned requests the catalogue and receives a version that was
+    // current at the request or later.
+    fn distribute_catalogue(&mut self) {
         for index in 0..self.processes.len() {
-            let asks = !self.faults || self.rng.random_bool(0.2);
-            if !self.processes[index].up || self.processes[index].cut || !asks {
+            let requests = !self.faults || self.rng.random_bool(0.2);
+            if !self.processes[index].up || self.processes[index].partitioned || !requests {
                 continue;
             }
-            let most = if self.faults { 400 } else { 1 };
-            let back = Duration::from_millis(self.rng.random_range(0..most));
-            let asked = self.now.before(back);
-            let first = self.versions.iter().rposition(|(at, _)| *at <= asked);
+            let max_age = if self.faults { 400 } else { 1 };
+            let age = Duration::from_millis(self.rng.random_range(0..max_age));
+            let requested_at = self.now.before(age);
+            let first = self
+                .versions
+                .iter()
+                .rposition(|(at, _)| *at <= requested_at);
             let picked = self
                 .rng
                 .random_range(first.unwrap_or(0)..self.versions.len());
             let registry = self.versions[picked].1.clone();
-            self.processes[index].hear(registry, asked, self.now);
+            self.processes[index].receive(registry, requested_at, self.now);
         }
     }
 
-    fn allow(&mut self) {
-        let since = self.now.before(LEASE + LEASE / 25 + STEP);
+    fn record_bound(&mut self) {
+        let from = self.now.before(LEASE + LEASE / 25 + STEP);
         let ends = self.versions.iter().skip(1).map(|(at, _)| Some(*at));
         let used = self.versions.iter().zip(ends.chain([None]));
-        let used = used.filter(|(_, end)| end.is_none_or(|end| end >= since));
+        let used = used.filter(|(_, end)| end.is_none_or(|end| end >= from));
         let mut gateways = BTreeSet::new();
-        let mut millis = 0;
+        let mut budget = 0;
         for ((_, registry), _) in used {
             gateways.extend(registry.gateways.iter().cloned());
-            millis = millis.max(registry.budgets[&service()]);
+            budget = budget.max(registry.budgets[&service()]);
         }
-        let before = self.allowed.last().map_or(0.0, |allowed| allowed.total);
-        // The pace of clocks lies up to a hundredth from the true one.
-        let total = before + f64::from(millis) / 1_000.0 * STEP.as_secs_f64() * 1.01;
-        self.allowed.push(Allowed { total, gateways });
+        let before = self.bounds.last().map_or(0.0, |bound| bound.total);
+        // Clock rates differ by up to 1 % from the true rate.
+        let total = before + f64::from(budget) / 1_000.0 * STEP.as_secs_f64() * 1.01;
+        self.bounds.push(Bound { total, gateways });
     }
 
-    // A surge: every process wants a probe at every step.
+    // Every process tries to send a probe at every step.
     fn probe(&mut self) {
-        let step = self.allowed.len() - 1;
+        let step = self.bounds.len() - 1;
         let budget = self.last().budgets[&service()];
         for process in self.processes.iter_mut().filter(|process| process.up) {
             let now = process.clock(self.now);
             let sent = match self.kind {
-                MeterKind::Product => process.meter.spend(&service(), &instance(), now).is_ok(),
-                MeterKind::Naive => process.naive.spend(budget, now),
+                LimiterKind::Real => process.limiter.spend(&service(), &instance(), now).is_ok(),
+                LimiterKind::Naive => process.naive.spend(budget, now),
             };
             if sent {
                 self.probes.push((step, self.now));
@@ -218,7 +223,7 @@
         &self.versions.last().expect("there is a first version").1
     }
 
-    // The first window found that holds more than the bound proved.
+    // The first window with more probes than the bound.
     pub fn excess(&self) -> Option<Excess> {
         (0..self.probes.len()).find_map(|first| self.excess_from(first))
     }
@@ -226,18 +231,18 @@
     fn excess_from(&self, first: usize) -> Option<Excess> {
         let (begin, from) = self.probes[first];
         let mut seen = begin;
-        let mut gateways = self.allowed[begin].gateways.clone();
+        let mut gateways = self.bounds[begin].gateways.clone();
         for (count, (step, until)) in (1..).zip(&self.probes[first..]) {
             while seen < *step {
                 seen += 1;
-                gateways.extend(self.allowed[seen].gateways.iter().cloned());
+                gateways.extend(self.bounds[seen].gateways.iter().cloned());
             }
             let bursts = u32::try_from(gateways.len()).unwrap_or(u32::MAX);
-            let rate = self.allowed[*step].total - self.allowed[begin].total;
-            let most = rate + f64::from(bursts) + 1e-6;
-            if f64::from(count) > most {
+            let rate = self.bounds[*step].total - self.bounds[begin].total;
+            let max = rate + f64::from(bursts) + 1e-6;
+            if f64::from(count) > max {
                 let span = until.since(from);
-                return Some(Excess { count, span, most });
+                return Some(Excess { count, span, max });
             }
         }
         None
@@ -246,27 +251,27 @@
 
 impl Process {
     fn clock(&self, at: Moment) -> Moment {
-        let nanos = at.since(self.origin).as_nanos() * u128::from(self.pace) / 1000;
+        let nanos = at.since(self.origin).as_nanos() * u128::from(self.clock_rate) / 1000;
         Moment::from_nanos(u64::try_from(nanos).unwrap_or(u64::MAX))
     }
 
-    fn hear(&mut self, registry: Arc<Registry>, asked: Moment, now: Moment) {
-        if asked < self.origin {
+    fn receive(&mut self, registry: Arc<Registry>, requested_at: Moment, now: Moment) {
+        if requested_at < self.origin {
             return;
         }
-        let (sent, now) = (self.clock(asked), self.clock(now));
+        let (sent, now) = (self.clock(requested_at), self.clock(now));
         let version = registry.version;
-        self.meter.update_registry(registry, now);
-        self.meter.confirm(version, sent, now);
-        self.meter.add(&service(), &instance(), now);
+        self.limiter.update_registry(registry, now);
+        self.limiter.confirm(version, sent, now);
+        self.limiter.add(&service(), &instance(), now);
     }
 }
 
 impl Naive {
-    fn spend(&mut self, millis: u32, now: Moment) -> bool {
-        let earned = now.since(self.filled).as_secs_f64() * f64::from(millis) / 1_000.0;
+    fn spend(&mut self, budget: u32, now: Moment) -> bool {
+        let earned = now.since(self.filled_at).as_secs_f64() * f64::from(budget) / 1_000.0;
         self.level = (self.level + earned).min(1.0);
-        self.filled = now;
+        self.filled_at = now;
         let is_full = self.level >= 1.0;
         if is_full {
             self.level -= 1.0;
@@ -275,27 +280,27 @@
     }
 }
 
-fn process(host: usize, origin: Moment, pace: u64) -> Process {
+fn process(host: usize, origin: Moment, clock_rate: u64) -> Process {
     let anchor = Duration::from_nanos(origin.nanos());
     Process {
         host,
         up: false,
-        cut: false,
+        partitioned: false,
         origin,
-        pace,
-        meter: ProbeLimiter::new(name(host), LEASE, anchor),
+        clock_rate,
+        limiter: ProbeLimiter::new(name(host), LEASE, anchor),
         naive: Naive {
             level: 1.0,
-            filled: Moment::ZERO,
+            filled_at: Moment::ZERO,
         },
     }
 }
 
-fn registry(version: u64, hosts: &[usize], millis: u32) -> Registry {
+fn registry(version: u64, hosts: &[usize], budget: u32) -> Registry {
     Registry {
         version,
         gateways: hosts.iter().map(|host| name(*host)).collect(),
-        budgets: BTreeMap::from([(service(), millis)]),
+        budgets: BTreeMap::from([(service(), budget)]),
     }
 }
 
--- a/crates/measure/tests/test_allowance.rs
+++ b/crates/measure/tests/test_allowance.rs
@@ -1,4 +1,4 @@
-//! The share of probes that one process may send.
+//! Probes that one process may send, and the sum over processes.
 
 use base::prelude::*;
 use measure::Allowance;
@@ -26,7 +26,7 @@
 }
 
 quickcheck! {
-    /// Over any time, all processes together send at most the budget and a second more.
+    /// Guards against processes that together exceed the budget plus one second of it.
     fn prop_allowance_sum_holds(steps: Vec<(u8, u8)>) -> bool {
         let (budget, instances, processes) = (30, 4, 3_u8);
         let mut now = 0;
--- a/crates/measure/tests/test_budget.rs
+++ b/crates/measure/tests/test_budget.rs
@@ -1,4 +1,5 @@
-//! The sum over gateways of what one instance receives, over random schedules.
+//! Guards against an instance receiving more probes from all gateways than its budget, over
+//! random schedules.
 
 mod fleet;
 
@@ -8,11 +9,11 @@
 use quickcheck::TestResult;
 
 use crate::fleet::Fleet;
-use crate::fleet::MeterKind;
+use crate::fleet::LimiterKind;
 
 const STEPS: u32 = 2_000;
 
-fn run(kind: MeterKind, seed: u64) -> Fleet {
+fn run(kind: LimiterKind, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(kind, seed);
     for _ in 0..STEPS {
         fleet.step();
@@ -21,7 +22,7 @@
 }
 
 fn holds(seed: u64) -> TestResult {
-    match run(MeterKind::Product, seed).excess() {
+    match run(LimiterKind::Real, seed).excess() {
         Some(excess) => TestResult::error(format!("seed {seed}: {excess}")),
         None => TestResult::passed(),
     }
@@ -38,7 +39,7 @@
 fn test_budget_baseline_exceeds() {
     for seed in 0..20 {
         assert!(
-            run(MeterKind::Naive, seed).excess().is_some(),
+            run(LimiterKind::Naive, seed).excess().is_some(),
             "seed {seed}"
         );
     }
@@ -46,14 +47,14 @@
 
 #[test]
 fn test_budget_is_used() {
-    let fleets = (0..20).map(|seed| run(MeterKind::Product, seed));
+    let fleets = (0..20).map(|seed| run(LimiterKind::Real, seed));
     let spent: usize = fleets.map(|fleet| fleet.times().count()).sum();
     assert!(spent > 100, "{spent} probes in 20 schedules");
 }
 
 #[test]
 fn test_budget_steady_slots_apart() {
-    // Any window of T holds at most `budget * T + 2`.
+    // Any window of length T contains at most `budget * T + 2` probes.
     let period = Duration::from_millis(500);
     for gateways in [1, 2, 7, 15] {
         let mut fleet = Fleet::steady(gateways, 2_000);
@@ -65,8 +66,8 @@
         for (first, from) in times.iter().enumerate() {
             for (count, until) in (1_u32..).zip(&times[first..]) {
                 let span = until.since(*from);
-                let most = period * count.saturating_sub(2);
-                assert!(most <= span, "{gateways}: {count} in {span:?}");
+                let min_span = period * count.saturating_sub(2);
+                assert!(min_span <= span, "{gateways}: {count} in {span:?}");
             }
         }
     }
