--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -5,10 +5,10 @@
 //! process that sends requests has one in its [`Quarantine`], beside what it has to tell the
 //! hubs, and each hub has one for the crashes of all.
 
-pub mod answered;
 pub mod convert;
 pub mod fingerprint;
 pub mod quarantine;
+pub mod recent_answers;
 pub mod tracker;
 
 pub use convert::ConvertError;
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -10,9 +10,9 @@
 
 use base::prelude::*;
 
-use crate::answered::Answered;
 use crate::fingerprint::Fingerprint;
 use crate::fingerprint::Head;
+use crate::recent_answers::Answered;
 use crate::tracker::Crash;
 use crate::tracker::Outcome;
 use crate::tracker::Suspect;
