--- a/crates/measure/src/allowance.rs
+++ b/crates/measure/src/allowance.rs
@@ -2,7 +2,7 @@
 //!
 //! The rate is the budget of one instance, times the number of instances, divided by the number
 //! of processes. The allowance starts empty and saves up to one second of its rate, so that in
-//! `T` seconds all processes together send each instance at max_saved `budget * (T + 1)` probes on
+//! `T` seconds all processes together send each instance at most `budget * (T + 1)` probes on
 //! average.
 
 use std::time::Duration;
--- a/crates/quarantine/src/convert.rs
+++ b/crates/quarantine/src/convert.rs
@@ -1,6 +1,6 @@
-//! To and from the messages between processes.
+//! Conversions to and from the messages between processes.
 //!
-//! Clocks differ between processes, so that messages say how long ago something was.
+//! Clocks differ between processes, so messages contain ages instead of times.
 
 use std::time::Duration;
 
@@ -15,18 +15,18 @@
 use crate::tracker::Suspect;
 
 quick_error! {
-    /// Why a message tells of nothing to use.
+    /// Why a message can't be converted.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ConvertError {
-        /// A name isn't one.
+        /// A name is invalid.
         Name(err: NameError) {
             from()
             source(err)
-            display("crash: {err}")
+            display("invalid crash report: {err}")
         }
-        /// It names no request.
+        /// The message has no request.
         NoRequest {
-            display("no fingerprint of a request")
+            display("message without the fingerprint of a request")
         }
     }
 }
@@ -52,7 +52,7 @@
 }
 
 impl Crash {
-    /// The crash as it is told at `now`.
+    /// Converts to a message that is sent at `now`.
     #[must_use]
     pub fn to_wire(&self, now: Moment) -> hub::Crash {
         hub::Crash {
@@ -65,28 +65,28 @@
         }
     }
 
-    /// Reads a crash that is told at `now`.
+    /// Converts from a message that is received at `now`.
     ///
     /// # Errors
     ///
-    /// Fails when a name isn't one, or no request is named.
-    pub fn from_wire(now: Moment, told: &hub::Crash) -> Result<Self, ConvertError> {
-        let request = told.request.ok_or(ConvertError::NoRequest)?;
+    /// Fails if a name is invalid or the message has no request.
+    pub fn from_wire(now: Moment, message: &hub::Crash) -> Result<Self, ConvertError> {
+        let request = message.request.ok_or(ConvertError::NoRequest)?;
         Ok(Self {
             request: request.into(),
-            service: ServiceName::new(&told.service)?,
+            service: ServiceName::new(&message.service)?,
             run: InstanceRun {
-                instance: InstanceId::new(&told.instance)?,
-                incarnation: told.incarnation,
+                instance: InstanceId::new(&message.instance)?,
+                incarnation: message.incarnation,
             },
-            at: now.before(Duration::from_millis(told.ago_ms)),
-            answered: told.answered,
+            at: now.before(Duration::from_millis(message.ago_ms)),
+            answered: message.answered,
         })
     }
 }
 
 impl Suspect {
-    /// The suspect as it is told.
+    /// Converts to a message.
     #[must_use]
     pub fn to_wire(&self) -> hub::Suspect {
         hub::Suspect {
@@ -95,20 +95,20 @@
         }
     }
 
-    /// Reads a suspect that is told.
+    /// Converts from a message.
     ///
     /// # Errors
     ///
-    /// Fails when no request is named.
-    pub fn from_wire(told: &hub::Suspect) -> Result<Self, ConvertError> {
-        let request = told.request.ok_or(ConvertError::NoRequest)?;
+    /// Fails if the message has no request.
+    pub fn from_wire(message: &hub::Suspect) -> Result<Self, ConvertError> {
+        let request = message.request.ok_or(ConvertError::NoRequest)?;
         Ok(Self {
             request: request.into(),
-            refused: Duration::from_millis(told.refused_ms),
+            refused: Duration::from_millis(message.refused_ms),
         })
     }
 }
 
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -1,50 +1,50 @@
-//! What stays the same when a request comes again.
+//! Identification of requests that are sent repeatedly.
 //!
-//! Where callers have no names, an address is all that tells them apart, and a phone changes it
-//! between two tries. So a fingerprint has two parts: what is asked for (host, path
-//! and body), and the rest by which one sender's requests are told from another's.
+//! Callers without names are told apart only by their address, which may change between two
+//! attempts. A fingerprint therefore has two parts: the requested resource (host, path and body),
+//! and the sender (caller, method and query), which may be replaced by all senders.
 
 use std::fmt;
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// Stands for all senders.
-const ALL: u64 = 0;
+// The value of [`Fingerprint::sender`] that stands for all senders.
+const ALL_SENDERS: u64 = 0;
 
-/// What is known of a request before its body has come.
+/// The part of a fingerprint that is known before the body of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Head {
-    /// Of host and path.
+    /// Hash of host and path.
     pub path: u64,
-    /// Of caller, method and query.
+    /// Hash of caller, method and query.
     pub sender: u64,
 }
 
 impl Head {
-    /// Of a request of `caller`; `target` is path and query.
+    /// Hashes the head of a request of `caller`. `target` is path and query.
     #[must_use]
     pub fn new(caller: &str, method: &str, host: &str, target: &str) -> Self {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         Self {
             path: digest([host, path]),
-            sender: digest([caller, method, query]).max(ALL + 1),
+            sender: digest([caller, method, query]).max(ALL_SENDERS + 1),
         }
     }
 }
 
-/// Names a request.
+/// Identifies a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint {
-    /// Of host and path.
+    /// Hash of host and path.
     pub path: u64,
-    /// Of the body.
+    /// Hash of the body.
     pub body: u64,
-    /// Of caller, method and query; 0 for whatever these are.
+    /// Hash of caller, method and query, or 0 for all senders.
     pub sender: u64,
 }
 
 impl Fingerprint {
-    /// Of a request whose body comes in `parts`, however it was cut into them.
+    /// Hashes a request whose body consists of `parts`. Only their concatenation matters.
     #[must_use]
     pub fn new<'a>(head: Head, parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut hash = Xxh3::new();
@@ -58,17 +58,17 @@
         }
     }
 
-    /// Whether it stands for all senders.
+    /// Whether the fingerprint stands for all senders.
     #[must_use]
-    pub fn is_of_all(self) -> bool {
-        self.sender == ALL
+    pub fn is_for_all_senders(self) -> bool {
+        self.sender == ALL_SENDERS
     }
 
-    /// The same request of all senders.
+    /// The fingerprint of the same resource for all senders.
     #[must_use]
-    pub fn of_all(self) -> Self {
+    pub fn for_all_senders(self) -> Self {
         Self {
-            sender: ALL,
+            sender: ALL_SENDERS,
             ..self
         }
     }
@@ -81,7 +81,7 @@
     }
 }
 
-/// Of texts; each one's length counts, so that none runs into the next.
+// Hashes the texts with their lengths, so that their boundaries matter.
 fn digest<const N: usize>(texts: [&str; N]) -> u64 {
     let mut hash = Xxh3::new();
     for text in texts {
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,9 +1,9 @@
-//! Requests that crash the instances that run them.
+//! Quarantine of requests that crash the instances that run them.
 //!
-//! Such a request is told again by its [`Fingerprint`], whichever process it comes to and
-//! whatever name it has. A [`Tracker`] counts crashes and says which requests are refused; each
-//! process that sends requests has one in its [`Quarantine`], beside what it has to tell the
-//! hubs, and each hub has one for the crashes of all.
+//! A request is recognised by its [`Fingerprint`], whichever process it arrives at and whatever
+//! its request id is. A [`Tracker`] counts crashes and decides which requests are refused. Each
+//! process that sends requests has a tracker in its [`Quarantine`], which also keeps the events
+//! to report to the hubs. Each hub has a tracker for the crashes that all processes report.
 
 pub mod convert;
 pub mod fingerprint;
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -1,8 +1,8 @@
-//! What one process that sends requests knows, and has to tell others: a pure state machine.
+//! The quarantine state of one process that sends requests, as a state machine without I/O.
 //!
-//! It counts the crashes that it sees by itself, so that it refuses what it must while no hub
-//! answers. Hubs count those of all processes. What was told is kept, as a hub that starts
-//! anew knows nothing.
+//! The process counts the crashes that it sees itself, so that it refuses requests even if no hub
+//! answers. Hubs count the crashes of all processes. Events are retention after they were reported,
+//! because a restarted hub has lost them.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -12,20 +12,20 @@
 
 use crate::fingerprint::Fingerprint;
 use crate::fingerprint::Head;
-use crate::recent_answers::Answered;
+use crate::recent_answers::RecentAnswers;
 use crate::tracker::Crash;
 use crate::tracker::Outcome;
 use crate::tracker::Suspect;
 use crate::tracker::Tracker;
 use crate::tracker::WINDOW;
-use crate::tracker::all_of;
+use crate::tracker::path_range;
 
-/// How long it is worth telling that a request has succeeded.
-const ACQUITTAL: Duration = Duration::from_secs(10);
-/// Crashes that are kept to be told again.
-const MOST_NEWS: usize = 512;
+// Time for which a success is reported.
+const SUCCESS_RETENTION: Duration = Duration::from_secs(10);
+// Maximum number of stored events.
+const MAX_EVENTS: usize = 512;
 
-/// Something to tell the hubs.
+/// An event to report to the hubs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// An instance crashed while it ran a request.
@@ -35,96 +35,96 @@
 }
 
 #[derive(Clone, Debug)]
-struct News {
+struct StoredEvent {
     number: u64,
     at: Moment,
     event: Event,
 }
 
-/// Refuses requests that crash what runs them.
+/// Refuses requests that crash the instances that run them.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     tracker: Tracker,
-    /// Requests that hubs suspect, and since when they say so.
+    // Requests that a hub reported as suspected, and when.
     suspected: BTreeMap<Fingerprint, Moment>,
-    answered: Answered,
-    news: VecDeque<News>,
-    number: u64,
+    answered: RecentAnswers,
+    events: VecDeque<StoredEvent>,
+    newest: u64,
 }
 
 impl Quarantine {
-    /// How much longer a request is refused, if it is.
+    /// Remaining time for which a request is refused; none if it isn't refused.
     #[must_use]
     pub fn refused(&self, now: Moment, request: Fingerprint) -> Option<Duration> {
         self.tracker.refused(now, request)
     }
 
-    /// Whether anything is known of requests for this path; else none is refused.
+    /// Whether there are records of requests for this path. Otherwise, none is refused.
     #[must_use]
     pub fn tracks_path(&self, head: Head) -> bool {
-        let suspected = self.suspected.range(all_of(head)).next();
+        let suspected = self.suspected.range(path_range(head)).next();
         self.tracker.tracks_path(head) || suspected.is_some()
     }
 
-    /// Takes that an instance crashed while it ran a request of this process. Gives the number
-    /// under which that is told.
+    /// Records that an instance crashed while it ran a request of this process. Returns the
+    /// number of the event to report and the resulting decision.
     pub fn record_crash(&mut self, now: Moment, crash: Crash) -> (u64, Outcome) {
         if self.answered.contains(now, crash.request) {
-            return (self.number, Outcome::Answered);
+            return (self.newest, Outcome::Answered);
         }
         let crash = Crash {
-            answered: self.answered.contains(now, crash.request.of_all()),
+            answered: self.answered.contains(now, crash.request.for_all_senders()),
             ..crash
         };
         let outcome = self.tracker.record_crash(now, &crash);
-        (self.tell(now, Event::Crashed(crash)), outcome)
+        (self.push_event(now, Event::Crashed(crash)), outcome)
     }
 
-    /// Takes that an instance has answered a request of this process. Gives whether it was
-    /// suspected.
+    /// Records that an instance answered a request of this process. Returns whether the request
+    /// was suspected.
     pub fn record_success(&mut self, now: Moment, request: Fingerprint) -> bool {
-        self.answered.note(now, request);
-        let one = self.suspected.remove(&request).is_some();
-        let suspected = self.suspected.remove(&request.of_all()).is_some() || one;
+        self.answered.record(now, request);
+        let of_sender = self.suspected.remove(&request).is_some();
+        let suspected = self.suspected.remove(&request.for_all_senders()).is_some() || of_sender;
         if !self.tracker.record_success(now, request) && !suspected {
             return false;
         }
-        let of = |event: &Event| matches!(event, Event::Crashed(c) if c.request == request);
-        self.news.retain(|news| !of(&news.event));
-        self.tell(now, Event::Succeeded(request));
+        let is_crash = |event: &Event| matches!(event, Event::Crashed(c) if c.request == request);
+        self.events.retain(|stored| !is_crash(&stored.event));
+        self.push_event(now, Event::Succeeded(request));
         true
     }
 
-    fn tell(&mut self, now: Moment, event: Event) -> u64 {
-        self.forget(now);
-        self.number += 1;
-        self.news.push_back(News {
-            number: self.number,
+    fn push_event(&mut self, now: Moment, event: Event) -> u64 {
+        self.remove_expired(now);
+        self.newest += 1;
+        self.events.push_back(StoredEvent {
+            number: self.newest,
             at: now,
             event,
         });
-        self.number
+        self.newest
     }
 
-    fn forget(&mut self, now: Moment) {
-        self.news.retain(|news| {
-            let kept = match news.event {
+    fn remove_expired(&mut self, now: Moment) {
+        self.events.retain(|stored| {
+            let retention = match stored.event {
                 Event::Crashed(_) => WINDOW,
-                Event::Succeeded(_) => ACQUITTAL,
+                Event::Succeeded(_) => SUCCESS_RETENTION,
             };
-            now.since(news.at) < kept
+            now.since(stored.at) < retention
         });
         self.suspected.retain(|_, at| now.since(*at) < WINDOW);
-        if self.news.len() >= MOST_NEWS {
-            self.news.pop_front();
+        if self.events.len() >= MAX_EVENTS {
+            self.events.pop_front();
         }
     }
 
-    /// Takes what a hub tells. Gives the requests that are refused from now on.
-    pub fn apply_suspects(&mut self, now: Moment, told: &[Suspect]) -> Vec<Suspect> {
-        self.forget(now);
+    /// Applies the suspects that a hub reported. Returns those that are refused from now on.
+    pub fn apply_suspects(&mut self, now: Moment, suspects: &[Suspect]) -> Vec<Suspect> {
+        self.remove_expired(now);
         let mut refused = Vec::new();
-        for suspect in told {
+        for suspect in suspects {
             if suspect.refused.is_zero() {
                 self.suspected.insert(suspect.request, now);
             } else if self
@@ -140,17 +140,17 @@
     /// The number of the newest event.
     #[must_use]
     pub fn newest(&self) -> u64 {
-        self.number
+        self.newest
     }
 
-    /// What has happened since the event `number`.
+    /// The stored events after the event `number`.
     #[must_use]
     pub fn since(&self, number: u64) -> Vec<Event> {
-        let newer = self.news.iter().filter(|news| news.number > number);
-        newer.map(|news| news.event.clone()).collect()
+        let newer = self.events.iter().filter(|stored| stored.number > number);
+        newer.map(|stored| stored.event.clone()).collect()
     }
 
-    /// The requests that are refused now, for a hub that starts anew.
+    /// The requests that are refused now, for a hub that has restarted.
     #[must_use]
     pub fn refusals(&self, now: Moment) -> Vec<Suspect> {
         let mut suspects = self.tracker.suspects(now);
--- a/crates/quarantine/src/recent_answers.rs
+++ b/crates/quarantine/src/recent_answers.rs
@@ -1,4 +1,4 @@
-//! What instances have answered lately.
+//! The requests that instances answered recently.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -8,37 +8,36 @@
 
 use crate::fingerprint::Fingerprint;
 
-/// Answers that are remembered, each for its sender and for all of them.
-const MOST: usize = 8_192;
-/// For so long an answer speaks for a request: what crashes every instance that runs it is
-/// answered by none.
-const LATELY: Duration = Duration::from_mins(1);
+// Maximum number of entries. Each answer has one for its sender and one for all senders.
+const MAX_ENTRIES: usize = 8_192;
+// Time for which an answer shows that a request isn't the cause of a crash.
+const RETENTION: Duration = Duration::from_mins(1);
 
-/// The last requests that were answered.
+/// A bounded set of recently answered requests.
 #[derive(Clone, Debug, Default)]
-pub struct Answered {
-    known: HashMap<Fingerprint, Moment>,
+pub struct RecentAnswers {
+    answered_at: HashMap<Fingerprint, Moment>,
     order: VecDeque<Fingerprint>,
 }
 
-impl Answered {
-    /// Notes an answer.
-    pub fn note(&mut self, now: Moment, request: Fingerprint) {
-        for request in [request, request.of_all()] {
-            if self.known.insert(request, now).is_none() {
+impl RecentAnswers {
+    /// Records an answer to `request`.
+    pub fn record(&mut self, now: Moment, request: Fingerprint) {
+        for request in [request, request.for_all_senders()] {
+            if self.answered_at.insert(request, now).is_none() {
                 self.order.push_back(request);
             }
         }
-        while self.order.len() > MOST {
+        while self.order.len() > MAX_ENTRIES {
             let oldest = self.order.pop_front();
-            self.known.remove(&oldest.unwrap_or(request));
+            self.answered_at.remove(&oldest.unwrap_or(request));
         }
     }
 
-    /// Whether a request was answered lately.
+    /// Whether `request` was answered recently.
     #[must_use]
     pub fn contains(&self, now: Moment, request: Fingerprint) -> bool {
-        let at = self.known.get(&request);
-        at.is_some_and(|at| now.since(*at) < LATELY)
+        let at = self.answered_at.get(&request);
+        at.is_some_and(|at| now.since(*at) < RETENTION)
     }
 }
--- a/crates/quarantine/src/tracker.rs
+++ b/crates/quarantine/src/tracker.rs
@@ -1,12 +1,12 @@
-//! Which requests crash the instances that run them: a pure state machine.
+//! Decides which requests crash the instances that run them, as a state machine without I/O.
 //!
-//! An instance takes all requests with it that it runs, so that a crash says little of any of
-//! them. A request is refused once several instances have crashed under it and it has
-//! succeeded nowhere. Where the service's instances crash without it more often than with
-//! it, something else is at work, and more crashes are asked for.
+//! A crashing instance interrupts all requests that it runs, so a single crash says little about
+//! any of them. A request is refused once several instances have crashed while running it and
+//! none has answered it. If more of the service's instances crash without the request than with
+//! it, another cause is likely, and more crashes are required.
 //!
-//! One sender's request is counted by itself, and together with what others send for the same
-//! path with the same body: a caller may come again from another address.
+//! Crashes are counted per sender, and for all senders of requests with the same host, path
+//! and body, because a caller may return with another address.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -19,140 +19,141 @@
 use crate::fingerprint::Fingerprint;
 use crate::fingerprint::Head;
 
-/// Crashes after which a request is refused.
-pub const CRASHES: usize = 3;
-/// The same where the service's instances crash more often without it.
-pub const CRASHES_AMONG_OTHERS: usize = 4;
-/// Crashes after which a request is refused to all its senders, whoever comes next: one more
-/// than where it is one sender's alone, of whose third crash others may tell first.
-pub const CRASHES_OF_ALL: usize = 4;
-/// Crashes from which on a request is told to all, so that a success anywhere acquits it.
-pub const SUSPECT: usize = 2;
-/// How long a crash counts.
+/// Number of crashes at which a request is refused.
+pub const MIN_CRASHES: usize = 3;
+/// The same if more of the service's instances crash without the request than with it.
+pub const MIN_CRASHES_AMONG_OTHERS: usize = 4;
+/// Number of crashes at which a request is refused for all senders. One more than for one
+/// sender, because crashes may be reported for other senders first, before the third one of the
+/// sender that causes them.
+pub const MIN_CRASHES_ALL_SENDERS: usize = 4;
+/// Number of crashes at which a request is reported as suspected, so that an answer
+/// received by any process clears it.
+pub const MIN_SUSPECT_CRASHES: usize = 2;
+/// Time for which a crash counts.
 pub const WINDOW: Duration = Duration::from_mins(10);
-/// Crashes so long before the first one under a request have the same cause, if it is another.
-const PRELUDE: Duration = Duration::from_secs(5);
-/// How long a request is refused at first; each time after that twice as long. Then it is
-/// tried again, as its cause may be mended: one more crash is enough.
-pub const REFUSAL: Duration = Duration::from_mins(2);
-/// Longest refusal.
-pub const MOST_REFUSAL: Duration = Duration::from_hours(1);
-/// Requests that are kept; the ones that have crashed something longest ago give way.
-const MOST_REQUESTS: usize = 1_024;
-/// Crashes that are kept.
-const MOST_CRASHES: usize = 4_096;
-/// Requests that are told of as refused, and as suspected: those that crashed something last.
-const MOST_TOLD: [usize; 2] = [256, 32];
+// Other crashes count from this long before the first crash under a request.
+const OTHER_CRASHES_LEAD: Duration = Duration::from_secs(5);
+/// Duration of the first refusal. Afterwards the request is allowed again, because the defect
+/// may be fixed; one more crash refuses it for twice as long.
+pub const INITIAL_REFUSAL: Duration = Duration::from_mins(2);
+/// Maximum duration of a refusal.
+pub const MAX_REFUSAL: Duration = Duration::from_hours(1);
+// Maximum number of records; those with the oldest crash or refusal are evicted.
+const MAX_RECORDS: usize = 1_024;
+// Maximum number of stored crashes.
+const MAX_CRASHES: usize = 4_096;
+// Maximum numbers of refused and of suspected requests that are reported.
+const MAX_SUSPECTS: [usize; 2] = [256, 32];
 
-/// One start of an instance.
+/// One run of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceRun {
     /// The instance.
     pub instance: InstanceId,
-    /// Rises with each start under the same id.
+    /// Increases with each start of an instance with the same id.
     pub incarnation: u64,
 }
 
 /// An instance that crashed while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// The request.
+    /// The request that the instance ran.
     pub request: Fingerprint,
-    /// The instance's service.
+    /// The service of the instance.
     pub service: ServiceName,
-    /// The instance.
+    /// The run that ended with the crash.
     pub run: InstanceRun,
-    /// When it crashed.
+    /// When the instance crashed.
     pub at: Moment,
-    /// Somebody got an answer for the same path and body lately.
+    /// Whether another request for the same host, path and body was answered recently.
     pub answered: bool,
 }
 
-/// What a crash led to.
+/// The decision on a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was known.
+    /// The crash was recorded before.
     Known,
-    /// An instance has answered the request lately, so something else was the cause.
+    /// The request was answered recently, so it isn't the cause.
     Answered,
-    /// So many instances have crashed under the request, and so many others without it.
+    /// The crash was counted and the request isn't refused.
     Counted {
-        /// Under the request.
+        /// Instances that crashed while running the request.
         crashes: usize,
-        /// Without it.
+        /// Other instances of the service that crashed.
         others: usize,
     },
     /// The request is refused from now on.
     Refused {
-        /// Instances that have crashed under it.
+        /// Instances that crashed while running the request.
         crashes: usize,
-        /// For so long.
+        /// Duration of the refusal.
         span: Duration,
     },
 }
 
-/// A request that others are told of.
+/// A refused or suspected request, as reported to other processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Suspect {
     /// The request.
     pub request: Fingerprint,
-    /// How much longer it is refused; zero where it isn't.
+    /// Remaining time of the refusal; zero if the request is only suspected.
     pub refused: Duration,
 }
 
-/// What is known of one request, or of the same one of all senders.
+// The crashes and the refusal of one request, or of the same request of all senders.
 #[derive(Clone, Debug, Default)]
 struct Record {
-    /// The instances that crashed under it, each with its senders.
-    lives: BTreeMap<InstanceRun, BTreeSet<u64>>,
-    /// When it last crashed an instance.
-    last: Moment,
-    /// How often it was refused.
+    // The runs that crashed, each with the senders of the request.
+    runs: BTreeMap<InstanceRun, BTreeSet<u64>>,
+    last_crash: Moment,
+    // Number of refusals so far.
     refusals: u32,
-    /// Until when it is refused.
-    until: Moment,
+    refused_until: Moment,
 }
 
 impl Record {
     fn is_refused(&self, now: Moment) -> bool {
-        now < self.until
+        now < self.refused_until
     }
 
-    fn is_told(&self, now: Moment) -> bool {
-        self.is_refused(now) || self.lives.len() >= SUSPECT
+    fn is_reported(&self, now: Moment) -> bool {
+        self.is_refused(now) || self.runs.len() >= MIN_SUSPECT_CRASHES
     }
 
-    fn is_kept(&self, now: Moment) -> bool {
-        now.since(self.last.max(self.until)) < WINDOW
+    fn is_retained(&self, now: Moment) -> bool {
+        now.since(self.last_crash.max(self.refused_until)) < WINDOW
     }
 
-    /// Takes a crash; gives whether it is news.
-    fn note(&mut self, crash: &Crash) -> bool {
-        self.last = self.last.max(crash.at);
-        let senders = self.lives.entry(crash.run.clone()).or_default();
+    // Adds a crash. Returns false if it was known.
+    fn add_crash(&mut self, crash: &Crash) -> bool {
+        self.last_crash = self.last_crash.max(crash.at);
+        let senders = self.runs.entry(crash.run.clone()).or_default();
         senders.insert(crash.request.sender)
     }
 
     fn refuse(&mut self, now: Moment) -> Duration {
-        let span = REFUSAL.saturating_mul(1_u32.checked_shl(self.refusals).unwrap_or(u32::MAX));
-        let span = span.min(MOST_REFUSAL);
+        let span =
+            INITIAL_REFUSAL.saturating_mul(1_u32.checked_shl(self.refusals).unwrap_or(u32::MAX));
+        let span = span.min(MAX_REFUSAL);
         self.refusals += 1;
-        self.until = now + span;
+        self.refused_until = now + span;
         span
     }
 }
 
-/// Numbers the changes of what is told.
+/// Version of the reported suspects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Revision {
-    /// Of the newest change.
+    /// Incremented with each change.
     pub newest: u64,
-    /// Of the newest refusal.
+    /// The value of `newest` at the last new refusal.
     pub refusal: u64,
 }
 
 impl Revision {
-    fn rise(&mut self, refused: bool) {
+    fn increment(&mut self, refused: bool) {
         self.newest += 1;
         if refused {
             self.refusal = self.newest;
@@ -169,170 +170,188 @@
 }
 
 impl Tracker {
-    /// Rises with each change of what is told.
+    /// The version of [`Self::suspects`].
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Takes that an instance crashed while it ran a request.
+    /// Records that an instance crashed while it ran a request.
     pub fn record_crash(&mut self, now: Moment, crash: &Crash) -> Outcome {
-        self.forget(now);
-        let told = (crash.service.clone(), crash.at);
-        self.crashes.insert(crash.run.clone(), told);
-        if !self.records.entry(crash.request).or_default().note(crash) {
+        self.remove_expired(now);
+        let stored = (crash.service.clone(), crash.at);
+        self.crashes.insert(crash.run.clone(), stored);
+        if !self
+            .records
+            .entry(crash.request)
+            .or_default()
+            .add_crash(crash)
+        {
             return Outcome::Known;
         }
-        let outcome = self.judge(now, crash, crash.request);
-        let all = crash.request.of_all();
+        let outcome = self.evaluate(now, crash, crash.request);
+        let all = crash.request.for_all_senders();
         if crash.answered {
             self.records.remove(&all);
             return outcome;
         }
-        self.records.entry(all).or_default().note(crash);
+        self.records.entry(all).or_default().add_crash(crash);
         if matches!(outcome, Outcome::Refused { .. }) {
             return outcome;
         }
-        match self.judge(now, crash, all) {
+        match self.evaluate(now, crash, all) {
             refused @ Outcome::Refused { .. } => refused,
             _ => outcome,
         }
     }
 
-    /// Refuses `request`, which `crash` counts for, if that is due.
-    fn judge(&mut self, now: Moment, crash: &Crash, request: Fingerprint) -> Outcome {
-        let lives = self.counted(request);
-        let crashes = lives.len();
-        let others = self.others(&crash.service, &lives);
+    // Refuses `request` if it has enough crashes. `crash` counts for it.
+    fn evaluate(&mut self, now: Moment, crash: &Crash, request: Fingerprint) -> Outcome {
+        let runs = self.counted_runs(request);
+        let crashes = runs.len();
+        let others = self.count_other_crashes(&crash.service, &runs);
         let record = self.records.entry(request).or_default();
-        // One that was sent before the refusal tells nothing new.
-        let again = record.refusals > 0 && crash.at >= record.until;
-        let needed = if request.is_of_all() {
-            CRASHES_OF_ALL
+        // Ignores crashes under requests that were sent before the refusal.
+        let after_refusal = record.refusals > 0 && crash.at >= record.refused_until;
+        let needed = if request.is_for_all_senders() {
+            MIN_CRASHES_ALL_SENDERS
         } else if others > crashes {
-            CRASHES_AMONG_OTHERS
+            MIN_CRASHES_AMONG_OTHERS
         } else {
-            CRASHES
+            MIN_CRASHES
         };
-        if again || (record.refusals == 0 && crashes >= needed) {
-            self.revision.rise(true);
+        if after_refusal || (record.refusals == 0 && crashes >= needed) {
+            self.revision.increment(true);
             let span = record.refuse(now);
             return Outcome::Refused { crashes, span };
         }
-        if crashes >= SUSPECT {
-            self.revision.rise(false);
+        if crashes >= MIN_SUSPECT_CRASHES {
+            self.revision.increment(false);
         }
         Outcome::Counted { crashes, others }
     }
 
-    /// The instances that speak against a request. Where it is that of all senders, one that is
-    /// refused by itself is the cause alone.
-    fn counted(&self, request: Fingerprint) -> BTreeSet<InstanceRun> {
+    // The crashed runs that count for a request. If it stands for all senders, runs whose senders
+    // were all refused on their own don't count.
+    fn counted_runs(&self, request: Fingerprint) -> BTreeSet<InstanceRun> {
         let Some(record) = self.records.get(&request) else {
             return BTreeSet::new();
         };
-        let alone = |sender: u64| {
+        let is_refused = |sender: u64| {
             let one = Fingerprint { sender, ..request };
-            request.is_of_all() && self.records.get(&one).is_some_and(|r| r.refusals > 0)
+            request.is_for_all_senders() && self.records.get(&one).is_some_and(|r| r.refusals > 0)
         };
-        let counts = |by: &BTreeSet<u64>| by.iter().any(|sender| !alone(*sender));
-        let lives = record.lives.iter().filter(|(_, by)| counts(by));
-        lives.map(|(run, _)| run.clone()).collect()
+        let counts = |senders: &BTreeSet<u64>| senders.iter().any(|sender| !is_refused(*sender));
+        let runs = record.runs.iter().filter(|(_, senders)| counts(senders));
+        runs.map(|(run, _)| run.clone()).collect()
     }
 
-    /// Instances of the service that crashed beside `lives`, from shortly before the first of
-    /// these on.
-    fn others(&self, service: &ServiceName, lives: &BTreeSet<InstanceRun>) -> usize {
+    // Number of crashes of the service's instances other than `runs`, from shortly before the
+    // first of them.
+    fn count_other_crashes(&self, service: &ServiceName, runs: &BTreeSet<InstanceRun>) -> usize {
         let at = |run: &InstanceRun| self.crashes.get(run).map(|(_, at)| *at);
-        let first = lives.iter().filter_map(at).min();
-        let Some(from) = first.map(|first| first.before(PRELUDE)) else {
+        let first = runs.iter().filter_map(at).min();
+        let Some(from) = first.map(|first| first.before(OTHER_CRASHES_LEAD)) else {
             return 0;
         };
         let others = self
             .crashes
             .iter()
-            .filter(|(run, (of, at))| of == service && *at >= from && !lives.contains(*run));
+            .filter(|(run, (of, at))| of == service && *at >= from && !runs.contains(*run));
         others.count()
     }
 
-    /// Takes that an instance has answered a request: whatever crashed before, it wasn't the
-    /// request, nor what all its senders ask for. Gives whether that is news.
+    /// Records that an instance answered a request, which clears it for its sender and for all
+    /// senders. Returns whether there was a record of it.
     pub fn record_success(&mut self, now: Moment, request: Fingerprint) -> bool {
-        let mut news = false;
-        for request in [request, request.of_all()] {
+        let mut found = false;
+        for request in [request, request.for_all_senders()] {
             if let Some(record) = self.records.remove(&request) {
-                if record.is_told(now) {
-                    self.revision.rise(false);
+                if record.is_reported(now) {
+                    self.revision.increment(false);
                 }
-                news = true;
+                found = true;
             }
         }
-        news
+        found
     }
 
-    /// Takes that another process refuses a request, for so long. Gives whether that is
-    /// news.
-    pub fn record_refusal(&mut self, now: Moment, request: Fingerprint, left: Duration) -> bool {
+    /// Records that another process refuses a request for `remaining`. Returns whether the
+    /// request was not refused here.
+    pub fn record_refusal(
+        &mut self,
+        now: Moment,
+        request: Fingerprint,
+        remaining: Duration,
+    ) -> bool {
         let record = self.records.entry(request).or_default();
-        let news = !record.is_refused(now);
-        // Messages take time, and each process counts for itself.
-        record.until = record.until.max(now + left.min(MOST_REFUSAL));
+        let is_new = !record.is_refused(now);
+        // Keeps the latest end, because messages are delayed and each process decides by itself.
+        record.refused_until = record.refused_until.max(now + remaining.min(MAX_REFUSAL));
         record.refusals = record.refusals.max(1);
-        if news {
-            self.revision.rise(true);
+        if is_new {
+            self.revision.increment(true);
         }
-        news
+        is_new
     }
 
-    /// How much longer a request is refused, if it is.
+    /// Remaining time for which a request is refused; none if it isn't refused.
     #[must_use]
     pub fn refused(&self, now: Moment, request: Fingerprint) -> Option<Duration> {
-        let records = [request, request.of_all()].map(|request| self.records.get(&request));
-        let until = records.into_iter().flatten().map(|record| record.until);
+        let records =
+            [request, request.for_all_senders()].map(|request| self.records.get(&request));
+        let until = records
+            .into_iter()
+            .flatten()
+            .map(|record| record.refused_until);
         let until = until.max().filter(|until| now < *until)?;
         Some(until.since(now))
     }
 
-    /// Whether anything is known of requests for this path.
+    /// Whether there are records of requests for this path.
     #[must_use]
     pub fn tracks_path(&self, head: Head) -> bool {
-        self.records.range(all_of(head)).next().is_some()
+        self.records.range(path_range(head)).next().is_some()
     }
 
-    /// What others are told: the requests that are refused first, the longest ones before.
+    /// The requests to report to other processes: the refused ones with the longest remaining
+    /// refusals, then the suspected ones with the latest crashes.
     #[must_use]
     pub fn suspects(&self, now: Moment) -> Vec<Suspect> {
-        let told = self
+        let reported = self
             .records
             .iter()
-            .filter(|(_, record)| record.is_told(now));
+            .filter(|(_, record)| record.is_reported(now));
         let (mut refused, mut suspected): (Vec<_>, Vec<_>) =
-            told.partition(|(_, record)| record.is_refused(now));
-        refused.sort_by_key(|(_, record)| Reverse(record.until));
-        suspected.sort_by_key(|(_, record)| Reverse(record.last));
-        let [most_refused, most_suspected] = MOST_TOLD;
-        refused.truncate(most_refused);
-        suspected.truncate(most_suspected);
+            reported.partition(|(_, record)| record.is_refused(now));
+        refused.sort_by_key(|(_, record)| Reverse(record.refused_until));
+        suspected.sort_by_key(|(_, record)| Reverse(record.last_crash));
+        let [max_refused, max_suspected] = MAX_SUSPECTS;
+        refused.truncate(max_refused);
+        suspected.truncate(max_suspected);
         let all = refused.into_iter().chain(suspected);
         all.map(|(request, record)| Suspect {
             request: *request,
-            refused: record.until.since(now),
+            refused: record.refused_until.since(now),
         })
         .collect()
     }
 
-    /// Forgets what is long ago, and what is too much.
-    pub fn forget(&mut self, now: Moment) {
-        self.records.retain(|_, record| record.is_kept(now));
+    /// Removes expired records and crashes, and the oldest ones beyond the maximum numbers.
+    pub fn remove_expired(&mut self, now: Moment) {
+        self.records.retain(|_, record| record.is_retained(now));
         self.crashes.retain(|_, (_, at)| now.since(*at) < WINDOW);
-        while self.records.len() >= MOST_REQUESTS {
-            let oldest = self.records.iter().min_by_key(|(_, r)| r.last.max(r.until));
+        while self.records.len() >= MAX_RECORDS {
+            let oldest = self
+                .records
+                .iter()
+                .min_by_key(|(_, r)| r.last_crash.max(r.refused_until));
             let Some(request) = oldest.map(|(request, _)| *request) else {
                 return;
             };
             self.records.remove(&request);
         }
-        while self.crashes.len() >= MOST_CRASHES {
+        while self.crashes.len() >= MAX_CRASHES {
             let oldest = self.crashes.iter().min_by_key(|(_, (_, at))| *at);
             let Some(run) = oldest.map(|(run, _)| run.clone()) else {
                 return;
@@ -342,8 +361,8 @@
     }
 }
 
-/// The requests for one path.
-pub(crate) fn all_of(head: Head) -> RangeInclusive<Fingerprint> {
+// The fingerprints of all requests for a path.
+pub(crate) fn path_range(head: Head) -> RangeInclusive<Fingerprint> {
     let [first, last] = [0, u64::MAX].map(|rest| Fingerprint {
         path: head.path,
         body: rest,
--- a/crates/quarantine/tests/common/mod.rs
+++ b/crates/quarantine/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Requests, moments and crashes by name and number.
+//! Constructors of requests, times and crashes.
 
 use base::prelude::*;
 use quarantine::Crash;
@@ -14,7 +14,7 @@
     Fingerprint::new(head(name), [])
 }
 
-/// The same request of another sender.
+/// The same request of the given sender.
 pub fn request_of(name: &str, caller: u8) -> Fingerprint {
     Fingerprint::new(
         Head::new(&caller.to_string(), "GET", "example.org", name),
@@ -29,9 +29,9 @@
 pub fn crash(name: &str, instance: u64, seconds: u64) -> Crash {
     Crash {
         request: request(name),
-        service: ServiceName::new("status").expect("a name"),
+        service: ServiceName::new("status").expect("a valid name"),
         run: InstanceRun {
-            instance: InstanceId::new(&format!("i-{instance}")).expect("a name"),
+            instance: InstanceId::new(&format!("i-{instance}")).expect("a valid name"),
             incarnation: 0,
         },
         at: at(seconds),
--- a/crates/quarantine/tests/test_quarantine.rs
+++ b/crates/quarantine/tests/test_quarantine.rs
@@ -1,4 +1,4 @@
-//! What a process knows by itself, hears of hubs and tells them.
+//! What a process refuses by itself and on behalf of hubs, and what it reports to them.
 
 mod common;
 
@@ -21,84 +21,91 @@
     }
 }
 
-/// No hub answers, and one process has all the crashes.
+/// Guards against a process that refuses nothing while no hub answers.
 #[test]
 fn test_quarantine_refuses_by_itself() {
-    let mut held = Quarantine::default();
+    let mut quarantine = Quarantine::default();
     for instance in 1..=3 {
-        held.record_crash(at(0), crash("bad", instance, 0));
+        quarantine.record_crash(at(0), crash("bad", instance, 0));
     }
-    assert!(held.refused(at(1), request("bad")).is_some());
-    assert_eq!(held.refusals(at(1)).len(), 1);
+    assert!(quarantine.refused(at(1), request("bad")).is_some());
+    assert_eq!(quarantine.refusals(at(1)).len(), 1);
 }
 
 #[test]
-fn test_quarantine_refuses_what_any_hub_says() {
-    let mut held = Quarantine::default();
+fn test_quarantine_applies_suspects_of_any_hub() {
+    let mut quarantine = Quarantine::default();
     assert_eq!(
-        held.apply_suspects(at(0), &[suspect("bad", 60), suspect("maybe", 0)]),
+        quarantine.apply_suspects(at(0), &[suspect("bad", 60), suspect("maybe", 0)]),
         [suspect("bad", 60)]
     );
-    // A hub that knows nothing takes nothing back.
-    assert!(held.apply_suspects(at(1), &[]).is_empty());
-    assert!(held.apply_suspects(at(1), &[suspect("bad", 59)]).is_empty());
-    assert!(held.refused(at(59), request("bad")).is_some());
-    assert!(held.refused(at(61), request("bad")).is_none());
-    assert!(held.refused(at(1), request("maybe")).is_none());
+    // A hub without suspects revokes nothing.
+    assert!(quarantine.apply_suspects(at(1), &[]).is_empty());
+    assert!(
+        quarantine
+            .apply_suspects(at(1), &[suspect("bad", 59)])
+            .is_empty()
+    );
+    assert!(quarantine.refused(at(59), request("bad")).is_some());
+    assert!(quarantine.refused(at(61), request("bad")).is_none());
+    assert!(quarantine.refused(at(1), request("maybe")).is_none());
 }
 
 #[test]
-fn test_quarantine_tells_of_crashes_from_any_number_on() {
-    let mut held = Quarantine::default();
-    let (first, _) = held.record_crash(at(0), crash("bad", 1, 0));
-    held.record_crash(at(0), crash("bad", 2, 0));
-    assert_eq!(held.since(first), [Event::Crashed(crash("bad", 2, 0))]);
-    assert_eq!(held.since(0).len(), 2);
-    assert!(held.since(held.newest()).is_empty());
+fn test_quarantine_reports_events_since_any_number() {
+    let mut quarantine = Quarantine::default();
+    let (first, _) = quarantine.record_crash(at(0), crash("bad", 1, 0));
+    quarantine.record_crash(at(0), crash("bad", 2, 0));
+    assert_eq!(
+        quarantine.since(first),
+        [Event::Crashed(crash("bad", 2, 0))]
+    );
+    assert_eq!(quarantine.since(0).len(), 2);
+    assert!(quarantine.since(quarantine.newest()).is_empty());
 }
 
-/// Many callers ask for the same here, and get it: a crash beside them isn't theirs.
+/// Guards against refusing a popular path because instances crash while they run it.
 #[test]
-fn test_quarantine_tells_whether_the_path_was_answered() {
-    let mut held = Quarantine::default();
-    assert!(!held.record_success(at(0), request_of("popular", 9)));
-    held.record_crash(at(0), crash("popular", 1, 0));
-    held.record_crash(at(0), crash("new", 1, 0));
-    let answered = held.since(0).into_iter().map(|event| match event {
+fn test_quarantine_reports_whether_the_path_was_answered() {
+    let mut quarantine = Quarantine::default();
+    assert!(!quarantine.record_success(at(0), request_of("popular", 9)));
+    quarantine.record_crash(at(0), crash("popular", 1, 0));
+    quarantine.record_crash(at(0), crash("new", 1, 0));
+    let answered = quarantine.since(0).into_iter().map(|event| match event {
         Event::Crashed(crash) => crash.answered,
-        Event::Succeeded(_) => panic!("nobody is suspected"),
+        Event::Succeeded(_) => panic!("no request was suspected"),
     });
     assert_eq!(answered.collect::<Vec<_>>(), [true, false]);
 }
 
-/// Crashes come so fast one after the other that no hub has told of the first ones yet.
+/// Guards against refusing a request that works, when crashes are faster than the hubs' reports.
 #[test]
-fn test_quarantine_request_that_was_answered_lately_is_not_counted() {
-    let mut held = Quarantine::default();
-    held.record_success(at(0), request("good"));
+fn test_quarantine_ignores_crashes_of_recently_answered_request() {
+    let mut quarantine = Quarantine::default();
+    quarantine.record_success(at(0), request("good"));
     for instance in 1..=10 {
-        let (number, outcome) = held.record_crash(at(1), crash("good", instance, 1));
+        let (number, outcome) = quarantine.record_crash(at(1), crash("good", instance, 1));
         assert_eq!((number, outcome), (0, Outcome::Answered));
     }
-    // What changed since may have made it crash.
+    // After a minute the answer doesn't count any more.
     for instance in 11..=13 {
-        held.record_crash(at(61), crash("good", instance, 61));
+        quarantine.record_crash(at(61), crash("good", instance, 61));
     }
-    assert!(held.refused(at(61), request("good")).is_some());
+    assert!(quarantine.refused(at(61), request("good")).is_some());
 }
 
-/// A hub suspects a request by what other processes told; it is answered here.
+/// Guards against keeping a suspicion of another process after an answer in this one.
 #[test]
-fn test_quarantine_acquits_what_was_answered() {
-    let mut held = Quarantine::default();
-    held.record_crash(at(0), crash("own", 1, 0));
-    held.apply_suspects(at(0), &[suspect("other", 0)]);
-    assert!(held.tracks_path(head("other")));
-    assert!(held.record_success(at(1), request("own")));
-    assert!(held.record_success(at(1), request("other")));
-    assert!(!held.record_success(at(1), request("other")));
-    assert!(!held.tracks_path(head("other")));
-    // A hub that is told everything again doesn't hear of the crash.
+fn test_quarantine_clears_answered_requests() {
+    let mut quarantine = Quarantine::default();
+    quarantine.record_crash(at(0), crash("own", 1, 0));
+    quarantine.apply_suspects(at(0), &[suspect("other", 0)]);
+    assert!(quarantine.tracks_path(head("other")));
+    assert!(quarantine.record_success(at(1), request("own")));
+    assert!(quarantine.record_success(at(1), request("other")));
+    assert!(!quarantine.record_success(at(1), request("other")));
+    assert!(!quarantine.tracks_path(head("other")));
+    // The crash is no longer reported, even to a hub that has lost all events.
     let answered = ["own", "other"].map(|name| Event::Succeeded(request(name)));
-    assert_eq!(held.since(0), answered);
+    assert_eq!(quarantine.since(0), answered);
 }
--- a/crates/quarantine/tests/test_tracker.rs
+++ b/crates/quarantine/tests/test_tracker.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused, whatever the order in which crashes are told.
+//! Which requests are refused, for any order of reported crashes.
 
 mod common;
 
@@ -16,16 +16,16 @@
 use quarantine::Outcome;
 use quarantine::Suspect;
 use quarantine::Tracker;
-use quarantine::tracker::CRASHES;
-use quarantine::tracker::CRASHES_AMONG_OTHERS;
-use quarantine::tracker::CRASHES_OF_ALL;
-use quarantine::tracker::MOST_REFUSAL;
-use quarantine::tracker::REFUSAL;
+use quarantine::tracker::INITIAL_REFUSAL;
+use quarantine::tracker::MAX_REFUSAL;
+use quarantine::tracker::MIN_CRASHES;
+use quarantine::tracker::MIN_CRASHES_ALL_SENDERS;
+use quarantine::tracker::MIN_CRASHES_AMONG_OTHERS;
 use quarantine::tracker::WINDOW;
 use quickcheck::quickcheck;
 
-/// Tells of a crash as it happens.
-fn tell(tracker: &mut Tracker, name: &str, instance: u64, seconds: u64) -> Outcome {
+/// Records a crash at the time at which it happens.
+fn record(tracker: &mut Tracker, name: &str, instance: u64, seconds: u64) -> Outcome {
     tracker.record_crash(at(seconds), &crash(name, instance, seconds))
 }
 
@@ -36,15 +36,15 @@
 #[test]
 fn test_tracker_request_is_refused_after_the_third_instance() {
     let mut tracker = Tracker::default();
-    for instance in 1..CRASHES as u64 {
-        let outcome = tell(&mut tracker, "bad", instance, instance);
+    for instance in 1..MIN_CRASHES as u64 {
+        let outcome = record(&mut tracker, "bad", instance, instance);
         assert!(matches!(outcome, Outcome::Counted { others: 0, .. }));
         assert!(!is_refused(&tracker, "bad", instance));
     }
-    let outcome = tell(&mut tracker, "bad", 3, 3);
+    let outcome = record(&mut tracker, "bad", 3, 3);
     let refused = Outcome::Refused {
-        crashes: CRASHES,
-        span: REFUSAL,
+        crashes: MIN_CRASHES,
+        span: INITIAL_REFUSAL,
     };
     assert_eq!(outcome, refused);
     assert!(is_refused(&tracker, "bad", 4));
@@ -53,16 +53,16 @@
     assert!(!tracker.tracks_path(head("good")));
 }
 
-/// Copies of a request run at one instance, and each process that had one tells of it.
+/// Guards against counting one crash several times because several processes report it.
 #[test]
 fn test_tracker_instance_counts_once_for_a_request() {
     let mut tracker = Tracker::default();
     for seconds in 0..10 {
-        tell(&mut tracker, "twice", 1, seconds);
+        record(&mut tracker, "twice", 1, seconds);
     }
-    assert_eq!(tell(&mut tracker, "twice", 1, 10), Outcome::Known);
+    assert_eq!(record(&mut tracker, "twice", 1, 10), Outcome::Known);
     assert!(!is_refused(&tracker, "twice", 10));
-    // The same instance after a restart is another one.
+    // After a restart, the same instance counts again.
     for incarnation in 1..3 {
         let mut again = crash("twice", 1, 11);
         again.run.incarnation = incarnation;
@@ -71,13 +71,12 @@
     assert!(is_refused(&tracker, "twice", 11));
 }
 
-/// An innocent request runs beside the one that crashes instances, is answered elsewhere, and
-/// comes again.
+/// Guards against refusing a request that only ran next to one that crashes instances.
 #[test]
-fn test_tracker_request_that_was_answered_starts_anew() {
+fn test_tracker_answered_request_starts_anew() {
     let mut tracker = Tracker::default();
     for instance in 1..20 {
-        tell(&mut tracker, "innocent", instance, instance);
+        record(&mut tracker, "innocent", instance, instance);
         if instance % 2 == 0 {
             assert!(tracker.record_success(at(instance), request("innocent")));
         }
@@ -86,118 +85,120 @@
     assert!(!tracker.record_success(at(20), request("never seen")));
 }
 
-/// Instances go down by themselves, again and again, and requests that nobody
-/// else sends are under them.
+/// Guards against refusing a request because instances crash repeatedly for another reason.
 #[test]
-fn test_tracker_request_among_crashes_of_another_cause_needs_more() {
+fn test_tracker_request_among_other_crashes_needs_more() {
     let mut tracker = Tracker::default();
     for instance in 1..=10 {
-        tell(&mut tracker, &format!("other-{instance}"), instance, 1);
+        record(&mut tracker, &format!("other-{instance}"), instance, 1);
     }
-    for instance in 21..21 + CRASHES_AMONG_OTHERS as u64 - 1 {
-        tell(&mut tracker, "unlucky", instance, 2);
+    for instance in 21..21 + MIN_CRASHES_AMONG_OTHERS as u64 - 1 {
+        record(&mut tracker, "unlucky", instance, 2);
         assert!(!is_refused(&tracker, "unlucky", 2), "{instance}");
     }
-    tell(&mut tracker, "unlucky", 40, 3);
+    record(&mut tracker, "unlucky", 40, 3);
     assert!(is_refused(&tracker, "unlucky", 3));
 }
 
-/// Crashes of another service, or of long before, have another cause.
+/// Guards against a higher threshold due to crashes of other services or of long before.
 #[test]
-fn test_tracker_only_near_crashes_of_the_service_speak_for_a_request() {
+fn test_tracker_ignores_other_crashes_of_other_services_and_times() {
     let mut tracker = Tracker::default();
     for instance in 1..=10 {
-        tell(&mut tracker, "before", instance, 1);
+        record(&mut tracker, "before", instance, 1);
         let mut other = crash("elsewhere", 100 + instance, 100);
         other.service = ServiceName::new("grants").expect("a name");
         tracker.record_crash(at(100), &other);
     }
     for instance in 21..24 {
-        tell(&mut tracker, "bad", instance, 100);
+        record(&mut tracker, "bad", instance, 100);
     }
     assert!(is_refused(&tracker, "bad", 100));
 }
 
-/// What crashed instances may have been mended: it is tried again, later each time.
+/// Guards against refusing a fixed request forever, and against allowing a bad one too often.
 #[test]
-fn test_tracker_refusal_ends_and_one_more_crash_renews_it_for_longer() {
+fn test_tracker_crash_after_refusal_renews_it_for_longer() {
     let mut tracker = Tracker::default();
     for instance in 1..=3 {
-        tell(&mut tracker, "bad", instance, 0);
+        record(&mut tracker, "bad", instance, 0);
     }
     let (mut now, mut instance) = (0, 10);
-    let mut span = REFUSAL;
-    while span < MOST_REFUSAL {
+    let mut span = INITIAL_REFUSAL;
+    while span < MAX_REFUSAL {
         now += span.as_secs();
         assert!(!is_refused(&tracker, "bad", now));
-        span = (span * 2).min(MOST_REFUSAL);
+        span = (span * 2).min(MAX_REFUSAL);
         instance += 1;
-        let outcome = tell(&mut tracker, "bad", instance, now);
+        let outcome = record(&mut tracker, "bad", instance, now);
         assert!(matches!(outcome, Outcome::Refused { span: s, .. } if s == span));
     }
 }
 
-/// One that was on its way when the refusal began renews nothing.
+/// Guards against extending a refusal by requests that were in flight when it began.
 #[test]
-fn test_tracker_crash_of_before_the_refusal_doesnt_lengthen_it() {
+fn test_tracker_earlier_crash_does_not_extend_refusal() {
     let mut tracker = Tracker::default();
     for instance in 1..=5 {
-        tell(&mut tracker, "bad", instance, 0);
+        record(&mut tracker, "bad", instance, 0);
     }
     assert_eq!(
         tracker.refused(at(0), request("bad")),
-        Some(REFUSAL),
-        "told of two more"
+        Some(INITIAL_REFUSAL),
+        "after two more crashes"
     );
 }
 
 #[test]
-fn test_tracker_crashes_of_long_ago_are_forgotten() {
+fn test_tracker_old_crashes_expire() {
     let mut tracker = Tracker::default();
-    tell(&mut tracker, "rare", 1, 0);
-    tell(&mut tracker, "rare", 2, 1);
+    record(&mut tracker, "rare", 1, 0);
+    record(&mut tracker, "rare", 2, 1);
     let later = WINDOW.as_secs() + 2;
-    tell(&mut tracker, "rare", 3, later);
+    record(&mut tracker, "rare", 3, later);
     assert!(!is_refused(&tracker, "rare", later));
 }
 
 #[test]
-fn test_tracker_learns_refusals_of_others() {
+fn test_tracker_applies_refusals_of_other_processes() {
     let mut tracker = Tracker::default();
-    let left = Duration::from_secs(50);
-    assert!(tracker.record_refusal(at(0), request("bad"), left));
-    assert!(!tracker.record_refusal(at(1), request("bad"), left));
+    let remaining = Duration::from_secs(50);
+    assert!(tracker.record_refusal(at(0), request("bad"), remaining));
+    assert!(!tracker.record_refusal(at(1), request("bad"), remaining));
     assert!(is_refused(&tracker, "bad", 50));
     assert!(!is_refused(&tracker, "bad", 51));
-    // It was tried again, and nothing has changed.
-    let outcome = tell(&mut tracker, "bad", 1, 52);
+    // One crash after the refusal renews it.
+    let outcome = record(&mut tracker, "bad", 1, 52);
     assert!(matches!(outcome, Outcome::Refused { crashes: 1, .. }));
 }
 
 #[test]
-fn test_tracker_tells_of_refused_requests_first() {
+fn test_tracker_reports_refused_requests_first() {
     let mut tracker = Tracker::default();
-    tell(&mut tracker, "once", 1, 0);
+    record(&mut tracker, "once", 1, 0);
     for instance in 1..=2 {
-        tell(&mut tracker, "suspect", instance, 0);
+        record(&mut tracker, "suspect", instance, 0);
     }
     for instance in 1..=3 {
-        tell(&mut tracker, "bad", instance, 0);
+        record(&mut tracker, "bad", instance, 0);
     }
-    let told = tracker.suspects(at(0));
+    let reported = tracker.suspects(at(0));
     let bad = Suspect {
         request: request("bad"),
-        refused: REFUSAL,
+        refused: INITIAL_REFUSAL,
     };
-    assert_eq!(told[0], bad);
-    let others: BTreeSet<Fingerprint> = told[1..].iter().map(|s| s.request).collect();
-    assert!(told[1..].iter().all(|s| s.refused.is_zero()));
+    assert_eq!(reported[0], bad);
+    let others: BTreeSet<Fingerprint> = reported[1..].iter().map(|s| s.request).collect();
+    assert!(reported[1..].iter().all(|s| s.refused.is_zero()));
     let (bad, suspect) = (request("bad"), request("suspect"));
-    assert_eq!(others, [bad.of_all(), suspect, suspect.of_all()].into());
+    assert_eq!(
+        others,
+        [bad.for_all_senders(), suspect, suspect.for_all_senders()].into()
+    );
 }
 
-/// Tells of a crash under a request of one of several senders.
-fn tell_of(tracker: &mut Tracker, name: &str, caller: u8, instance: u64) -> Outcome {
+/// Records a crash under a request of the given sender.
+fn record_of(tracker: &mut Tracker, name: &str, caller: u8, instance: u64) -> Outcome {
     let crash = Crash {
         request: request_of(name, caller),
         ..crash(name, instance, 0)
@@ -209,40 +210,41 @@
     tracker.refused(at(0), request_of(name, caller)).is_some()
 }
 
-/// A caller comes again from another address each time.
+/// Guards against missing a caller that returns from another address each time.
 #[test]
-fn test_tracker_request_of_changing_senders_is_refused_to_all() {
+fn test_tracker_request_of_changing_senders_is_refused_for_all() {
     let mut tracker = Tracker::default();
-    for (caller, instance) in (11_u8..).zip(0..CRASHES_OF_ALL as u64) {
+    for (caller, instance) in (11_u8..).zip(0..MIN_CRASHES_ALL_SENDERS as u64) {
         assert!(!is_refused_to(&tracker, "bad", 99));
-        tell_of(&mut tracker, "bad", caller, instance);
+        record_of(&mut tracker, "bad", caller, instance);
     }
     assert!(is_refused_to(&tracker, "bad", 99));
     assert!(!is_refused_to(&tracker, "good", 99));
 }
 
-/// Another sender's request for the same path runs beside it, twice, and isn't the cause.
+/// Guards against refusing other senders for the same path, whose requests ran next to it.
 #[test]
-fn test_tracker_request_of_one_sender_is_refused_to_it_alone() {
+fn test_tracker_request_of_one_sender_is_refused_for_it_alone() {
     let mut tracker = Tracker::default();
     for instance in 1..=3 {
         if instance > 1 {
-            tell_of(&mut tracker, "same", 2, instance);
+            record_of(&mut tracker, "same", 2, instance);
         }
-        tell_of(&mut tracker, "same", 1, instance);
+        record_of(&mut tracker, "same", 1, instance);
     }
     assert!(is_refused_to(&tracker, "same", 1));
     assert!(!is_refused_to(&tracker, "same", 2));
     assert!(!is_refused_to(&tracker, "same", 3));
-    // What it had sent before crashes one more, under another's as well.
-    tell_of(&mut tracker, "same", 1, 4);
-    tell_of(&mut tracker, "same", 3, 4);
+    // A request that the sender had sent before crashes one more instance, which also runs
+    // another sender's request.
+    record_of(&mut tracker, "same", 1, 4);
+    record_of(&mut tracker, "same", 3, 4);
     assert!(!is_refused_to(&tracker, "same", 3));
 }
 
-/// Many callers ask for the same, and a failure domain goes.
+/// Guards against refusing a popular path because a failure domain fails.
 #[test]
-fn test_tracker_path_that_was_answered_lately_is_not_refused_to_all() {
+fn test_tracker_recently_answered_path_is_not_refused_for_all() {
     let mut tracker = Tracker::default();
     for number in 1..=8 {
         let crash = Crash {
@@ -255,12 +257,12 @@
     }
 }
 
-/// One sender's answer says nothing of what another one's request does.
+/// Guards against clearing a sender because of another sender's answer.
 #[test]
-fn test_tracker_answer_acquits_its_own_sender_only() {
+fn test_tracker_answer_clears_its_own_sender_only() {
     let mut tracker = Tracker::default();
     for instance in 1..=3 {
-        tell_of(&mut tracker, "same", 1, instance);
+        record_of(&mut tracker, "same", 1, instance);
         tracker.record_success(at(0), request_of("same", 2));
     }
     assert!(is_refused_to(&tracker, "same", 1));
@@ -268,26 +270,26 @@
 }
 
 quickcheck! {
-    /// In whatever order and however often crashes are told, the same requests are told of.
-    fn test_tracker_order_of_reports_changes_nothing(reports: Vec<(u8, u8)>, turn: usize) -> bool {
-        let told = |reports: &[(u8, u8)]| {
+    /// The reported requests don't depend on the order and number of reports.
+    fn test_tracker_order_of_reports_changes_nothing(reports: Vec<(u8, u8)>, rotation: usize) -> bool {
+        let reported = |reports: &[(u8, u8)]| {
             let mut tracker = Tracker::default();
             for (name, instance) in reports {
-                tell(&mut tracker, &format!("r-{}", name % 4), u64::from(*instance % 8), 0);
+                record(&mut tracker, &format!("r-{}", name % 4), u64::from(*instance % 8), 0);
             }
-            let told = tracker.suspects(at(0)).into_iter();
-            told.map(|suspect| suspect.request).collect::<BTreeSet<_>>()
+            let reported = tracker.suspects(at(0)).into_iter();
+            reported.map(|suspect| suspect.request).collect::<BTreeSet<_>>()
         };
-        let mut turned = reports.clone();
-        turned.rotate_left(turn % reports.len().max(1));
-        told(&reports) == told(&turned)
+        let mut rotated = reports.clone();
+        rotated.rotate_left(rotation % reports.len().max(1));
+        reported(&reports) == reported(&rotated)
     }
 
     /// A request that is answered between any two of its crashes is never refused.
     fn test_tracker_answered_request_is_never_refused(instances: Vec<u16>) -> bool {
         let mut tracker = Tracker::default();
         instances.iter().all(|instance| {
-            tell(&mut tracker, "good", u64::from(*instance), 0);
+            record(&mut tracker, "good", u64::from(*instance), 0);
             let refused = is_refused(&tracker, "good", 0);
             tracker.record_success(at(0), request("good"));
             !refused
