--- a/crates/attempt/tests/test_levels.rs
+++ b/crates/attempt/tests/test_levels.rs
@@ -138,9 +138,9 @@
     }
 }
 
-fn mark(head: Head, retried: bool) -> Head {
+fn mark(head: Head, is_retried: bool) -> Head {
     Head {
-        retried: retried,
+        retried: is_retried,
         ..head
     }
 }
