--- a/crates/attempt/src/lib.rs
+++ b/crates/attempt/src/lib.rs
@@ -1,10 +1,8 @@
 //! Attempts of a call at upstreams: retries, hedges and the retry budget of a service.
 //!
-//! A [`Call`](call::Call) is a state machine without I/O: it takes [`Event`](event::Event)s
-//! and the current time, and returns [`Action`](action::Action)s such as to start or cancel an
-//! attempt, to relay an answer, or to fail. The calls of a service share its
-//! [`Service`](service::Service): the retry [`Budget`](budget::Budget) and the observed
-//! [`Latency`](latency::Latency).
+//! A [`Call`] is a state machine without I/O: it takes [`Event`]s and the current time, and
+//! returns [`Action`]s such as to start or cancel an attempt, to relay an answer, or to fail. The
+//! calls of a service share its [`Service`]: the retry [`Budget`] and the observed [`Latency`].
 //!
 //! Invariants, for any order of events:
 //!
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -1,9 +1,8 @@
 //! Probe budgets: limits on the probes that an upstream instance receives from all gateways.
 //!
 //! The catalogue sets the budget of each service and registers the gateways. Each gateway's
-//! [`ProbeLimiter`](probe_limiter::ProbeLimiter) spends only its share of the budget, from token
-//! buckets that start empty and hold one probe, so gateways don't need to coordinate. This crate
-//! does no I/O.
+//! [`ProbeLimiter`] spends only its share of the budget, from token buckets that start empty and
+//! hold one probe, so gateways don't need to coordinate. This crate does no I/O.
 //!
 //! At any time, the rates of all gateways sum to at most the budget of one catalogue version
 //! that was current within the last lease. In any window of `T` seconds, an instance therefore
