--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -1,25 +1,28 @@
-//! Admission of calls at one gateway: who starts now, who waits, who is refused.
+//! Admission control of one gateway: which calls start, which are queued and which are
+//! refused.
 //!
-//! [`Admission`] takes arrivals, ends and the time, and gives [`Action`]s. Each
-//! service has a [`Lane`](lane::Lane): its running calls under an adaptive
-//! [`Limit`](limit::Limit), and its queue, ordered by deadline. Lanes of all classes
-//! share the gateway's own concurrency by [`Shares`](share::Shares). Nothing here
-//! does input or output.
+//! [`Admission`] is a state machine without I/O: it takes arrivals, completions and the
+//! current time, and returns [`Action`]s. Each service has a
+//! [`ServiceQueue`](service_queue::ServiceQueue): its running calls, bounded by an adaptive
+//! [`ConcurrencyLimit`](limit::ConcurrencyLimit), and its queued calls, ordered by deadline.
+//! A [`ClassScheduler`](class_scheduler::ClassScheduler) divides the gateway's own
+//! concurrency among the classes.
 //!
-//! Rules that hold whatever the schedule of events:
+//! Invariants, for any order of events:
 //!
-//! - a refusal comes at the moment it is certain, with a time to come back;
+//! - a call is refused as soon as it is certain that it can't be served, and the refusal
+//!   says when to retry where a retry can help;
 //! - a refused call was never started, so its outcome is `not-run`;
-//! - running calls stay within the limits of the entry and of the gateway;
-//! - a class that waits gets at least its share of the starts.
+//! - running calls stay within the limits of the catalogue entry and of the gateway;
+//! - a class with queued calls gets at least its share of the starts.
 
 pub mod admission;
-pub mod drain;
-pub mod lane;
+pub mod class_scheduler;
 pub mod limit;
 pub mod refusal;
-pub mod share;
-pub mod waiting;
+pub mod service_queue;
+pub mod wait_estimator;
+pub mod wait_queue;
 
 pub use admission::Action;
 pub use admission::Admission;
@@ -27,9 +30,9 @@
 pub use admission::Request;
 pub use admission::Settings;
 pub use admission::Ticket;
-pub use lane::Finish;
-pub use lane::Terms;
 pub use limit::Mode;
 pub use refusal::Refusal;
 pub use refusal::Refused;
-pub use waiting::Waiting;
+pub use service_queue::Finish;
+pub use service_queue::ServiceConfig;
+pub use wait_queue::WaitQueue;
--- a/crates/attempt/tests/test_levels.rs
+++ b/crates/attempt/tests/test_levels.rs
@@ -1,15 +1,16 @@
-//! Seven levels of calls, each through a gateway, when the bottom fails.
+//! Guards against retry amplification over seven levels of calls, each through a gateway, when
+//! the bottom level fails.
 
 use std::time::Duration;
 
 use attempt::Action;
+use attempt::AttemptError;
+use attempt::BudgetSettings;
 use attempt::Call;
-use attempt::Ending;
+use attempt::CallContext;
 use attempt::Event;
 use attempt::Head;
 use attempt::Service;
-use attempt::Share;
-use attempt::Terms;
 use base::prelude::*;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -17,7 +18,7 @@
 
 const LEVELS: u8 = 7;
 const CALLS: u32 = 2_000;
-const PERCENT: u32 = 10;
+const RETRY_PERCENT: u32 = 10;
 const DEADLINE: Duration = Duration::from_millis(200);
 const WORK: Duration = Duration::from_millis(1);
 
@@ -33,21 +34,21 @@
     SomeSlow,
 }
 
-// What a level's attempt leads to, and when; silence never comes.
+// The event that ends an attempt and its time; none if there is no answer.
 type Result = Option<(Moment, Event)>;
 
-struct Tower {
+struct Stack {
     bottom: Bottom,
     class: Class,
     services: Vec<Service>,
     rng: StdRng,
-    // Attempts that reached the bottom.
+    // Attempts that reached the bottom level.
     reached: u32,
 }
 
-impl Tower {
+impl Stack {
     fn new(bottom: Bottom, class: Class) -> Self {
-        let mut service = Service::new(Share::percent(PERCENT), Moment::ZERO);
+        let mut service = Service::new(BudgetSettings::percent(RETRY_PERCENT), Moment::ZERO);
         for _ in 0..100 {
             service.latency.record(WORK * 5);
         }
@@ -60,14 +61,14 @@
         }
     }
 
-    // One call of a level's gateway: what it answers, and when.
-    fn call(&mut self, depth: u8, told: Duration, start: Moment) -> (Moment, Head) {
-        let terms = Terms {
+    // Runs one call at the gateway of a level; returns the time and the head of its answer.
+    fn call(&mut self, depth: u8, upstream_timeout: Duration, start: Moment) -> (Moment, Head) {
+        let context = CallContext {
             class: self.class,
-            deadline: start + told,
+            deadline: start + upstream_timeout,
             depth,
         };
-        let mut call = Call::new(terms);
+        let mut call = Call::new(context);
         let mut now = start;
         let mut pending: Vec<(u8, Result)> = Vec::new();
         let mut actions = call.start(&mut self.services[usize::from(depth)], now);
@@ -76,24 +77,24 @@
             for action in actions {
                 match action {
                     Action::Start(s) => {
-                        let result = self.attempt(s.number, s.depth, s.told, now);
+                        let result = self.attempt(s.number, s.depth, s.upstream_timeout, now);
                         pending.push((s.number, result));
                     }
                     Action::Cancel(number) => pending.retain(|(n, _)| *n != number),
-                    Action::Relay { marked, .. } => return (now, mark(last, marked)),
+                    Action::Relay { retried, .. } => return (now, mark(last, retried)),
                     Action::Fail(_) | Action::Break(_) => return (now, mark(error(), true)),
                 }
             }
             let next = pending.iter().filter_map(|(_, result)| *result);
             let next = next.min_by_key(|(at, _)| *at);
-            let wake = call.wake().expect("a call that isn't over");
+            let next_wakeup = call.next_wakeup().expect("the call is not finished");
             let event = match next {
-                Some((at, event)) if at <= wake => {
+                Some((at, event)) if at <= next_wakeup => {
                     now = at;
                     event
                 }
                 _ => {
-                    now = wake;
+                    now = next_wakeup;
                     Event::Tick
                 }
             };
@@ -106,11 +107,18 @@
         }
     }
 
-    // An instance of the level below takes the request, and calls on unless it is the bottom.
-    fn attempt(&mut self, number: u8, depth: u8, told: Duration, now: Moment) -> Result {
+    // Runs an attempt at an instance of the level below, which calls the next level unless it is
+    // the bottom.
+    fn attempt(
+        &mut self,
+        number: u8,
+        depth: u8,
+        upstream_timeout: Duration,
+        now: Moment,
+    ) -> Result {
         if depth < LEVELS {
-            // The instance passes the depth on, and the mark back up.
-            let (at, head) = self.call(depth, told, now + WORK);
+            // The instance passes the depth down and the retried header back up.
+            let (at, head) = self.call(depth, upstream_timeout, now + WORK);
             return Some((at, Event::Head(number, head)));
         }
         self.reached += 1;
@@ -118,8 +126,8 @@
         let event = match self.bottom {
             Bottom::Error => Event::Head(number, error()),
             Bottom::Shed => Event::Head(number, shed()),
-            Bottom::Refused => Event::Ended(number, Ending::ConnectFailed),
-            Bottom::Reset => Event::Ended(number, Ending::NoAnswer),
+            Bottom::Refused => Event::AttemptFailed(number, AttemptError::ConnectFailed),
+            Bottom::Reset => Event::AttemptFailed(number, AttemptError::NoAnswer),
             Bottom::Stalled => return None,
             Bottom::SomeErrors if tenth => Event::Head(number, error()),
             Bottom::SomeErrors | Bottom::SomeSlow => Event::Head(number, whole()),
@@ -130,9 +138,9 @@
     }
 }
 
-fn mark(head: Head, marked: bool) -> Head {
+fn mark(head: Head, is_retried: bool) -> Head {
     Head {
-        retried: marked,
+        retried: is_retried,
         ..head
     }
 }
@@ -159,9 +167,9 @@
     }
 }
 
-// Where the bottom mostly succeeds, the level above it may spend tokens that it saved
-// after the edge has spent its own; the edge pays for those later.
-fn saved(bottom: Bottom) -> u32 {
+// If the bottom mostly succeeds, the level above it may spend saved tokens after the edge has
+// spent its own; they are charged to the edge later.
+fn max_saved_tokens(bottom: Bottom) -> u32 {
     match bottom {
         Bottom::SomeErrors | Bottom::SomeSlow => 10,
         _ => 0,
@@ -181,15 +189,15 @@
     ];
     for bottom in bottoms {
         for class in [Class::Urgent, Class::Once, Class::Durable, Class::Deferred] {
-            let mut tower = Tower::new(bottom, class);
+            let mut stack = Stack::new(bottom, class);
             for call in 0..CALLS {
                 let start = Moment::from_millis(u64::from(call) * 2);
-                tower.call(0, DEADLINE, start);
+                stack.call(0, DEADLINE, start);
             }
-            let most = CALLS * (100 + PERCENT) / 100 + saved(bottom);
-            let reached = tower.reached;
+            let max = CALLS * (100 + RETRY_PERCENT) / 100 + max_saved_tokens(bottom);
+            let reached = stack.reached;
             assert!(reached >= CALLS, "{bottom:?} {class}: {reached}");
-            assert!(reached <= most, "{bottom:?} {class}: {reached} of {most}");
+            assert!(reached <= max, "{bottom:?} {class}: {reached} of {max}");
         }
     }
 }
--- a/crates/demo/examples/policy/call.rs
+++ b/crates/demo/examples/policy/call.rs
@@ -4,8 +4,8 @@
 
 use admit::Finish;
 use attempt::Action;
+use attempt::AttemptError;
 use attempt::Call;
-use attempt::Ending;
 use attempt::Event;
 use attempt::Reason;
 use attempt::event::Head;
@@ -22,7 +22,7 @@
 /// attempts it took.
 pub async fn run(world: &World, index: usize, deadline: Moment, work: Duration) -> (Finish, u8) {
     let gateway = &world.gateways[index];
-    let mut call = Call::new(attempt::Terms {
+    let mut call = Call::new(attempt::CallContext {
         class: Class::Urgent,
         deadline,
         depth: 0,
@@ -31,7 +31,7 @@
     let mut failed = false;
     let mut actions = {
         let gateway = &mut *gateway.borrow_mut();
-        gateway.service.pressed = gateway.admission.is_pressed(&name());
+        gateway.service.backlogged = gateway.admission.is_backlogged(&name());
         call.start(&mut gateway.service, world.time.now())
     };
     loop {
@@ -75,17 +75,17 @@
             };
             return (finish, call.attempts());
         }
-        let wake = call.wake().unwrap_or(deadline);
+        let next_wakeup = call.next_wakeup().unwrap_or(deadline);
         let ended = tokio::select! {
             biased;
             Some(ended) = tasks.join_next() => ended.ok(),
-            () = world.time.sleep(wake.since(now)) => None,
+            () = world.time.sleep(next_wakeup.since(now)) => None,
         };
         let gateway = &mut *gateway.borrow_mut();
         let now = world.time.now();
         let event = match ended {
             None => Event::Tick,
-            Some(Err(number)) => Event::Ended(number, Ending::NoUpstream),
+            Some(Err(number)) => Event::AttemptFailed(number, AttemptError::NoUpstream),
             Some(Ok((number, outcome))) => {
                 if let Some(ticket) = live[usize::from(number) - 1].0.take() {
                     gateway.chooser.finished(now, ticket, outcome);
@@ -100,7 +100,9 @@
                     gateway.admission.shed(&name(), now);
                 }
                 match outcome.kind {
-                    Kind::ConnectFailed => Event::Ended(number, Ending::ConnectFailed),
+                    Kind::ConnectFailed => {
+                        Event::AttemptFailed(number, AttemptError::ConnectFailed)
+                    }
                     _ => Event::Head(number, head),
                 }
             }
--- a/crates/entry/src/balancer.rs
+++ b/crates/entry/src/balancer.rs
@@ -12,9 +12,9 @@
 use ::dispatch::Grants;
 use ::dispatch::Tenure;
 use ::dispatch::Warmup;
-use admit::Waiting;
+use admit::WaitQueue;
 use attempt::budget::Budget;
-use attempt::budget::Share;
+use attempt::budget::BudgetSettings;
 use base::prelude::*;
 use measure::Allowance;
 use route::Decision;
@@ -67,7 +67,7 @@
     probe_allowance: Allowance,
     shared: SharedBudgets,
     upstreams: HashMap<InstanceId, Arc<Upstream>>,
-    wait_queue: Waiting<oneshot::Sender<Pick>>,
+    wait_queue: WaitQueue<oneshot::Sender<Pick>>,
     /// When an attempt last finished.
     last_completion: Moment,
     /// Moving average of the time between finished attempts.
@@ -134,7 +134,7 @@
             probe_allowance: Allowance::new(now),
             shared: *shared,
             upstreams: HashMap::new(),
-            wait_queue: Waiting::default(),
+            wait_queue: WaitQueue::default(),
             last_completion: now,
             completion_interval: MIN_RETRY_AFTER,
             recent_refusals: 0.0,
@@ -151,7 +151,7 @@
     pub fn set_shared(&mut self, shared: &SharedBudgets, now: Moment) {
         self.shared = *shared;
         self.chooser.set_processes(shared.entries);
-        self.retry_budget.set_share(retry_share(shared), now);
+        self.retry_budget.set_settings(retry_share(shared), now);
         self.update_probe_share(now);
     }
 
@@ -366,12 +366,12 @@
 }
 
 /// This process's share of the retry allowance.
-fn retry_share(shared: &SharedBudgets) -> Share {
+fn retry_share(shared: &SharedBudgets) -> BudgetSettings {
     let SharedBudgets { retry, entries, .. } = shared;
     let percent = f64::from(retry.percent) * RETRY_PERCENT_UTILIZATION;
     let base = f64::from(retry.base) * RETRY_BASE_UTILIZATION / f64::from((*entries).max(1));
     let floor = retry.window.as_secs_f64() / base.max(1e-3);
-    Share {
+    BudgetSettings {
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
--- a/crates/entry/src/core/suspects.rs
+++ b/crates/entry/src/core/suspects.rs
@@ -19,8 +19,8 @@
 impl Core {
     /// Whether there are suspects with this request head.
     #[must_use]
-    pub fn concerns(&self, head: Head) -> bool {
-        self.state().quarantine.concerns(head)
+    pub fn tracks_path(&self, head: Head) -> bool {
+        self.state().quarantine.tracks_path(head)
     }
 
     /// The remaining time of the request's quarantine, if it is quarantined.
@@ -32,10 +32,13 @@
     /// Records that an instance crashed while running a request. Returns the event's number,
     /// with which the hubs' acknowledgement can be awaited.
     pub fn record_crash(&self, crash: Crash) -> u64 {
-        let (request, life) = (crash.request, crash.life.clone());
-        let (number, outcome) = self.state().quarantine.crashed(self.clock.now(), crash);
-        info!(self.log, "crash"; "fingerprint" => %request, "instance" => %life.instance,
-            "incarnation" => life.incarnation, "outcome" => format!("{outcome:?}"));
+        let (request, run) = (crash.request, crash.run.clone());
+        let (number, outcome) = self
+            .state()
+            .quarantine
+            .record_crash(self.clock.now(), crash);
+        info!(self.log, "crash"; "fingerprint" => %request, "instance" => %run.instance,
+            "incarnation" => run.incarnation, "outcome" => format!("{outcome:?}"));
         if matches!(outcome, Outcome::Refused { .. }) {
             self.counters.quarantined();
         }
@@ -47,7 +50,7 @@
     pub fn record_success(&self, request: Fingerprint) {
         let now = self.clock.now();
         let mut state = self.state();
-        if state.quarantine.succeeded(now, request) {
+        if state.quarantine.record_success(now, request) {
             let newest = state.quarantine.newest();
             drop(state);
             info!(self.log, "suspect answered"; "fingerprint" => %request);
@@ -67,7 +70,10 @@
                 "count" => errors.len(), "error" => %err);
         }
         let suspects: Vec<Suspect> = suspects.into_iter().flatten().collect();
-        let refused = self.state().quarantine.take(self.clock.now(), &suspects);
+        let refused = self
+            .state()
+            .quarantine
+            .apply_suspects(self.clock.now(), &suspects);
         for suspect in refused {
             info!(self.log, "quarantine"; "fingerprint" => %suspect.request, "hub" => %hub,
                 "revision" => received.revision, "left_ms" => suspect.refused.as_millis());
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -12,7 +12,7 @@
 use quarantine::Crash;
 use quarantine::Fingerprint;
 use quarantine::Head;
-use quarantine::Life;
+use quarantine::InstanceRun;
 use slog::info;
 use strum::IntoStaticStr;
 use tokio::sync::oneshot;
@@ -124,7 +124,7 @@
     let number = core.record_crash(Crash {
         request: fingerprint,
         service: upstream.service.clone(),
-        life: Life {
+        run: InstanceRun {
             instance: upstream.id.clone(),
             incarnation: upstream.incarnation,
         },
--- a/crates/entry/src/flow/guard.rs
+++ b/crates/entry/src/flow/guard.rs
@@ -25,7 +25,7 @@
     /// Refuses the request if it is quarantined.
     pub(super) async fn check_quarantine(&mut self) -> Result<(), Reason> {
         let head = self.request.head;
-        if !self.core.concerns(head) {
+        if !self.core.tracks_path(head) {
             return Ok(());
         }
         let Some(fingerprint) = self.content.fingerprint(head).await else {
--- a/crates/entry/tests/test_quarantine.rs
+++ b/crates/entry/tests/test_quarantine.rs
@@ -164,7 +164,11 @@
     let announced = fakes::instance(&well, "status");
     entry.core().apply_instances(HUB, &[announced], &[]);
     assert_eq!(call(entry.front(), "GET", READ, "r-2").await.status, 200);
-    assert!(!entry.core().concerns(Head::new(CALLER, "GET", HOST, READ)));
+    assert!(
+        !entry
+            .core()
+            .tracks_path(Head::new(CALLER, "GET", HOST, READ))
+    );
     upstreams.push(well);
 }
 
@@ -180,5 +184,9 @@
         let answer = call(entry.front(), "GET", READ, &format!("r-{number}")).await;
         assert_eq!(answer.status, 502);
     }
-    assert!(!entry.core().concerns(Head::new(CALLER, "GET", HOST, READ)));
+    assert!(
+        !entry
+            .core()
+            .tracks_path(Head::new(CALLER, "GET", HOST, READ))
+    );
 }
--- a/crates/gateway/src/call/answers.rs
+++ b/crates/gateway/src/call/answers.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use admit::Finish;
-use attempt::Ending;
+use attempt::AttemptError;
 use attempt::Event;
 use attempt::Failure;
-use attempt::event::Number;
+use attempt::event::AttemptNumber;
 use base::header;
 use base::prelude::*;
 use bytes::Bytes;
@@ -35,7 +35,11 @@
 use crate::relay::Relayed;
 
 impl Driver {
-    pub(super) fn head(&mut self, number: Number, result: std::result::Result<Answer, LaneError>) {
+    pub(super) fn head(
+        &mut self,
+        number: AttemptNumber,
+        result: std::result::Result<Answer, LaneError>,
+    ) {
         let Some(index) = self.waiting.iter().position(|w| w.number == number) else {
             return;
         };
@@ -46,7 +50,7 @@
                 track.note(kind_of(&err));
                 drop(track);
                 info!(self.log, "attempt failed"; "attempt" => number, "error" => %err);
-                self.step(Event::Ended(number, ending_of(&err)));
+                self.step(Event::AttemptFailed(number, ending_of(&err)));
                 return;
             }
         };
@@ -55,7 +59,7 @@
             track.note(Kind::Error);
             drop(track);
             info!(self.log, "answer refused"; "attempt" => number, "ending" => <&str>::from(ending));
-            self.step(Event::Ended(number, ending));
+            self.step(Event::AttemptFailed(number, ending));
             return;
         }
         track.note(kind_of_answer(&answer));
@@ -72,16 +76,16 @@
     }
 
     /// An answer that can't be the whole answer to this request.
-    pub(super) fn refused(&self, answer: &Answer) -> Option<Ending> {
+    pub(super) fn refused(&self, answer: &Answer) -> Option<AttemptError> {
         if answer.is_foreign(&self.request.ask.id) {
-            return Some(Ending::Mismatch);
+            return Some(AttemptError::Mismatch);
         }
         if !answer.framed {
-            return Some(Ending::NoAnswer);
+            return Some(AttemptError::NoAnswer);
         }
         let resumed = self.taken > 0 && answer.status == StatusCode::PARTIAL_CONTENT;
         if resumed && range_begin(&answer.headers) != Some(self.taken) {
-            return Some(Ending::Mismatch);
+            return Some(AttemptError::Mismatch);
         }
         None
     }
@@ -111,7 +115,7 @@
         self.request.method == Method::GET && !partial && offered && strong && fits
     }
 
-    pub(super) fn cancel(&mut self, number: Number, cause: Option<Event>) {
+    pub(super) fn cancel(&mut self, number: AttemptNumber, cause: Option<Event>) {
         // Time alone ends an attempt that gave no answer in time.
         let late = matches!(cause, Some(Event::Tick));
         if let Some(index) = self.waiting.iter().position(|w| w.number == number) {
@@ -129,7 +133,7 @@
         }
     }
 
-    pub(super) fn relay(&mut self, number: Number, marked: bool) {
+    pub(super) fn relay(&mut self, number: AttemptNumber, marked: bool) {
         let Some(index) = self.arrived.iter().position(|a| a.number == number) else {
             return;
         };
@@ -171,7 +175,10 @@
         let number = pumped.number;
         drop(pumped);
         info!(self.log, "answer short"; "attempt" => number, "bytes" => self.taken);
-        self.step(Event::Ended(number, Ending::ShortBody(self.taken)));
+        self.step(Event::AttemptFailed(
+            number,
+            AttemptError::ShortBody(self.taken),
+        ));
     }
 
     pub(super) fn whole(&mut self) {
@@ -185,7 +192,7 @@
             let _ = send.try_send(Ok(Bytes::new()));
         }
         self.note(Finish::Answered);
-        self.step(Event::Whole(number));
+        self.step(Event::Complete(number));
     }
 
     pub(super) fn note(&mut self, finish: Finish) {
--- a/crates/gateway/src/call/driver.rs
+++ b/crates/gateway/src/call/driver.rs
@@ -6,7 +6,7 @@
 
 use attempt::Action;
 use attempt::Actions;
-use attempt::Ending;
+use attempt::AttemptError;
 use attempt::Event;
 use attempt::Start;
 use base::prelude::*;
@@ -97,15 +97,18 @@
 
     pub(super) async fn run(mut self) {
         let began = self.core.clock.now();
-        let pressed = self.core.queue.is_pressed(&self.request.ask.service.name);
+        let backlogged = self
+            .core
+            .queue
+            .is_backlogged(&self.request.ask.service.name);
         let actions = {
             let mut state = self.desk.state();
-            state.attempts.pressed = pressed;
+            state.attempts.backlogged = backlogged;
             self.call.start(&mut state.attempts, began)
         };
         self.perform(actions, None);
         while !self.call.is_finished() {
-            let woken = self.wake().await;
+            let woken = self.next_wakeup().await;
             self.take(woken);
         }
         let span = self.core.clock.now().since(began);
@@ -120,9 +123,9 @@
         );
     }
 
-    pub(super) async fn wake(&mut self) -> Woken {
-        let wake = self.call.wake().unwrap_or(self.request.ask.deadline);
-        let wake = self.core.clock.instant(wake);
+    pub(super) async fn next_wakeup(&mut self) -> Woken {
+        let next_wakeup = self.call.next_wakeup().unwrap_or(self.request.ask.deadline);
+        let next_wakeup = self.core.clock.instant(next_wakeup);
         let (fresh, open) = match &mut self.outlet {
             Outlet::Fresh(send) => (Some(send), None),
             Outlet::Open(send) => (None, Some(&*send)),
@@ -132,8 +135,8 @@
             biased;
             head = next_head(&mut self.waiting) => Woken::Head(head),
             woken = pump(&mut self.pumped, &mut self.piece, open) => woken,
-            () = sleep_until(wake) => Woken::Tick,
-            () = left(fresh, open) => Woken::Left,
+            () = sleep_until(next_wakeup) => Woken::Tick,
+            () = left(fresh, open) => Woken::CallerGone,
         }
     }
 
@@ -145,10 +148,10 @@
             Woken::Piece(None) => self.whole(),
             Woken::Sent => {}
             Woken::Tick => self.step(Event::Tick),
-            Woken::Left => {
+            Woken::CallerGone => {
                 self.outlet = Outlet::Shut;
                 self.piece = None;
-                self.step(Event::Left);
+                self.step(Event::CallerGone);
                 info!(self.log, "caller left"; "ended" => self.call.is_finished());
             }
         }
@@ -170,7 +173,7 @@
             match action {
                 Action::Start(start) => self.begin(start),
                 Action::Cancel(number) => self.cancel(number, cause),
-                Action::Relay { number, marked } => self.relay(number, marked),
+                Action::Relay { number, retried } => self.relay(number, retried),
                 Action::Fail(failure) => self.fail(failure),
                 Action::Break(failure) => self.cut(failure),
             }
@@ -193,7 +196,7 @@
             }
             Err(reason) => {
                 self.hindrance.get_or_insert(reason);
-                self.step(Event::Ended(start.number, Ending::NoUpstream));
+                self.step(Event::AttemptFailed(start.number, AttemptError::NoUpstream));
             }
         }
     }
@@ -265,7 +268,7 @@
             Told {
                 id: &self.request.ask.id,
                 attempt: start.number.into(),
-                left: start.told,
+                left: start.upstream_timeout,
                 depth: start.depth,
             },
         );
--- a/crates/gateway/src/queue.rs
+++ b/crates/gateway/src/queue.rs
@@ -13,7 +13,7 @@
 use admit::Arrival;
 use admit::Finish;
 use admit::Refused;
-use admit::Terms;
+use admit::ServiceConfig;
 use admit::Ticket;
 use base::prelude::*;
 use http::StatusCode;
@@ -150,8 +150,8 @@
 
     /// Whether calls of the service wait.
     #[must_use]
-    pub fn is_pressed(&self, service: &ServiceName) -> bool {
-        self.state().admission.is_pressed(service)
+    pub fn is_backlogged(&self, service: &ServiceName) -> bool {
+        self.state().admission.is_backlogged(service)
     }
 
     /// When a caller refused now may come back.
@@ -165,20 +165,20 @@
     #[must_use]
     pub fn counts(&self, service: &ServiceName) -> Counts {
         let state = self.state();
-        let lane = state.admission.lane(service);
+        let service_queue = state.admission.service_queue(service);
         Counts {
-            queued: lane.map_or(0, |l| u32::try_from(l.queued()).unwrap_or(u32::MAX)),
-            running: lane.map_or(0, admit::lane::Lane::running),
+            queued: service_queue.map_or(0, |l| u32::try_from(l.queued()).unwrap_or(u32::MAX)),
+            running: service_queue.map_or(0, admit::service_queue::ServiceQueue::running),
         }
     }
 
     /// Refuses what can't be answered in time any more, as its moment comes.
     pub async fn run(self: Arc<Self>) {
         loop {
-            let wake = self.state().admission.wake();
+            let next_wakeup = self.state().admission.next_wakeup();
             let moment = async {
-                match wake {
-                    Some(wake) => sleep_until(self.clock.instant(wake)).await,
+                match next_wakeup {
+                    Some(next_wakeup) => sleep_until(self.clock.instant(next_wakeup)).await,
                     None => std::future::pending().await,
                 }
             };
@@ -239,7 +239,7 @@
         let mut state = self.queue.state();
         // At most one of these finds the ticket: it waits, runs, or was refused.
         state.waiting.remove(&self.ticket);
-        state.admission.leave(self.ticket);
+        state.admission.cancel_queued(self.ticket);
         state
             .admission
             .finish(self.ticket, self.finish, now, &mut out);
@@ -247,13 +247,13 @@
     }
 }
 
-fn terms(service: &Service, view: &View) -> Terms {
+fn terms(service: &Service, view: &View) -> ServiceConfig {
     let ready = view.instances(&service.name).iter();
     let slots: u32 = ready
         .filter(|row| row.phase == Phase::Ready)
         .map(|row| row.slots)
         .fold(0, u32::saturating_add);
-    Terms {
+    ServiceConfig {
         class: service.class,
         concurrency: service.limits.concurrency,
         queue: service.limits.queue,
--- a/crates/hub/src/suspects.rs
+++ b/crates/hub/src/suspects.rs
@@ -44,7 +44,7 @@
 
     fn take_answer(&self, known: &mut Known, report: &Report, request: wire::hub::Fingerprint) {
         let request = Fingerprint::from(request);
-        if known.tracker.succeeded(self.clock.now(), request) {
+        if known.tracker.record_success(self.clock.now(), request) {
             info!(self.log, "suspect answered"; "fingerprint" => %request,
                 "entry" => &report.host);
         }
@@ -59,10 +59,10 @@
                 return;
             }
         };
-        let outcome = known.tracker.crashed(now, &crash);
+        let outcome = known.tracker.record_crash(now, &crash);
         if outcome != Outcome::Known {
             info!(self.log, "crash"; "fingerprint" => %crash.request,
-                "instance" => %crash.life.instance, "incarnation" => crash.life.incarnation,
+                "instance" => %crash.run.instance, "incarnation" => crash.run.incarnation,
                 "service" => %crash.service, "age_ms" => told.ago_ms, "entry" => &report.host,
                 "outcome" => format!("{outcome:?}"));
         }
@@ -71,7 +71,10 @@
     fn take_refusal(&self, known: &mut Known, report: &Report, told: &wire::hub::Suspect) {
         match Suspect::from_wire(told) {
             Ok(Suspect { request, refused }) => {
-                if known.tracker.learn(self.clock.now(), request, refused) {
+                if known
+                    .tracker
+                    .record_refusal(self.clock.now(), request, refused)
+                {
                     info!(self.log, "refusal learned"; "fingerprint" => %request,
                         "left_ms" => told.refused_ms, "entry" => &report.host);
                 }
