--- a/crates/hub/src/desk.rs
+++ b/crates/hub/src/desk.rs
@@ -77,11 +77,11 @@
 
 /// Answers what a hub is asked.
 #[derive(Clone)]
-pub struct Desk {
+pub struct CommandHandler {
     state: Arc<State>,
 }
 
-impl Desk {
+impl CommandHandler {
     pub(crate) fn new(state: Arc<State>) -> Self {
         Self { state }
     }
--- a/crates/hub/src/http.rs
+++ b/crates/hub/src/http.rs
@@ -27,7 +27,7 @@
 use wire::hub::Instance;
 use wire::hub::Phase;
 
-use crate::desk::Desk;
+use crate::desk::CommandHandler;
 use crate::desk::DeskError;
 
 /// Time after which an instance announces itself again: a hub that has started
@@ -53,7 +53,7 @@
 }
 
 /// The routes of a hub.
-fn service(desk: &Desk) -> Service {
+fn service(desk: &CommandHandler) -> Service {
     let announce = Router::with_path("v1/announce").post(Announce(desk.clone()));
     let hosts = Router::with_path("v1/hosts").get(Ask(desk.clone()));
     let router = Router::new().push(announce).push(hosts);
@@ -67,7 +67,7 @@
 /// Fails when the address can't be bound.
 pub async fn listen(
     address: SocketAddr,
-    desk: &Desk,
+    desk: &CommandHandler,
 ) -> io::Result<(SocketAddr, impl Future<Output = ()> + use<>)> {
     let listener = TcpListener::bind(address).await?;
     let bound = listener.local_addr()?;
@@ -75,7 +75,7 @@
     Ok((bound, server.serve(service(desk))))
 }
 
-struct Announce(Desk);
+struct Announce(CommandHandler);
 
 #[salvo::async_trait]
 impl Handler for Announce {
@@ -92,7 +92,7 @@
     }
 }
 
-async fn take(desk: &Desk, told: members::Instance) -> Result<Taken, Refusal> {
+async fn take(desk: &CommandHandler, told: members::Instance) -> Result<Taken, Refusal> {
     if told.phase != members::Phase::Starting {
         let fail = |err: DeskError| Refusal::new(Reason::NotReady, err.to_string());
         desk.announce(life(&told)).await.map_err(fail)?;
@@ -121,7 +121,7 @@
     }
 }
 
-struct Ask(Desk);
+struct Ask(CommandHandler);
 
 #[salvo::async_trait]
 impl Handler for Ask {
--- a/crates/hub/src/hub.rs
+++ b/crates/hub/src/hub.rs
@@ -14,7 +14,7 @@
 use wire::accept::Acceptor;
 
 use crate::beacon;
-use crate::desk::Desk;
+use crate::desk::CommandHandler;
 use crate::http;
 use crate::peers;
 use crate::server;
@@ -47,7 +47,7 @@
 /// A running hub.
 pub struct Hub {
     control: Control,
-    desk: Desk,
+    desk: CommandHandler,
     stop: CancellationToken,
     log: Logger,
     http: Option<SocketAddr>,
@@ -67,7 +67,7 @@
         let listener = listener.map_err(|err| HubError::Bind(address, err))?;
         let port = settings.http;
         let state = State::new(settings, control.tables().clone(), log.clone());
-        let desk = Desk::new(Arc::clone(&state));
+        let desk = CommandHandler::new(Arc::clone(&state));
         let stop = CancellationToken::new();
         let acceptor = Acceptor {
             limit: MAX_CONNECTIONS,
@@ -113,7 +113,7 @@
 
     /// Answers what the hub is asked.
     #[must_use]
-    pub fn desk(&self) -> &Desk {
+    pub fn desk(&self) -> &CommandHandler {
         &self.desk
     }
 
--- a/crates/hub/src/lib.rs
+++ b/crates/hub/src/lib.rs
@@ -20,7 +20,7 @@
 pub mod state;
 pub mod suspects;
 
-pub use desk::Desk;
+pub use desk::CommandHandler;
 pub use desk::DeskError;
 pub use desk::Put;
 pub use hub::Hub;
--- a/crates/hub/src/server.rs
+++ b/crates/hub/src/server.rs
@@ -35,7 +35,7 @@
 use wire::hub::WatchReply;
 use wire::link::Channel as Transport;
 
-use crate::desk::Desk;
+use crate::desk::CommandHandler;
 use crate::desk::DeskError;
 use crate::desk::Put;
 use crate::list::Update;
@@ -69,11 +69,11 @@
 #[derive(Clone)]
 pub struct HubServer {
     state: Arc<State>,
-    desk: Desk,
+    desk: CommandHandler,
 }
 
 impl HubServer {
-    pub(crate) fn new(state: Arc<State>, desk: Desk) -> Self {
+    pub(crate) fn new(state: Arc<State>, desk: CommandHandler) -> Self {
         Self { state, desk }
     }
 
