--- a/crates/hub/src/desk.rs
+++ b/crates/hub/src/desk.rs
@@ -29,7 +29,7 @@
 quick_error! {
     /// Why a hub can't do what it was asked for.
     #[derive(Debug)]
-    pub enum DeskError {
+    pub enum CommandError {
         /// No majority of the hubs answered in time.
         NoMajority {
             display("no majority of the hubs answered in time; ask another one or again")
@@ -96,7 +96,7 @@
     ///
     /// Fails when the announcement names no instance to use, or when the instance leaves
     /// and the log didn't take that in time.
-    pub async fn announce(&self, instance: Instance) -> Result<(), DeskError> {
+    pub async fn announce(&self, instance: Instance) -> Result<(), CommandError> {
         if let Err(err) = registry::check(&instance) {
             warn!(self.state.log, "announcement refused"; "instance" => &instance.id,
                 "error" => %err);
@@ -126,7 +126,7 @@
         if desk.register(instance).await {
             Ok(())
         } else {
-            Err(DeskError::NoMajority)
+            Err(CommandError::NoMajority)
         }
     }
 
@@ -144,13 +144,13 @@
     ///
     /// Fails when it is invalid, or when no majority took it in time; it may be
     /// taken later then.
-    pub async fn put(&self, put: Put) -> Result<TableReply, DeskError> {
+    pub async fn put(&self, put: Put) -> Result<TableReply, CommandError> {
         let version = put.table.version;
         let faults = table::check(&put.table);
         if !faults.is_empty() {
             warn!(self.state.log, "route table refused"; "version" => version,
                 "faults" => faults.len(), "first" => %faults[0]);
-            return Err(DeskError::Invalid(faults));
+            return Err(CommandError::Invalid(faults));
         }
         let row = wire::hub::Table {
             version,
@@ -160,7 +160,7 @@
         let reply = self.state.tables.put(row).await;
         let outcome = reply.map_or("no-majority", |reply| reply.outcome().as_str_name());
         info!(self.state.log, "route table asked"; "version" => version, "outcome" => outcome);
-        reply.ok_or(DeskError::NoMajority)
+        reply.ok_or(CommandError::NoMajority)
     }
 
     /// The newest table, as a majority confirms it.
@@ -168,12 +168,12 @@
     /// # Errors
     ///
     /// Fails when there is none yet or no majority answers in time.
-    pub async fn read(&self) -> Result<Arc<wire::hub::Table>, DeskError> {
+    pub async fn read(&self) -> Result<Arc<wire::hub::Table>, CommandError> {
         let found = self.state.tables.read(READ_TIMEOUT).await;
         match found {
             Some(table) if table.version > 0 => Ok(table),
-            Some(_) => Err(DeskError::NoTable),
-            None => Err(DeskError::NoMajority),
+            Some(_) => Err(CommandError::NoTable),
+            None => Err(CommandError::NoMajority),
         }
     }
 
@@ -184,7 +184,7 @@
     ///
     /// Fails when no majority took it in time, and it may be taken later then unless another
     /// order comes first; when another order came first; when too many domains were named.
-    pub async fn evacuate(&self, domain: &DomainName, evacuated: bool) -> Result<(), DeskError> {
+    pub async fn evacuate(&self, domain: &DomainName, evacuated: bool) -> Result<(), CommandError> {
         let tables = &self.state.tables;
         let outcome = tables.evacuate(domain, evacuated, READ_TIMEOUT).await;
         let word = outcome.map_or("no-majority", |outcome| outcome.as_str_name());
@@ -192,9 +192,9 @@
             "outcome" => word);
         match outcome {
             Some(Outcome::Taken | Outcome::Held) => Ok(()),
-            Some(Outcome::Overtaken) => Err(DeskError::Overtaken(domain.clone())),
-            Some(Outcome::Refused) => Err(DeskError::Domain(domain.clone())),
-            Some(Outcome::Unspecified) | None => Err(DeskError::NoMajority),
+            Some(Outcome::Overtaken) => Err(CommandError::Overtaken(domain.clone())),
+            Some(Outcome::Refused) => Err(CommandError::Domain(domain.clone())),
+            Some(Outcome::Unspecified) | None => Err(CommandError::NoMajority),
         }
     }
 
@@ -203,9 +203,9 @@
     /// # Errors
     ///
     /// Fails when no majority answers in time.
-    pub async fn evacuations(&self) -> Result<Arc<Domains>, DeskError> {
+    pub async fn evacuations(&self) -> Result<Arc<Domains>, CommandError> {
         let found = self.state.tables.evacuations(READ_TIMEOUT).await;
-        found.ok_or(DeskError::NoMajority)
+        found.ok_or(CommandError::NoMajority)
     }
 
     /// Addresses of entry hosts for a caller, and how long it may keep them; none
--- a/crates/hub/src/http.rs
+++ b/crates/hub/src/http.rs
@@ -27,8 +27,8 @@
 use wire::hub::Instance;
 use wire::hub::Phase;
 
+use crate::desk::CommandError;
 use crate::desk::CommandHandler;
-use crate::desk::DeskError;
 
 /// Time after which an instance announces itself again: a hub that has started
 /// anew knows it by then, should the log have lost what wasn't confirmed.
@@ -94,7 +94,7 @@
 
 async fn take(desk: &CommandHandler, told: members::Instance) -> Result<Taken, Refusal> {
     if told.phase != members::Phase::Starting {
-        let fail = |err: DeskError| Refusal::new(Reason::NotReady, err.to_string());
+        let fail = |err: CommandError| Refusal::new(Reason::NotReady, err.to_string());
         desk.announce(life(&told)).await.map_err(fail)?;
     }
     Ok(Taken {
--- a/crates/hub/src/lib.rs
+++ b/crates/hub/src/lib.rs
@@ -20,8 +20,8 @@
 pub mod state;
 pub mod suspects;
 
+pub use desk::CommandError;
 pub use desk::CommandHandler;
-pub use desk::DeskError;
 pub use desk::Put;
 pub use hub::Hub;
 pub use hub::HubError;
--- a/crates/hub/src/server.rs
+++ b/crates/hub/src/server.rs
@@ -35,8 +35,8 @@
 use wire::hub::WatchReply;
 use wire::link::Channel as Transport;
 
+use crate::desk::CommandError;
 use crate::desk::CommandHandler;
-use crate::desk::DeskError;
 use crate::desk::Put;
 use crate::list::Update;
 use crate::state::State;
@@ -272,8 +272,8 @@
         };
         match self.desk.evacuate(&domain, order.evacuated).await {
             Ok(()) => reply(Outcome::Taken),
-            Err(DeskError::Overtaken(_)) => reply(Outcome::Overtaken),
-            Err(DeskError::Domain(_)) => reply(Outcome::Refused),
+            Err(CommandError::Overtaken(_)) => reply(Outcome::Overtaken),
+            Err(CommandError::Domain(_)) => reply(Outcome::Refused),
             Err(_) => reply(Outcome::Unspecified),
         }
     }
--- a/crates/hub/tests/common/mod.rs
+++ b/crates/hub/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use hub::DeskError;
+use hub::CommandError;
 use hub::Hub;
 use hub::Put;
 use slog::Logger;
@@ -52,7 +52,7 @@
         loop {
             match hub.desk().put(put.clone()).await {
                 Ok(reply) => return reply.outcome(),
-                Err(DeskError::NoMajority) => tokio::time::sleep(PAUSE).await,
+                Err(CommandError::NoMajority) => tokio::time::sleep(PAUSE).await,
                 Err(err) => panic!("{err}"),
             }
         }
--- a/crates/hub/tests/test_hub.rs
+++ b/crates/hub/tests/test_hub.rs
@@ -12,7 +12,7 @@
 use common::start;
 use common::start_all;
 use common::watch;
-use hub::DeskError;
+use hub::CommandError;
 use hub::Hub;
 use registry::Registry;
 use registry::unpack;
@@ -53,7 +53,7 @@
     let (hub, _layout) = start().await;
     assert!(matches!(
         hub.desk().read().await,
-        Err(DeskError::NoTable | DeskError::NoMajority)
+        Err(CommandError::NoTable | CommandError::NoMajority)
     ));
     assert_eq!(put_surely(&hub, put(7)).await, TableOutcome::Taken);
     assert_eq!(put_surely(&hub, put(7)).await, TableOutcome::Held);
@@ -81,7 +81,7 @@
         }],
     });
     match hub.desk().put(bad).await {
-        Err(DeskError::Invalid(faults)) => assert_eq!(faults.len(), 2),
+        Err(CommandError::Invalid(faults)) => assert_eq!(faults.len(), 2),
         other => panic!("{other:?}"),
     }
     assert_eq!(hub.desk().read().await.expect("a table").version, 7);
@@ -283,7 +283,7 @@
     // Whoever asks for what is in force is not told.
     assert!(matches!(
         hub.desk().read().await,
-        Err(DeskError::NoMajority)
+        Err(CommandError::NoMajority)
     ));
 }
 
