--- a/crates/hub/src/bin/rwr-hub.rs
+++ b/crates/hub/src/bin/rwr-hub.rs
@@ -35,10 +35,10 @@
 
     async fn run(settings: Settings, log: Logger, mut signals: Signals) -> Result<(), HubError> {
         let mut hub = Hub::start(settings, log).await?;
-        let desk = hub.desk().clone();
+        let commands = hub.commands().clone();
         let asked = async {
             while signals.next().await == Asked::Reload {
-                desk.reload(Settings::open(signals.path()));
+                commands.reload(Settings::open(signals.path()));
             }
         };
         tokio::select! {
--- a/crates/hub/src/desk.rs
+++ b/crates/hub/src/commands.rs
@@ -117,13 +117,13 @@
         if taken == Taken::Stale || self.state.tables.registry().holds(&instance) {
             return Ok(());
         }
-        let desk = self.clone();
+        let commands = self.clone();
         if phase == Phase::Ready {
             // What fails is told again with the next announcement.
-            tokio::spawn(async move { desk.register(instance).await });
+            tokio::spawn(async move { commands.register(instance).await });
             return Ok(());
         }
-        if desk.register(instance).await {
+        if commands.register(instance).await {
             Ok(())
         } else {
             Err(CommandError::NoMajority)
--- a/crates/hub/src/http.rs
+++ b/crates/hub/src/http.rs
@@ -27,8 +27,8 @@
 use wire::hub::Instance;
 use wire::hub::Phase;
 
-use crate::desk::CommandError;
-use crate::desk::CommandHandler;
+use crate::commands::CommandError;
+use crate::commands::CommandHandler;
 
 /// Time after which an instance announces itself again: a hub that has started
 /// anew knows it by then, should the log have lost what wasn't confirmed.
@@ -53,9 +53,9 @@
 }
 
 /// The routes of a hub.
-fn service(desk: &CommandHandler) -> Service {
-    let announce = Router::with_path("v1/announce").post(Announce(desk.clone()));
-    let hosts = Router::with_path("v1/hosts").get(Ask(desk.clone()));
+fn service(commands: &CommandHandler) -> Service {
+    let announce = Router::with_path("v1/announce").post(Announce(commands.clone()));
+    let hosts = Router::with_path("v1/hosts").get(Ask(commands.clone()));
     let router = Router::new().push(announce).push(hosts);
     Service::new(router).catcher(Catcher::new(page::Caught))
 }
@@ -67,12 +67,12 @@
 /// Fails when the address can't be bound.
 pub async fn listen(
     address: SocketAddr,
-    desk: &CommandHandler,
+    commands: &CommandHandler,
 ) -> io::Result<(SocketAddr, impl Future<Output = ()> + use<>)> {
     let listener = TcpListener::bind(address).await?;
     let bound = listener.local_addr()?;
     let server = Server::new(TcpAcceptor::try_from(listener)?).max_connections(MAX_CONNECTIONS);
-    Ok((bound, server.serve(service(desk))))
+    Ok((bound, server.serve(service(commands))))
 }
 
 struct Announce(CommandHandler);
@@ -92,10 +92,10 @@
     }
 }
 
-async fn take(desk: &CommandHandler, told: members::Instance) -> Result<Taken, Refusal> {
+async fn take(commands: &CommandHandler, told: members::Instance) -> Result<Taken, Refusal> {
     if told.phase != members::Phase::Starting {
         let fail = |err: CommandError| Refusal::new(Reason::NotReady, err.to_string());
-        desk.announce(life(&told)).await.map_err(fail)?;
+        commands.announce(life(&told)).await.map_err(fail)?;
     }
     Ok(Taken {
         refresh_ms: millis(REFRESH),
--- a/crates/hub/src/hub.rs
+++ b/crates/hub/src/hub.rs
@@ -14,7 +14,7 @@
 use wire::accept::Acceptor;
 
 use crate::beacon;
-use crate::desk::CommandHandler;
+use crate::commands::CommandHandler;
 use crate::http;
 use crate::peers;
 use crate::server;
@@ -47,7 +47,7 @@
 /// A running hub.
 pub struct Hub {
     control: Control,
-    desk: CommandHandler,
+    commands: CommandHandler,
     stop: CancellationToken,
     log: Logger,
     http: Option<SocketAddr>,
@@ -67,14 +67,14 @@
         let listener = listener.map_err(|err| HubError::Bind(address, err))?;
         let port = settings.http;
         let state = State::new(settings, control.tables().clone(), log.clone());
-        let desk = CommandHandler::new(Arc::clone(&state));
+        let commands = CommandHandler::new(Arc::clone(&state));
         let stop = CancellationToken::new();
         let acceptor = Acceptor {
             limit: MAX_CONNECTIONS,
             stop: stop.clone(),
             log: log.clone(),
         };
-        let served = HubServer::new(Arc::clone(&state), desk.clone());
+        let served = HubServer::new(Arc::clone(&state), commands.clone());
         let accepting = acceptor.run(listener, move |channel| {
             server::serve(channel, served.clone())
         });
@@ -87,7 +87,7 @@
         ];
         let mut http = None;
         if let Some(port) = port {
-            let (bound, serving) = http::listen(port, &desk)
+            let (bound, serving) = http::listen(port, &commands)
                 .await
                 .map_err(|err| HubError::Bind(port, err))?;
             tasks.push(AbortOnDropHandle::new(tokio::spawn(serving)));
@@ -97,7 +97,7 @@
         info!(log, "hub serves"; "address" => %address, "http" => shown);
         Ok(Self {
             control,
-            desk,
+            commands,
             stop,
             log,
             http,
@@ -113,8 +113,8 @@
 
     /// Answers what the hub is asked.
     #[must_use]
-    pub fn desk(&self) -> &CommandHandler {
-        &self.desk
+    pub fn commands(&self) -> &CommandHandler {
+        &self.commands
     }
 
     /// Waits until the hub stops by itself.
--- a/crates/hub/src/lib.rs
+++ b/crates/hub/src/lib.rs
@@ -9,7 +9,7 @@
 //! itself known to those that watched before ([`beacon`]).
 
 pub mod beacon;
-pub mod desk;
+pub mod commands;
 pub mod entries;
 pub mod http;
 pub mod hub;
@@ -20,9 +20,9 @@
 pub mod state;
 pub mod suspects;
 
-pub use desk::CommandError;
-pub use desk::CommandHandler;
-pub use desk::Put;
+pub use commands::CommandError;
+pub use commands::CommandHandler;
+pub use commands::Put;
 pub use hub::Hub;
 pub use hub::HubError;
 pub use settings::Settings;
--- a/crates/hub/src/server.rs
+++ b/crates/hub/src/server.rs
@@ -35,9 +35,9 @@
 use wire::hub::WatchReply;
 use wire::link::Channel as Transport;
 
-use crate::desk::CommandError;
-use crate::desk::CommandHandler;
-use crate::desk::Put;
+use crate::commands::CommandError;
+use crate::commands::CommandHandler;
+use crate::commands::Put;
 use crate::list::Update;
 use crate::state::State;
 
@@ -69,12 +69,12 @@
 #[derive(Clone)]
 pub struct HubServer {
     state: Arc<State>,
-    desk: CommandHandler,
+    commands: CommandHandler,
 }
 
 impl HubServer {
-    pub(crate) fn new(state: Arc<State>, desk: CommandHandler) -> Self {
-        Self { state, desk }
+    pub(crate) fn new(state: Arc<State>, commands: CommandHandler) -> Self {
+        Self { state, commands }
     }
 
     /// Waits until there is anything that the watcher lacks; gives what it is told of
@@ -270,7 +270,7 @@
         let Ok(domain) = DomainName::new(&order.domain) else {
             return reply(Outcome::Refused);
         };
-        match self.desk.evacuate(&domain, order.evacuated).await {
+        match self.commands.evacuate(&domain, order.evacuated).await {
             Ok(()) => reply(Outcome::Taken),
             Err(CommandError::Overtaken(_)) => reply(Outcome::Overtaken),
             Err(CommandError::Domain(_)) => reply(Outcome::Refused),
@@ -279,7 +279,7 @@
     }
 
     async fn evacuations(self, _: Context) -> EvacuationsReply {
-        let found = self.desk.evacuations().await.ok();
+        let found = self.commands.evacuations().await.ok();
         EvacuationsReply {
             confirmed: found.is_some(),
             evacuations: found.map(|found| found.to_wire()),
@@ -294,11 +294,11 @@
             table,
             source: row.source.to_vec(),
         };
-        self.desk.put(put).await.unwrap_or_default()
+        self.commands.put(put).await.unwrap_or_default()
     }
 
     async fn read_table(self, _: Context) -> ReadReply {
-        let table = self.desk.read().await.ok();
+        let table = self.commands.read().await.ok();
         ReadReply {
             confirmed: table.is_some(),
             table: table.map(|table| (*table).clone()),
@@ -310,7 +310,9 @@
     }
 
     async fn resolve(self, _: Context, query: ResolveQuery) -> ResolveReply {
-        let (addresses, ttl) = self.desk.resolve(&query.name, &query.domain, &query.region);
+        let (addresses, ttl) = self
+            .commands
+            .resolve(&query.name, &query.domain, &query.region);
         ResolveReply {
             addresses,
             ttl_ms: u32::try_from(ttl.as_millis()).unwrap_or(u32::MAX),
--- a/crates/hub/tests/common/mod.rs
+++ b/crates/hub/tests/common/mod.rs
@@ -50,7 +50,7 @@
 pub async fn put_surely(hub: &Hub, put: Put) -> TableOutcome {
     let tries = async {
         loop {
-            match hub.desk().put(put.clone()).await {
+            match hub.commands().put(put.clone()).await {
                 Ok(reply) => return reply.outcome(),
                 Err(CommandError::NoMajority) => tokio::time::sleep(PAUSE).await,
                 Err(err) => panic!("{err}"),
--- a/crates/hub/tests/test_evacuation.rs
+++ b/crates/hub/tests/test_evacuation.rs
@@ -40,11 +40,11 @@
         let (link, ask) = (link(&layout), ask(0));
         async move { watch(&link, ask).await }
     });
-    hub.desk()
+    hub.commands()
         .evacuate(&domain, true)
         .await
         .expect("in the log");
-    hub.desk().evacuate(&domain, true).await.expect("held");
+    hub.commands().evacuate(&domain, true).await.expect("held");
     let told = waiting.await.expect("ends").evacuations.expect("told");
     assert_eq!((told.revision, told.rows[0].evacuated), (1, true));
     let client = link(&layout).client().await.expect("connects");
@@ -77,7 +77,7 @@
     hubs.pop().expect("the third").stop().await;
     let domain = DomainName::new("a").expect("a name");
     let ordered = async {
-        while hubs[0].desk().evacuate(&domain, true).await.is_err() {
+        while hubs[0].commands().evacuate(&domain, true).await.is_err() {
             tokio::time::sleep(PAUSE).await;
         }
     };
@@ -88,7 +88,7 @@
     let back = back.expect("starts");
     let held = async {
         loop {
-            match back.desk().evacuations().await {
+            match back.commands().evacuations().await {
                 Ok(held) => return held,
                 Err(_) => tokio::time::sleep(PAUSE).await,
             }
--- a/crates/hub/tests/test_hub.rs
+++ b/crates/hub/tests/test_hub.rs
@@ -52,13 +52,13 @@
 async fn test_hub_table_is_read_back_as_it_was_sent() {
     let (hub, _layout) = start().await;
     assert!(matches!(
-        hub.desk().read().await,
+        hub.commands().read().await,
         Err(CommandError::NoTable | CommandError::NoMajority)
     ));
     assert_eq!(put_surely(&hub, put(7)).await, TableOutcome::Taken);
     assert_eq!(put_surely(&hub, put(7)).await, TableOutcome::Held);
     assert_eq!(put_surely(&hub, put(6)).await, TableOutcome::Older);
-    let row = hub.desk().read().await.expect("a table");
+    let row = hub.commands().read().await.expect("a table");
     assert_eq!((row.version, &row.source[..]), (7, &b"as sent"[..]));
 }
 
@@ -80,18 +80,18 @@
             target: table::Target::Service(ServiceName::new("none").expect("a name")),
         }],
     });
-    match hub.desk().put(bad).await {
+    match hub.commands().put(bad).await {
         Err(CommandError::Invalid(faults)) => assert_eq!(faults.len(), 2),
         other => panic!("{other:?}"),
     }
-    assert_eq!(hub.desk().read().await.expect("a table").version, 7);
+    assert_eq!(hub.commands().read().await.expect("a table").version, 7);
 }
 
 #[tokio::test]
 async fn test_hub_watcher_learns_of_tables_and_instances() {
     let (hub, layout) = start().await;
     put_surely(&hub, put(7)).await;
-    hub.desk()
+    hub.commands()
         .announce(instance(Phase::Ready, 1))
         .await
         .expect("taken");
@@ -112,7 +112,7 @@
         let link = link(&layout);
         async move { watch(&link, ask).await }
     });
-    hub.desk()
+    hub.commands()
         .announce(instance(Phase::Draining, 2))
         .await
         .expect("in the log");
@@ -128,7 +128,7 @@
     let (hub, layout) = start().await;
     put_surely(&hub, put(7)).await;
     let announce = async |phase, sequence| {
-        let told = hub.desk().announce(instance(phase, sequence)).await;
+        let told = hub.commands().announce(instance(phase, sequence)).await;
         told.expect("taken");
     };
     announce(Phase::Ready, 1).await;
@@ -171,7 +171,7 @@
 async fn test_hub_watcher_that_wants_no_instances_is_told_of_tables() {
     let (hub, layout) = start().await;
     let announced = instance(Phase::Ready, 1);
-    hub.desk().announce(announced).await.expect("taken");
+    hub.commands().announce(announced).await.expect("taken");
     let ask = Watch {
         news: News::None.into(),
         wait_ms: 60_000,
@@ -191,7 +191,7 @@
 async fn test_hub_cursor_of_another_process_asks_for_everything() {
     let (hub, layout) = start().await;
     put_surely(&hub, put(7)).await;
-    hub.desk()
+    hub.commands()
         .announce(instance(Phase::Ready, 1))
         .await
         .expect("taken");
@@ -218,10 +218,10 @@
             ..Instance::default()
         },
     ] {
-        hub.desk().announce(row).await.expect("in the log");
+        hub.commands().announce(row).await.expect("in the log");
     }
     // Told again, it is acknowledged again.
-    let again = hub.desk().announce(instance(Phase::Draining, 2)).await;
+    let again = hub.commands().announce(instance(Phase::Draining, 2)).await;
     again.expect("known");
 }
 
@@ -239,7 +239,7 @@
     let named = async {
         loop {
             watch(&link(&layout), ask.clone()).await;
-            let (addresses, _) = hub.desk().resolve("example.org", "a", "r");
+            let (addresses, _) = hub.commands().resolve("example.org", "a", "r");
             if !addresses.is_empty() {
                 return addresses;
             }
@@ -282,7 +282,7 @@
     assert!(fetch(&link(&layout), 0).await.content.len() > 10);
     // Whoever asks for what is in force is not told.
     assert!(matches!(
-        hub.desk().read().await,
+        hub.commands().read().await,
         Err(CommandError::NoMajority)
     ));
 }
@@ -320,7 +320,7 @@
             post(&base, &told(phase, 1, 1)).await,
             (200, "{\"refresh_ms\":500}".to_owned())
         );
-        assert_eq!(hub.desk().instances().len(), count, "{phase}");
+        assert_eq!(hub.commands().instances().len(), count, "{phase}");
     }
     // A later life of the same instance is another row, and the earlier one can leave.
     assert_eq!(post(&base, &told("ready", 2, 1)).await.0, 200);
@@ -331,7 +331,7 @@
     };
     let left = tokio::time::timeout(PATIENCE, leave).await;
     left.expect("in the log in the end");
-    let lives = hub.desk().instances();
+    let lives = hub.commands().instances();
     let lives: Vec<(&str, Phase)> = lives.iter().map(|i| (&*i.id, i.phase())).collect();
     assert_eq!(
         lives,
@@ -381,7 +381,7 @@
     let log = telemetry::log::silent();
     let mut hubs = start_all(&layout, &log).await;
     let phase = |hub: &Hub| {
-        let instances = hub.desk().instances();
+        let instances = hub.commands().instances();
         instances.iter().map(Instance::phase).max()
     };
     let reaches = async |hub: &Hub, wanted: Phase| {
@@ -394,13 +394,13 @@
         reached.expect("told in the end");
     };
     put_surely(&hubs[0], put(1)).await;
-    let told = hubs[0].desk().announce(instance(Phase::Ready, 1)).await;
+    let told = hubs[0].commands().announce(instance(Phase::Ready, 1)).await;
     told.expect("taken");
     reaches(&hubs[2], Phase::Ready).await;
     hubs.pop().expect("the third").stop().await;
     let drain = async {
         while hubs[0]
-            .desk()
+            .commands()
             .announce(instance(Phase::Draining, 2))
             .await
             .is_err()
