--- a/crates/hub/src/commands.rs
+++ b/crates/hub/src/commands.rs
@@ -68,7 +68,7 @@
 
 /// A table on its way in.
 #[derive(Clone, Debug)]
-pub struct Put {
+pub struct TableUpdate {
     /// It, checked by the desk.
     pub table: Table,
     /// The operator's own document, given back on reads.
@@ -144,7 +144,7 @@
     ///
     /// Fails when it is invalid, or when no majority took it in time; it may be
     /// taken later then.
-    pub async fn put(&self, put: Put) -> Result<TableReply, CommandError> {
+    pub async fn put(&self, put: TableUpdate) -> Result<TableReply, CommandError> {
         let version = put.table.version;
         let faults = table::check(&put.table);
         if !faults.is_empty() {
--- a/crates/hub/src/lib.rs
+++ b/crates/hub/src/lib.rs
@@ -22,7 +22,7 @@
 
 pub use commands::CommandError;
 pub use commands::CommandHandler;
-pub use commands::Put;
+pub use commands::TableUpdate;
 pub use hub::Hub;
 pub use hub::HubError;
 pub use settings::Settings;
--- a/crates/hub/src/server.rs
+++ b/crates/hub/src/server.rs
@@ -37,7 +37,7 @@
 
 use crate::commands::CommandError;
 use crate::commands::CommandHandler;
-use crate::commands::Put;
+use crate::commands::TableUpdate;
 use crate::list::Update;
 use crate::state::State;
 
@@ -290,7 +290,7 @@
         let Ok(table) = table::codec::decode(&row.content) else {
             return TableReply::default();
         };
-        let put = Put {
+        let put = TableUpdate {
             table,
             source: row.source.to_vec(),
         };
--- a/crates/hub/tests/common/mod.rs
+++ b/crates/hub/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 use hub::CommandError;
 use hub::Hub;
-use hub::Put;
+use hub::TableUpdate;
 use slog::Logger;
 use table::Table;
 use testutils::Layout;
@@ -37,8 +37,8 @@
     hubs
 }
 
-pub fn put(version: u64) -> Put {
-    Put {
+pub fn put(version: u64) -> TableUpdate {
+    TableUpdate {
         table: Table {
             version,
             ..Table::default()
@@ -47,7 +47,7 @@
     }
 }
 
-pub async fn put_surely(hub: &Hub, put: Put) -> TableOutcome {
+pub async fn put_surely(hub: &Hub, put: TableUpdate) -> TableOutcome {
     let tries = async {
         loop {
             match hub.commands().put(put.clone()).await {
@@ -66,7 +66,7 @@
 /// several times.
 pub async fn outgrow_log(hub: &Hub) {
     for version in 2..12 {
-        let large = Put {
+        let large = TableUpdate {
             source: vec![b'x'; 200 * 1024],
             ..put(version)
         };
