--- a/crates/hub/src/commands.rs
+++ b/crates/hub/src/commands.rs
@@ -39,7 +39,7 @@
             display("another order on failure domain {domain} was taken meanwhile; ask again")
         }
         /// The failure domain can't be evacuated.
-        Domain(domain: DomainName) {
+        TooManyDomains(domain: DomainName) {
             display("failure domain {domain}: orders have named {} others, as many as are kept",
                 evacuation::domains::MOST_DOMAINS)
         }
@@ -193,7 +193,7 @@
         match outcome {
             Some(Outcome::Taken | Outcome::Held) => Ok(()),
             Some(Outcome::Overtaken) => Err(CommandError::Overtaken(domain.clone())),
-            Some(Outcome::Refused) => Err(CommandError::Domain(domain.clone())),
+            Some(Outcome::Refused) => Err(CommandError::TooManyDomains(domain.clone())),
             Some(Outcome::Unspecified) | None => Err(CommandError::NoMajority),
         }
     }
--- a/crates/hub/src/server.rs
+++ b/crates/hub/src/server.rs
@@ -273,7 +273,7 @@
         match self.commands.evacuate(&domain, order.evacuated).await {
             Ok(()) => reply(Outcome::Taken),
             Err(CommandError::Overtaken(_)) => reply(Outcome::Overtaken),
-            Err(CommandError::Domain(_)) => reply(Outcome::Refused),
+            Err(CommandError::TooManyDomains(_)) => reply(Outcome::Refused),
             Err(_) => reply(Outcome::Unspecified),
         }
     }
