--- a/crates/hub/src/commands.rs
+++ b/crates/hub/src/commands.rs
@@ -48,7 +48,7 @@
             display("no route table was accepted yet")
         }
         /// The table is invalid.
-        Invalid(faults: Vec<Fault>) {
+        InvalidTable(faults: Vec<Fault>) {
             display("{}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))
         }
         /// The announcement names no instance to use.
@@ -150,7 +150,7 @@
         if !faults.is_empty() {
             warn!(self.state.log, "route table refused"; "version" => version,
                 "faults" => faults.len(), "first" => %faults[0]);
-            return Err(CommandError::Invalid(faults));
+            return Err(CommandError::InvalidTable(faults));
         }
         let row = wire::hub::Table {
             version,
--- a/crates/hub/tests/test_hub.rs
+++ b/crates/hub/tests/test_hub.rs
@@ -81,7 +81,7 @@
         }],
     });
     match hub.commands().put(bad).await {
-        Err(CommandError::Invalid(faults)) => assert_eq!(faults.len(), 2),
+        Err(CommandError::InvalidTable(faults)) => assert_eq!(faults.len(), 2),
         other => panic!("{other:?}"),
     }
     assert_eq!(hub.commands().read().await.expect("a table").version, 7);
