--- a/crates/hub/src/commands.rs
+++ b/crates/hub/src/commands.rs
@@ -8,8 +8,8 @@
 use evacuation::Domains;
 use evacuation::Outcome;
 use quick_error::quick_error;
+use registry::AnnouncementError;
 use registry::Taken;
-use registry::Unusable;
 use slog::Logger;
 use slog::info;
 use slog::warn;
@@ -52,7 +52,7 @@
             display("{}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))
         }
         /// The announcement names no instance to use.
-        Unusable(err: Unusable) {
+        InvalidAnnouncement(err: AnnouncementError) {
             from()
             source(err)
             display("{err}")
--- a/crates/registry/src/check.rs
+++ b/crates/registry/src/check.rs
@@ -17,7 +17,7 @@
 quick_error! {
     /// Why an announcement names no instance to use.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum Unusable {
+    pub enum AnnouncementError {
         /// A name isn't one.
         Name(field: &'static str, err: NameError) {
             display("{field}: {err}")
@@ -42,12 +42,12 @@
 /// # Errors
 ///
 /// Fails with the first field that can't be used.
-pub fn check(instance: &Instance) -> Result<(), Unusable> {
-    let name = |field| move |err| Unusable::Name(field, err);
+pub fn check(instance: &Instance) -> Result<(), AnnouncementError> {
+    let name = |field| move |err| AnnouncementError::Name(field, err);
     InstanceId::new(&instance.id).map_err(name("id"))?;
     match instance.phase() {
         Phase::Gone => return Ok(()),
-        Phase::Unspecified => return Err(Unusable::Phase),
+        Phase::Unspecified => return Err(AnnouncementError::Phase),
         Phase::Ready | Phase::Draining => {}
     }
     ServiceName::new(&instance.service).map_err(name("service"))?;
@@ -56,16 +56,16 @@
     if (1..=MAX_SLOTS).contains(&instance.slots) {
         Ok(())
     } else {
-        Err(Unusable::Slots(instance.slots))
+        Err(AnnouncementError::Slots(instance.slots))
     }
 }
 
-fn check_address(text: &str) -> Result<(), Unusable> {
+fn check_address(text: &str) -> Result<(), AnnouncementError> {
     let address: Option<SocketAddr> = text.parse().ok();
     let usable = address.is_some_and(|a| a.port() != 0 && !a.ip().is_unspecified());
     if usable {
         Ok(())
     } else {
-        Err(Unusable::Address(text.to_owned()))
+        Err(AnnouncementError::Address(text.to_owned()))
     }
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod pack;
 pub mod registry;
 
-pub use check::Unusable;
+pub use check::AnnouncementError;
 pub use check::check;
 pub use digest::Digest;
 pub use merge::Merged;
--- a/crates/registry/tests/test_registry.rs
+++ b/crates/registry/tests/test_registry.rs
@@ -5,9 +5,9 @@
 use base::prelude::*;
 use quickcheck::TestResult;
 use quickcheck::quickcheck;
+use registry::AnnouncementError;
 use registry::Registry;
 use registry::Taken;
-use registry::Unusable;
 use registry::check;
 use registry::pack;
 use registry::unpack;
@@ -295,7 +295,7 @@
     assert_eq!(check(&gone()), Ok(()));
     assert_eq!(
         check(&Instance { slots: 0, ..ready }),
-        Err(Unusable::Slots(0))
+        Err(AnnouncementError::Slots(0))
     );
 }
 
