--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -12,8 +12,8 @@
 use base::prelude::*;
 use http::Uri;
 use registry::Digest;
-use registry::KEEP_GONE;
 use registry::Merged;
+use registry::TOMBSTONE_RETENTION;
 use registry::merge;
 use table::Index;
 use table::Table;
@@ -210,7 +210,7 @@
                 row.left = None;
                 return true;
             }
-            let kept = now.since(*row.left.get_or_insert(now)) < KEEP_GONE;
+            let kept = now.since(*row.left.get_or_insert(now)) < TOMBSTONE_RETENTION;
             if !kept {
                 digest.remove(&row.told);
             }
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -20,7 +20,7 @@
 
 /// How long the id of an instance that has left is kept, so that a late
 /// announcement doesn't bring it back: well over the time for which a cut link delays one.
-pub const KEEP_GONE: Duration = Duration::from_mins(10);
+pub const TOMBSTONE_RETENTION: Duration = Duration::from_mins(10);
 
 /// What an announcement changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -238,7 +238,8 @@
     pub fn forget(&mut self, now: Moment) {
         let digest = &mut self.digest;
         self.rows.retain(|_, row| {
-            let kept = row.instance.phase() != Phase::Gone || now.since(row.told) < KEEP_GONE;
+            let kept =
+                row.instance.phase() != Phase::Gone || now.since(row.told) < TOMBSTONE_RETENTION;
             if !kept {
                 digest.remove(&row.instance);
             }
--- a/crates/registry/tests/test_digest.rs
+++ b/crates/registry/tests/test_digest.rs
@@ -3,8 +3,8 @@
 use base::prelude::*;
 use quickcheck::quickcheck;
 use registry::Digest;
-use registry::KEEP_GONE;
 use registry::Registry;
+use registry::TOMBSTONE_RETENTION;
 use wire::hub::Instance;
 use wire::hub::Phase;
 
@@ -79,7 +79,7 @@
     fn prop_digest_follows_every_change(steps: Vec<(u8, u8, u8)>, forgets: bool) -> bool {
         let mut registry = registry(&steps);
         if forgets {
-            registry.forget(NOW + KEEP_GONE);
+            registry.forget(NOW + TOMBSTONE_RETENTION);
         }
         let mut fresh = Digest::default();
         for instance in registry.all() {
