--- a/crates/entry/tests/test_progress.rs
+++ b/crates/entry/tests/test_progress.rs
@@ -72,9 +72,9 @@
             News::None => reply.cursor = cursor,
             _ if !asked.buckets.is_empty() => {
                 reply.whole = pack(registry.differing(&asked.buckets));
-                reply.heard = registry.heard_since(cursor);
+                reply.heard = registry.liveness_changed_since(cursor);
             }
-            News::Digest => reply.heard = registry.heard_since(cursor),
+            News::Digest => reply.heard = registry.liveness_changed_since(cursor),
             News::Changes | News::Unspecified if cursor == 0 => {
                 reply.whole = pack(registry.shown());
             }
--- a/crates/hub/src/server.rs
+++ b/crates/hub/src/server.rs
@@ -154,9 +154,9 @@
         };
         if !ask.buckets.is_empty() {
             told.whole = self.state.pack(registry.differing(&ask.buckets));
-            told.heard = registry.heard_since(ask.cursor);
+            told.heard = registry.liveness_changed_since(ask.cursor);
         } else if ask.news() == News::Digest {
-            told.heard = registry.heard_since(ask.cursor);
+            told.heard = registry.liveness_changed_since(ask.cursor);
         } else if ask.cursor > 0 {
             let news = registry.news(ask.cursor);
             told.rows = news.rows;
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -170,7 +170,7 @@
 
     /// Which instances are heard now and weren't at `cursor`, or the other way round.
     #[must_use]
-    pub fn heard_since(&self, cursor: u64) -> Vec<Hearing> {
+    pub fn liveness_changed_since(&self, cursor: u64) -> Vec<Hearing> {
         let noticed = self.rows.values().filter(|row| row.noticed > cursor);
         noticed.map(|row| row.hearing()).collect()
     }
