--- a/crates/entry/tests/test_progress.rs
+++ b/crates/entry/tests/test_progress.rs
@@ -76,7 +76,7 @@
             }
             News::Digest => reply.heard = registry.liveness_changed_since(cursor),
             News::Changes | News::Unspecified if cursor == 0 => {
-                reply.whole = pack(registry.shown());
+                reply.whole = pack(registry.all_with_liveness());
             }
             News::Changes | News::Unspecified => {
                 let news = registry.news(cursor);
--- a/crates/hub/src/state.rs
+++ b/crates/hub/src/state.rs
@@ -119,7 +119,7 @@
         let mut known = self.known();
         let cursor = known.registry.cursor();
         if known.packed.0 != cursor {
-            let packed = self.pack(known.registry.shown());
+            let packed = self.pack(known.registry.all_with_liveness());
             if packed.is_empty() {
                 // From cursor 0 the watcher asks again.
                 return (0, packed);
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -59,7 +59,7 @@
 
 impl Row {
     /// As watchers are told of it.
-    fn shown(&self) -> Instance {
+    fn with_liveness(&self) -> Instance {
         Instance {
             heard: self.heard.is_some(),
             ..self.instance.clone()
@@ -153,7 +153,7 @@
     #[must_use]
     pub fn since(&self, cursor: u64) -> Vec<Instance> {
         let newer = self.rows.values().filter(|row| row.moved() > cursor);
-        newer.map(|row| row.shown()).collect()
+        newer.map(|row| row.with_liveness()).collect()
     }
 
     /// The same in few bytes: rows only of what has changed but for being heard.
@@ -163,7 +163,7 @@
         let same = self.rows.values().filter(|row| row.changed <= cursor);
         let noticed = same.filter(|row| row.noticed > cursor);
         News {
-            rows: newer.map(|row| row.shown()).collect(),
+            rows: newer.map(|row| row.with_liveness()).collect(),
             heard: noticed.map(|row| row.hearing()).collect(),
         }
     }
@@ -180,13 +180,13 @@
     pub fn differing(&self, buckets: &[u64]) -> Vec<Instance> {
         let rows = self.rows.values();
         let differ = rows.filter(|row| self.digest.may_differ(&row.instance.id, buckets));
-        differ.map(|row| row.shown()).collect()
+        differ.map(|row| row.with_liveness()).collect()
     }
 
     /// All instances as watchers are told of them.
     #[must_use]
-    pub fn shown(&self) -> Vec<Instance> {
-        self.rows.values().map(|row| row.shown()).collect()
+    pub fn all_with_liveness(&self) -> Vec<Instance> {
+        self.rows.values().map(|row| row.with_liveness()).collect()
     }
 
     /// Notes that the instance has announced itself here, in the incarnation that is held.
--- a/crates/registry/tests/test_registry.rs
+++ b/crates/registry/tests/test_registry.rs
@@ -404,7 +404,7 @@
     let mut registry = Registry::default();
     let ready = life(1, 3, Phase::Ready);
     registry.take(NOW, ready.clone());
-    let heard = |registry: &Registry| registry.shown().iter().all(|i| i.heard);
+    let heard = |registry: &Registry| registry.all_with_liveness().iter().all(|i| i.heard);
     assert!(!heard(&registry));
     let seen = registry.cursor();
     registry.hear(NOW, &ready);
