--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -173,7 +173,7 @@
             Kind::Table(table) => Ok(Output::Table(self.take_table(table))),
             Kind::Instance(instance) => {
                 let now = Moment::from_millis(command.now_ms);
-                Arc::make_mut(&mut self.registry).take(now, instance);
+                Arc::make_mut(&mut self.registry).apply(now, instance);
                 Ok(Output::Instance)
             }
             Kind::Evacuation(order) => {
@@ -242,7 +242,7 @@
 fn restored(instances: Vec<Instance>) -> Registry {
     let mut registry = Registry::default();
     for instance in instances {
-        registry.take(Moment::ZERO, instance);
+        registry.apply(Moment::ZERO, instance);
     }
     registry
 }
--- a/crates/entry/tests/test_progress.rs
+++ b/crates/entry/tests/test_progress.rs
@@ -48,7 +48,7 @@
     /// Applies the log up to `index`.
     fn apply(&mut self, log: &[Instance], index: usize) {
         for entry in &log[self.applied..index] {
-            self.registry.take(NOW, entry.clone());
+            self.registry.apply(NOW, entry.clone());
         }
         self.applied = index;
     }
@@ -144,7 +144,7 @@
         match kind % 10 {
             // Heard by a hub, and not yet in the log.
             0 => {
-                fake.registry.take(NOW, instance(id, 1, Phase::Ready));
+                fake.registry.apply(NOW, instance(id, 1, Phase::Ready));
                 fake.registry.hear(NOW, &instance(id, 1, Phase::Ready));
             }
             1 => self.log.push(instance(id, 1, Phase::Ready)),
@@ -200,7 +200,7 @@
         let newest = world.hubs.iter().map(|hub| hub.applied).max().unwrap_or_default();
         let mut known = Registry::default();
         for entry in &world.log[..newest] {
-            known.take(NOW, entry.clone());
+            known.apply(NOW, entry.clone());
         }
         let follows = |told: &Instance| match held.get(&told.id) {
             Some(phase) => *phase >= told.phase(),
--- a/crates/hub/src/commands.rs
+++ b/crates/hub/src/commands.rs
@@ -9,7 +9,7 @@
 use evacuation::Outcome;
 use quick_error::quick_error;
 use registry::AnnouncementError;
-use registry::Taken;
+use registry::ApplyOutcome;
 use slog::Logger;
 use slog::info;
 use slog::warn;
@@ -109,12 +109,12 @@
             let now = self.state.clock.now();
             self.state.known().registry.hear(now, &instance);
         }
-        if taken != Taken::Known {
+        if taken != ApplyOutcome::Known {
             info!(self.state.log, "announcement"; "instance" => &instance.id,
                 "phase" => phase.as_str_name(), "incarnation" => instance.incarnation,
                 "sequence" => instance.sequence, "outcome" => format!("{taken:?}"));
         }
-        if taken == Taken::Stale || self.state.tables.registry().holds(&instance) {
+        if taken == ApplyOutcome::Stale || self.state.tables.registry().holds(&instance) {
             return Ok(());
         }
         let commands = self.clone();
--- a/crates/hub/src/state.rs
+++ b/crates/hub/src/state.rs
@@ -12,8 +12,8 @@
 use control::TableDesk;
 use quarantine::Revision;
 use quarantine::Tracker;
+use registry::ApplyOutcome;
 use registry::Registry;
-use registry::Taken;
 use slog::Logger;
 use slog::warn;
 use tokio::sync::watch;
@@ -92,22 +92,24 @@
     }
 
     /// Takes announcements and wakes whoever waits for them.
-    pub fn take<'a>(&self, instances: impl IntoIterator<Item = &'a Instance>) -> Taken {
+    pub fn take<'a>(&self, instances: impl IntoIterator<Item = &'a Instance>) -> ApplyOutcome {
         let now = self.clock.now();
-        let mut last = Taken::Known;
+        let mut last = ApplyOutcome::Known;
         {
             let mut known = self.known();
             for instance in instances {
-                match known.registry.take(now, instance.clone()) {
-                    Taken::Changed => last = Taken::Changed,
-                    taken @ (Taken::Stale | Taken::Unusable) if last == Taken::Known => {
+                match known.registry.apply(now, instance.clone()) {
+                    ApplyOutcome::Changed => last = ApplyOutcome::Changed,
+                    taken @ (ApplyOutcome::Stale | ApplyOutcome::Unusable)
+                        if last == ApplyOutcome::Known =>
+                    {
                         last = taken;
                     }
-                    Taken::Stale | Taken::Unusable | Taken::Known => {}
+                    ApplyOutcome::Stale | ApplyOutcome::Unusable | ApplyOutcome::Known => {}
                 }
             }
         }
-        if last == Taken::Changed {
+        if last == ApplyOutcome::Changed {
             self.publish();
         }
         last
--- a/crates/hub/tests/test_hub.rs
+++ b/crates/hub/tests/test_hub.rs
@@ -150,7 +150,7 @@
     };
     let rows = watch(&link(&layout), compare(&held, &first)).await;
     for row in unpack(&rows.whole).expect("a list") {
-        held.take(NOW, row);
+        held.apply(NOW, row);
     }
     assert_eq!(rows.digest, held.digest().total());
     announce(Phase::Draining, 2).await;
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -16,7 +16,7 @@
 pub use pack::pack_hosts;
 pub use pack::unpack;
 pub use pack::unpack_hosts;
+pub use registry::ApplyOutcome;
 pub use registry::News;
 pub use registry::Registry;
 pub use registry::TOMBSTONE_RETENTION;
-pub use registry::Taken;
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -24,7 +24,7 @@
 
 /// What an announcement changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum ApplyOutcome {
     /// Watchers are to learn of it.
     Changed,
     /// It said what was known.
@@ -95,25 +95,25 @@
 
 impl Registry {
     /// Takes an announcement, heard by this hub or by another one.
-    pub fn take(&mut self, now: Moment, instance: Instance) -> Taken {
+    pub fn apply(&mut self, now: Moment, instance: Instance) -> ApplyOutcome {
         if check(&instance).is_err() {
-            return Taken::Unusable;
+            return ApplyOutcome::Unusable;
         }
         let Some(row) = self.rows.get_mut(&*instance.id) else {
             self.insert(now, instance);
-            return Taken::Changed;
+            return ApplyOutcome::Changed;
         };
         let (next, taken) = match merge(&row.instance, instance) {
-            Merged::Stale => return Taken::Stale,
-            Merged::Known(next) => (next, Taken::Known),
-            Merged::Changed(next) => (next, Taken::Changed),
+            Merged::Stale => return ApplyOutcome::Stale,
+            Merged::Known(next) => (next, ApplyOutcome::Known),
+            Merged::Changed(next) => (next, ApplyOutcome::Changed),
         };
         let row = Arc::make_mut(row);
         row.told = now;
         if next.incarnation != row.instance.incarnation {
             row.heard = None;
         }
-        if taken == Taken::Changed {
+        if taken == ApplyOutcome::Changed {
             self.digest.remove(&row.instance);
             self.digest.add(&next);
             self.cursor += 1;
--- a/crates/registry/tests/test_digest.rs
+++ b/crates/registry/tests/test_digest.rs
@@ -34,7 +34,7 @@
 fn registry(steps: &[(u8, u8, u8)]) -> Registry {
     let mut registry = Registry::default();
     for step in steps {
-        registry.take(NOW, announced(*step));
+        registry.apply(NOW, announced(*step));
     }
     registry
 }
@@ -67,10 +67,10 @@
         let mut one = registry(&[shared.clone(), one].concat());
         let mut other = registry(&[shared, other].concat());
         for instance in other.differing(one.digest().buckets()) {
-            one.take(NOW, instance);
+            one.apply(NOW, instance);
         }
         for instance in one.differing(other.digest().buckets()) {
-            other.take(NOW, instance);
+            other.apply(NOW, instance);
         }
         held(&one) == held(&other) && one.digest() == other.digest()
     }
@@ -98,7 +98,7 @@
     });
     let mut registry = Registry::default();
     for row in rows.clone() {
-        registry.take(NOW, row);
+        registry.apply(NOW, row);
     }
     let before = registry.digest().clone();
     assert!(registry.differing(before.buckets()).is_empty());
@@ -107,7 +107,7 @@
         sequence: 256,
         ..rows.clone().next().expect("one")
     };
-    registry.take(NOW, drained.clone());
+    registry.apply(NOW, drained.clone());
     let differing = registry.differing(before.buckets());
     assert!(
         differing
--- a/crates/registry/tests/test_registry.rs
+++ b/crates/registry/tests/test_registry.rs
@@ -6,8 +6,8 @@
 use quickcheck::TestResult;
 use quickcheck::quickcheck;
 use registry::AnnouncementError;
+use registry::ApplyOutcome;
 use registry::Registry;
-use registry::Taken;
 use registry::check;
 use registry::pack;
 use registry::unpack;
@@ -48,55 +48,55 @@
         (
             "first",
             vec![at(1, Phase::Ready)],
-            Taken::Changed,
+            ApplyOutcome::Changed,
             Phase::Ready,
         ),
         (
             "heartbeat",
             vec![at(1, Phase::Ready), at(2, Phase::Ready)],
-            Taken::Known,
+            ApplyOutcome::Known,
             Phase::Ready,
         ),
         (
             "drain",
             vec![at(1, Phase::Ready), at(2, Phase::Draining)],
-            Taken::Changed,
+            ApplyOutcome::Changed,
             Phase::Draining,
         ),
         (
             "late heartbeat after a drain",
             vec![at(3, Phase::Draining), at(2, Phase::Ready)],
-            Taken::Stale,
+            ApplyOutcome::Stale,
             Phase::Draining,
         ),
         (
             "leaving without a drain",
             vec![at(1, Phase::Ready), gone()],
-            Taken::Changed,
+            ApplyOutcome::Changed,
             Phase::Gone,
         ),
         (
             "leaving twice",
             vec![at(1, Phase::Ready), gone(), gone()],
-            Taken::Known,
+            ApplyOutcome::Known,
             Phase::Gone,
         ),
         (
             "late heartbeat after leaving",
             vec![at(1, Phase::Ready), gone(), at(9, Phase::Ready)],
-            Taken::Stale,
+            ApplyOutcome::Stale,
             Phase::Gone,
         ),
         (
             "leaving before it was ever announced",
             vec![gone(), at(1, Phase::Ready)],
-            Taken::Stale,
+            ApplyOutcome::Stale,
             Phase::Gone,
         ),
     ];
     for (name, steps, expected, last) in cases {
         let mut registry = Registry::default();
-        let taken: Vec<Taken> = steps.into_iter().map(|i| registry.take(NOW, i)).collect();
+        let taken: Vec<ApplyOutcome> = steps.into_iter().map(|i| registry.apply(NOW, i)).collect();
         assert_eq!(taken.last(), Some(&expected), "{name}");
         assert_eq!(phase(&registry), Some(last), "{name}");
     }
@@ -105,11 +105,11 @@
 #[test]
 fn test_registry_tells_what_changed_since() {
     let mut registry = Registry::default();
-    registry.take(NOW, at(1, Phase::Ready));
+    registry.apply(NOW, at(1, Phase::Ready));
     let seen = registry.cursor();
-    registry.take(NOW, at(2, Phase::Ready));
+    registry.apply(NOW, at(2, Phase::Ready));
     assert!(registry.since(seen).is_empty());
-    registry.take(NOW, at(3, Phase::Draining));
+    registry.apply(NOW, at(3, Phase::Draining));
     assert_eq!(registry.since(seen).len(), 1);
     assert_eq!(registry.since(0).len(), 1);
 }
@@ -118,10 +118,10 @@
 fn test_registry_holds_what_it_was_told() {
     let mut registry = Registry::default();
     assert!(!registry.holds(&at(1, Phase::Ready)));
-    registry.take(NOW, at(1, Phase::Ready));
+    registry.apply(NOW, at(1, Phase::Ready));
     assert!(registry.holds(&at(5, Phase::Ready)));
     assert!(!registry.holds(&at(5, Phase::Draining)));
-    registry.take(NOW, gone());
+    registry.apply(NOW, gone());
     assert!(registry.holds(&gone()));
 }
 
@@ -142,61 +142,61 @@
         (
             "sequence starts anew",
             vec![life(1, 9, Ready), life(2, 1, Ready)],
-            Taken::Changed,
+            ApplyOutcome::Changed,
             (2, Ready),
         ),
         (
             "after a drain",
             vec![life(1, 9, Draining), life(2, 1, Ready)],
-            Taken::Changed,
+            ApplyOutcome::Changed,
             (2, Ready),
         ),
         (
             "after it left",
             vec![life(1, 9, Ready), life(1, 0, Gone), life(2, 1, Ready)],
-            Taken::Changed,
+            ApplyOutcome::Changed,
             (2, Ready),
         ),
         (
             "late call of the earlier one",
             vec![life(2, 1, Ready), life(1, 9, Draining)],
-            Taken::Stale,
+            ApplyOutcome::Stale,
             (2, Ready),
         ),
         (
             "late notice of the earlier one",
             vec![life(2, 1, Ready), life(1, 0, Gone)],
-            Taken::Stale,
+            ApplyOutcome::Stale,
             (2, Ready),
         ),
         (
             "notice that names none",
             vec![life(2, 1, Ready), gone()],
-            Taken::Changed,
+            ApplyOutcome::Changed,
             (2, Gone),
         ),
         (
             "announcement that names none",
             vec![life(2, 1, Ready), at(9, Draining)],
-            Taken::Stale,
+            ApplyOutcome::Stale,
             (2, Ready),
         ),
         (
             "one that names itself after one that did not",
             vec![at(9, Draining), life(1, 1, Ready)],
-            Taken::Changed,
+            ApplyOutcome::Changed,
             (1, Ready),
         ),
         (
             "notice of the later one first",
             vec![life(1, 9, Ready), life(2, 0, Gone), life(2, 1, Ready)],
-            Taken::Stale,
+            ApplyOutcome::Stale,
             (2, Gone),
         ),
     ];
     for (name, steps, expected, last) in cases {
         let mut registry = Registry::default();
-        let taken: Vec<Taken> = steps.into_iter().map(|i| registry.take(NOW, i)).collect();
+        let taken: Vec<ApplyOutcome> = steps.into_iter().map(|i| registry.apply(NOW, i)).collect();
         assert_eq!(taken.last(), Some(&expected), "{name}");
         let held = registry.get("i-1").expect("a row");
         assert_eq!((held.incarnation, held.phase()), last, "{name}");
@@ -207,12 +207,12 @@
 #[test]
 fn test_registry_instance_stays_with_its_service() {
     let mut registry = Registry::default();
-    registry.take(NOW, at(1, Phase::Ready));
+    registry.apply(NOW, at(1, Phase::Ready));
     let other = Instance {
         service: "other".into(),
         ..at(2, Phase::Ready)
     };
-    assert_eq!(registry.take(NOW, other), Taken::Stale);
+    assert_eq!(registry.apply(NOW, other), ApplyOutcome::Stale);
     assert_eq!(registry.get("i-1").map(|i| &*i.service), Some("status"));
 }
 
@@ -288,8 +288,8 @@
     ];
     for (name, bad) in cases {
         let mut registry = Registry::default();
-        registry.take(NOW, ready.clone());
-        assert_eq!(registry.take(NOW, bad), Taken::Unusable, "{name}");
+        registry.apply(NOW, ready.clone());
+        assert_eq!(registry.apply(NOW, bad), ApplyOutcome::Unusable, "{name}");
         assert_eq!(registry.all().collect::<Vec<_>>(), [&ready], "{name}");
     }
     assert_eq!(check(&gone()), Ok(()));
@@ -318,7 +318,7 @@
         let mut forward = Registry::default();
         let mut last = (0, Phase::Unspecified);
         for announcement in &announcements {
-            forward.take(NOW, announcement.clone());
+            forward.apply(NOW, announcement.clone());
             let now = forward.get("i-1").map(|i| (i.incarnation, i.phase()));
             if now < Some(last) {
                 return false;
@@ -327,7 +327,7 @@
         }
         let mut backward = Registry::default();
         for announcement in announcements.iter().rev() {
-            backward.take(NOW, announcement.clone());
+            backward.apply(NOW, announcement.clone());
         }
         let newest = announcements.iter().map(|i| i.incarnation).max().unwrap_or_default();
         let left = announcements.contains(&life(newest, 0, Phase::Gone));
@@ -357,7 +357,7 @@
         let mut forward = Registry::default();
         let mut last = Phase::Unspecified;
         for announcement in &announcements {
-            forward.take(NOW, announcement.clone());
+            forward.apply(NOW, announcement.clone());
             let now = phase(&forward).unwrap_or_default();
             if now < last {
                 return TestResult::failed();
@@ -366,7 +366,7 @@
         }
         let mut backward = Registry::default();
         for announcement in announcements.iter().rev() {
-            backward.take(NOW, announcement.clone());
+            backward.apply(NOW, announcement.clone());
         }
         let left = announcements.contains(&gone());
         let agree = phase(&forward) == phase(&backward);
@@ -403,7 +403,7 @@
     let later = |secs| NOW + Duration::from_secs(secs);
     let mut registry = Registry::default();
     let ready = life(1, 3, Phase::Ready);
-    registry.take(NOW, ready.clone());
+    registry.apply(NOW, ready.clone());
     let heard = |registry: &Registry| registry.all_with_liveness().iter().all(|i| i.heard);
     assert!(!heard(&registry));
     let seen = registry.cursor();
@@ -421,10 +421,10 @@
     registry.hear(later(10), &ready);
     assert!(heard(&registry));
     // The next start has yet to be heard.
-    registry.take(later(11), life(2, 1, Phase::Ready));
+    registry.apply(later(11), life(2, 1, Phase::Ready));
     assert!(!heard(&registry));
     assert_eq!(
-        registry.take(later(11), life(2, 2, Phase::Ready)),
-        Taken::Known
+        registry.apply(later(11), life(2, 2, Phase::Ready)),
+        ApplyOutcome::Known
     );
 }
