--- a/crates/entry/tests/test_progress.rs
+++ b/crates/entry/tests/test_progress.rs
@@ -145,7 +145,8 @@
             // Heard by a hub, and not yet in the log.
             0 => {
                 fake.registry.apply(NOW, instance(id, 1, Phase::Ready));
-                fake.registry.hear(NOW, &instance(id, 1, Phase::Ready));
+                fake.registry
+                    .renew_lease(NOW, &instance(id, 1, Phase::Ready));
             }
             1 => self.log.push(instance(id, 1, Phase::Ready)),
             2 => self.log.push(instance(id, 2, Phase::Draining)),
--- a/crates/hub/src/commands.rs
+++ b/crates/hub/src/commands.rs
@@ -107,7 +107,7 @@
         if phase != Phase::Gone {
             // Watchers learn of it with the next look at what was missed.
             let now = self.state.clock.now();
-            self.state.known().registry.hear(now, &instance);
+            self.state.known().registry.renew_lease(now, &instance);
         }
         if taken != ApplyOutcome::Known {
             info!(self.state.log, "announcement"; "instance" => &instance.id,
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -190,7 +190,7 @@
     }
 
     /// Notes that the instance has announced itself here, in the incarnation that is held.
-    pub fn hear(&mut self, now: Moment, instance: &Instance) {
+    pub fn renew_lease(&mut self, now: Moment, instance: &Instance) {
         let Some(row) = self.rows.get_mut(&*instance.id) else {
             return;
         };
--- a/crates/registry/tests/test_digest.rs
+++ b/crates/registry/tests/test_digest.rs
@@ -117,7 +117,7 @@
     assert!(differing.len() <= 30, "{} rows", differing.len());
     // Being heard is no part of it.
     let after = registry.digest().total();
-    registry.hear(NOW, &drained);
+    registry.renew_lease(NOW, &drained);
     assert_eq!(registry.digest().total(), after);
     assert_ne!(before.total(), after);
 }
--- a/crates/registry/tests/test_registry.rs
+++ b/crates/registry/tests/test_registry.rs
@@ -407,18 +407,18 @@
     let heard = |registry: &Registry| registry.all_with_liveness().iter().all(|i| i.heard);
     assert!(!heard(&registry));
     let seen = registry.cursor();
-    registry.hear(NOW, &ready);
+    registry.renew_lease(NOW, &ready);
     assert!(heard(&registry) && registry.since(seen).len() == 1);
     let seen = registry.cursor();
-    registry.hear(later(4), &ready);
+    registry.renew_lease(later(4), &ready);
     registry.miss(later(8), LEASE);
     assert!(heard(&registry) && registry.since(seen).is_empty());
     registry.miss(later(9), LEASE);
     assert!(!heard(&registry) && registry.since(seen).len() == 1);
     // A late call of an earlier start isn't a sign of life.
-    registry.hear(later(9), &life(0, 9, Phase::Ready));
+    registry.renew_lease(later(9), &life(0, 9, Phase::Ready));
     assert!(!heard(&registry));
-    registry.hear(later(10), &ready);
+    registry.renew_lease(later(10), &ready);
     assert!(heard(&registry));
     // The next start has yet to be heard.
     registry.apply(later(11), life(2, 1, Phase::Ready));
