--- a/crates/entry/tests/test_progress.rs
+++ b/crates/entry/tests/test_progress.rs
@@ -79,8 +79,8 @@
                 reply.whole = pack(registry.all_with_liveness());
             }
             News::Changes | News::Unspecified => {
-                let news = registry.news(cursor);
-                reply.instances = news.rows;
+                let news = registry.delta_since(cursor);
+                reply.instances = news.instances;
                 reply.heard = news.heard;
             }
         }
--- a/crates/hub/src/server.rs
+++ b/crates/hub/src/server.rs
@@ -158,8 +158,8 @@
         } else if ask.news() == News::Digest {
             told.heard = registry.liveness_changed_since(ask.cursor);
         } else if ask.cursor > 0 {
-            let news = registry.news(ask.cursor);
-            told.rows = news.rows;
+            let news = registry.delta_since(ask.cursor);
+            told.rows = news.instances;
             told.heard = news.heard;
         } else {
             drop(known);
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -17,6 +17,6 @@
 pub use pack::unpack;
 pub use pack::unpack_hosts;
 pub use registry::ApplyOutcome;
-pub use registry::News;
+pub use registry::Delta;
 pub use registry::Registry;
 pub use registry::TOMBSTONE_RETENTION;
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -37,9 +37,9 @@
 
 /// What a watcher lacks.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct News {
+pub struct Delta {
     /// Instances that are new or have changed.
-    pub rows: Vec<Instance>,
+    pub instances: Vec<Instance>,
     /// Of all others, those that are heard now and weren't, or the other way round.
     pub heard: Vec<Hearing>,
 }
@@ -158,12 +158,12 @@
 
     /// The same in few bytes: rows only of what has changed but for being heard.
     #[must_use]
-    pub fn news(&self, cursor: u64) -> News {
+    pub fn delta_since(&self, cursor: u64) -> Delta {
         let newer = self.rows.values().filter(|row| row.changed > cursor);
         let same = self.rows.values().filter(|row| row.changed <= cursor);
         let noticed = same.filter(|row| row.noticed > cursor);
-        News {
-            rows: newer.map(|row| row.with_liveness()).collect(),
+        Delta {
+            instances: newer.map(|row| row.with_liveness()).collect(),
             heard: noticed.map(|row| row.hearing()).collect(),
         }
     }
