--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -366,7 +366,11 @@
     }
 
     /// Whose turn it is among the parts of a split.
-    pub fn turn(&self, route: &table::Route, parts: &[table::Part]) -> Option<ServiceName> {
+    pub fn turn(
+        &self,
+        route: &table::Route,
+        parts: &[table::WeightedService],
+    ) -> Option<ServiceName> {
         let mut known = self.known();
         let split = known.splits.entry(Arc::clone(&route.name)).or_default();
         split.next(parts).cloned()
--- a/crates/entry/tests/fakes/mod.rs
+++ b/crates/entry/tests/fakes/mod.rs
@@ -16,11 +16,11 @@
 use entry::settings::Stop;
 use table::Host;
 use table::Kind;
-use table::Part;
 use table::Route;
 use table::Service;
 use table::Table;
 use table::Target;
+use table::WeightedService;
 use wire::hub::Instance;
 use wire::hub::Phase;
 
@@ -87,7 +87,7 @@
 pub fn split(version: u64, weights: [u32; 2]) -> Table {
     let mut table = table(version);
     let parts = ["status", "other"].into_iter().zip(weights);
-    let parts = parts.map(|(service, weight)| Part {
+    let parts = parts.map(|(service, weight)| WeightedService {
         service: name(service),
         weight,
     });
--- a/crates/table/src/file.rs
+++ b/crates/table/src/file.rs
@@ -38,11 +38,11 @@
 use crate::model::Host;
 use crate::model::Kind;
 use crate::model::Limits;
-use crate::model::Part;
 use crate::model::Route;
 use crate::model::Service;
 use crate::model::Table;
 use crate::model::Target;
+use crate::model::WeightedService;
 
 const TABLE: &str = "table";
 const LIMITS: &str = "limits";
@@ -59,7 +59,7 @@
     }
 }
 
-struct Share(Part);
+struct Share(WeightedService);
 
 impl conf::Value for Share {
     const FORM: &'static str = "service, or service:weight";
@@ -70,7 +70,7 @@
             None => (text, 1),
         };
         let service = ServiceName::new(name).ok()?;
-        Some(Self(Part { service, weight }))
+        Some(Self(WeightedService { service, weight }))
     }
 }
 
--- a/crates/table/src/model.rs
+++ b/crates/table/src/model.rs
@@ -34,7 +34,7 @@
 
 /// One service of a split, with its share.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
     /// Its share in proportion to the sum of all.
@@ -47,7 +47,7 @@
     /// To one service.
     Service(ServiceName),
     /// To several by weight.
-    Split(Vec<Part>),
+    Split(Vec<WeightedService>),
 }
 
 impl Target {
--- a/crates/table/src/split.rs
+++ b/crates/table/src/split.rs
@@ -6,7 +6,7 @@
 
 use base::prelude::*;
 
-use crate::model::Part;
+use crate::model::WeightedService;
 
 /// The turns of one split.
 #[derive(Clone, Debug, Default)]
@@ -16,7 +16,7 @@
 
 impl Split {
     /// The part whose turn it is; none when nothing has a weight.
-    pub fn next<'a>(&mut self, parts: &'a [Part]) -> Option<&'a ServiceName> {
+    pub fn next<'a>(&mut self, parts: &'a [WeightedService]) -> Option<&'a ServiceName> {
         self.credits.resize(parts.len(), 0);
         let mut sum = 0;
         for (credit, part) in self.credits.iter_mut().zip(parts) {
--- a/crates/table/tests/test_table.rs
+++ b/crates/table/tests/test_table.rs
@@ -8,21 +8,21 @@
 use table::Host;
 use table::Index;
 use table::Kind;
-use table::Part;
 use table::Problem;
 use table::Route;
 use table::Service;
 use table::Split;
 use table::Table;
 use table::Target;
+use table::WeightedService;
 use table::check::MAX_TIMEOUT;
 
 fn name(text: &str) -> ServiceName {
     ServiceName::new(text).expect("a name")
 }
 
-fn part(service: &str, weight: u32) -> Part {
-    Part {
+fn part(service: &str, weight: u32) -> WeightedService {
+    WeightedService {
         service: name(service),
         weight,
     }
--- a/crates/testutils/src/tables.rs
+++ b/crates/testutils/src/tables.rs
@@ -3,11 +3,11 @@
 use base::prelude::*;
 use table::Host;
 use table::Kind;
-use table::Part;
 use table::Route;
 use table::Service;
 use table::Table;
 use table::Target;
+use table::WeightedService;
 
 /// The host name of all routes.
 pub const HOST: &str = "example.org";
@@ -91,7 +91,7 @@
 pub fn split(version: u64, weights: [u32; 2]) -> Table {
     let mut table = plain(version);
     let parts = [STATUS, GRANTS].into_iter().zip(weights);
-    let parts = parts.map(|(service, weight)| Part {
+    let parts = parts.map(|(service, weight)| WeightedService {
         service: name(service),
         weight,
     });
