--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -22,8 +22,8 @@
 use registry::Digest;
 use slog::Logger;
 use slog::info;
-use table::Split;
 use table::Table;
+use table::WeightedRoundRobin;
 use tokio::sync::watch;
 use wire::hub::EntryHost;
 use wire::hub::Hearing;
@@ -61,7 +61,7 @@
 pub struct Known {
     instances: Instances,
     desks: HashMap<ServiceName, Desk>,
-    splits: HashMap<Arc<str>, Split>,
+    splits: HashMap<Arc<str>, WeightedRoundRobin>,
     habits: HashMap<Arc<str>, Habit>,
     hosts: Vec<EntryHost>,
     entries: u32,
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod file;
 pub mod index;
 pub mod model;
-pub mod split;
+pub mod round_robin;
 
 pub use check::Fault;
 pub use check::Problem;
@@ -25,4 +25,4 @@
 pub use model::Table;
 pub use model::Target;
 pub use model::WeightedService;
-pub use split::Split;
+pub use round_robin::WeightedRoundRobin;
--- a/crates/table/src/split.rs
+++ b/crates/table/src/round_robin.rs
@@ -10,11 +10,11 @@
 
 /// The turns of one split.
 #[derive(Clone, Debug, Default)]
-pub struct Split {
+pub struct WeightedRoundRobin {
     credits: Vec<i64>,
 }
 
-impl Split {
+impl WeightedRoundRobin {
     /// The part whose turn it is; none when nothing has a weight.
     pub fn next<'a>(&mut self, parts: &'a [WeightedService]) -> Option<&'a ServiceName> {
         self.credits.resize(parts.len(), 0);
--- a/crates/table/tests/test_table.rs
+++ b/crates/table/tests/test_table.rs
@@ -11,9 +11,9 @@
 use table::Problem;
 use table::Route;
 use table::Service;
-use table::Split;
 use table::Table;
 use table::Target;
+use table::WeightedRoundRobin;
 use table::WeightedService;
 use table::check::MAX_TIMEOUT;
 
@@ -199,7 +199,7 @@
 #[test]
 fn test_split_keeps_each_share_within_one_at_all_times() {
     let parts = [part("status", 90), part("status-next", 10)];
-    let mut split = Split::default();
+    let mut split = WeightedRoundRobin::default();
     let mut second = 0_i64;
     for turn in 1..=1000_i64 {
         let chosen = split.next(&parts).expect("a part");
@@ -213,16 +213,16 @@
 #[test]
 fn test_split_never_chooses_a_part_without_weight() {
     let parts = [part("status", 0), part("status-next", 3)];
-    let mut split = Split::default();
+    let mut split = WeightedRoundRobin::default();
     for _ in 0..20 {
         assert_eq!(split.next(&parts), Some(&name("status-next")));
     }
-    assert_eq!(Split::default().next(&parts[..1]), None);
+    assert_eq!(WeightedRoundRobin::default().next(&parts[..1]), None);
 }
 
 #[test]
 fn test_split_takes_new_weights_over() {
-    let mut split = Split::default();
+    let mut split = WeightedRoundRobin::default();
     let before = [part("status", 1), part("status-next", 1)];
     for _ in 0..7 {
         let _ = split.next(&before);
