--- a/crates/table/src/file.rs
+++ b/crates/table/src/file.rs
@@ -152,10 +152,10 @@
 }
 
 fn read_cold(r: &mut Reader, section: &str) -> Option<Cold> {
-    let span: Option<Duration> = r.optional(section, "cold");
+    let duration: Option<Duration> = r.optional(section, "cold");
     let rate: Option<Rate> = r.optional(section, "cold-rate");
-    match (span, rate) {
-        (Some(span), Some(Rate(rate))) => Some(Cold { span, rate }),
+    match (duration, rate) {
+        (Some(duration), Some(Rate(rate))) => Some(Cold { duration, rate }),
         (None, None) => None,
         (Some(_), None) => {
             r.fault(section, "cold-rate", Problem::Missing, Rate::FORM);
@@ -232,7 +232,7 @@
         writeln!(out, "health = {}", service.health)?;
         writeln!(out, "connections = {}", service.connections)?;
         if let Some(cold) = service.cold {
-            writeln!(out, "cold = {}", duration_text(cold.span))?;
+            writeln!(out, "cold = {}", duration_text(cold.duration))?;
             writeln!(out, "cold-rate = {}", Rate(cold.rate))?;
         }
     }
--- a/crates/table/src/model.rs
+++ b/crates/table/src/model.rs
@@ -95,7 +95,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cold {
     /// How long it is cold after its start.
-    pub span: Duration,
+    #[serde(rename = "span")]
+    pub duration: Duration,
     /// Requests that it takes then, in a thousand seconds.
     pub rate: u32,
 }
--- a/crates/table/tests/test_table.rs
+++ b/crates/table/tests/test_table.rs
@@ -247,7 +247,7 @@
     let split = Target::Split(vec![part("status", 90), part("status-next", 10)]);
     let mut written = table(vec![one("/a/"), route("/b/", split)]);
     written.services[0].cold = Some(Cold {
-        span: Duration::from_secs(3),
+        duration: Duration::from_secs(3),
         rate: 5_800,
     });
     let text = table::file::write(&written);
