--- a/crates/entry/tests/test_progress.rs
+++ b/crates/entry/tests/test_progress.rs
@@ -81,7 +81,7 @@
             News::Changes | News::Unspecified => {
                 let news = registry.delta_since(cursor);
                 reply.instances = news.instances;
-                reply.heard = news.heard;
+                reply.heard = news.liveness;
             }
         }
         reply
--- a/crates/hub/src/beacon.rs
+++ b/crates/hub/src/beacon.rs
@@ -1,13 +1,11 @@
-//! After a restart, a hub tells the entry hosts that it knew where the hubs are.
+//! Announces the hubs to the entry hosts that were known before a restart.
 //!
-//! An entry process that starts knows the seeds only. After a loss of everything these may
-//! be the last to come back, while other hubs have all that it needs: entry hosts that
-//! waited for the seeds served 0.25 s later than seven of ten hubs did, with callers at
-//! the door. So a hub keeps a list of them beside its log, and calls on each until that
-//! has come or enough time has passed.
+//! An entry process that starts knows only the seeds. After a full outage the seeds may
+//! be the last hosts to return, while other hubs are ready to serve. A hub therefore stores
+//! the addresses of the entry hosts next to its log and, after a restart, sends each of them
+//! beacons until it watches this hub or [`SEND_TIMEOUT`] has passed.
 //!
-//! The list is a hint. It is written now and then, and a lost or damaged one costs what
-//! there would be without it.
+//! The stored list is only a hint: without it, entry processes wait for the seeds.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -32,31 +30,27 @@
 
 use crate::state::State;
 
-/// The file in the data folder.
-const FILE: &str = "entry-hosts";
-/// The same while it is written.
-const NEXT: &str = "entry-hosts.next";
-/// Between two looks whether the list has changed; one that is so much older names nearly
-/// the same hosts.
-const REMEMBER: Duration = Duration::from_secs(5);
-/// Between two calls on those that have not come: entry processes start within some 0.3 s
-/// of the hubs, and a datagram may be lost.
-const REPEAT: Duration = Duration::from_millis(50);
-/// After so long the others have found a hub by the seeds, or are gone.
-const ENOUGH: Duration = Duration::from_secs(3);
+const FILE_NAME: &str = "entry-hosts";
+const TEMP_FILE_NAME: &str = "entry-hosts.next";
+/// How often the list is compared with the stored one.
+const SAVE_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between beacons to an entry host that does not watch this hub yet.
+const SEND_INTERVAL: Duration = Duration::from_millis(50);
+/// Time after a start for which beacons are sent.
+const SEND_TIMEOUT: Duration = Duration::from_secs(3);
 
 quick_error! {
-    /// Why the list can't be kept or read.
+    /// Errors of storing or loading the list of entry hosts.
     #[derive(Debug)]
     pub enum BeaconError {
-        /// The file.
+        /// The file can't be read or written.
         Io(err: io::Error) {
             from()
             source(err)
             display("list of entry hosts: {err}")
         }
-        /// It has another form.
-        Form(err: PackError) {
+        /// The content can't be packed or unpacked.
+        Pack(err: PackError) {
             from()
             source(err)
             display("list of entry hosts: {err}")
@@ -64,79 +58,80 @@
     }
 }
 
-/// Calls on the entry hosts of before the restart, then keeps the list. Never ends.
+/// Sends beacons to the entry hosts known before the restart, then keeps the stored list up
+/// to date. Never returns.
 pub async fn run(state: Arc<State>) {
     let data = state.settings.data.clone();
     let known = match read(&data) {
         Ok(known) => known,
         Err(err) => {
-            warn!(state.log, "entry hosts of before not read"; "error" => %err);
+            warn!(state.log, "could not load entry hosts"; "error" => %err);
             BTreeSet::new()
         }
     };
     if !known.is_empty()
-        && let Err(err) = call(&state, &known).await
+        && let Err(err) = send_beacons(&state, &known).await
     {
-        warn!(state.log, "entry hosts of before not called"; "error" => %err);
+        warn!(state.log, "could not send beacons to entry hosts"; "error" => %err);
     }
-    remember(&state, known, data).await;
+    save_changes(&state, known, data).await;
 }
 
-/// Calls on each of `known` until it watches this hub.
-async fn call(state: &State, known: &BTreeSet<SocketAddr>) -> io::Result<()> {
+/// Sends beacons to each of `known` until it watches this hub or [`SEND_TIMEOUT`] has passed.
+async fn send_beacons(state: &State, known: &BTreeSet<SocketAddr>) -> io::Result<()> {
     let socket = UdpSocket::bind(SocketAddr::new(state.settings.address, 0)).await?;
-    let end = Instant::now() + ENOUGH;
+    let deadline = Instant::now() + SEND_TIMEOUT;
     let mut count = 0;
-    while Instant::now() < end {
-        let (hubs, come) = {
-            let held = state.known();
-            (held.hubs.clone(), held.entries.places())
+    while Instant::now() < deadline {
+        let (hubs, watching) = {
+            let inner = state.lock();
+            (inner.hubs.clone(), inner.entries.placement_addresses())
         };
-        if known.is_subset(&come) {
+        if known.is_subset(&watching) {
             break;
         }
-        // Before the log was read there is nothing to tell.
+        // The hubs are unknown until the log has been read.
         if !hubs.is_empty() {
             let beacon = Beacon {
                 hubs: hubs.iter().map(ToString::to_string).collect(),
             };
             let bytes = beacon.encode_to_vec();
-            for place in known.difference(&come) {
-                socket.send_to(&bytes, place).await?;
+            for address in known.difference(&watching) {
+                socket.send_to(&bytes, address).await?;
                 count += 1;
             }
         }
-        tokio::time::sleep(REPEAT).await;
+        tokio::time::sleep(SEND_INTERVAL).await;
     }
-    info!(state.log, "entry hosts of before called"; "known" => known.len(), "calls" => count);
+    info!(state.log, "sent beacons to entry hosts"; "known" => known.len(), "calls" => count);
     Ok(())
 }
 
-/// Keeps the list in the data folder.
-async fn remember(state: &State, mut kept: BTreeSet<SocketAddr>, data: PathBuf) {
+/// Stores the list in the data folder whenever it has changed. Never returns.
+async fn save_changes(state: &State, mut saved: BTreeSet<SocketAddr>, data: PathBuf) {
     loop {
-        tokio::time::sleep(REMEMBER).await;
-        let places = state.known().entries.places();
-        if places.is_empty() || places == kept {
+        tokio::time::sleep(SAVE_INTERVAL).await;
+        let addresses = state.lock().entries.placement_addresses();
+        if addresses.is_empty() || addresses == saved {
             continue;
         }
-        let (folder, list) = (data.clone(), places.clone());
+        let (folder, list) = (data.clone(), addresses.clone());
         let written = tokio::task::spawn_blocking(move || write(&folder, &list)).await;
         match written {
-            Ok(Ok(())) => kept = places,
-            Ok(Err(err)) => warn!(state.log, "entry hosts not kept"; "error" => %err),
-            Err(err) => warn!(state.log, "entry hosts not kept"; "error" => %err),
+            Ok(Ok(())) => saved = addresses,
+            Ok(Err(err)) => warn!(state.log, "could not store entry hosts"; "error" => %err),
+            Err(err) => warn!(state.log, "could not store entry hosts"; "error" => %err),
         }
     }
 }
 
-/// The list in the folder; empty where there is none.
+/// Loads the list from `folder`; empty if there is none.
 ///
 /// # Errors
 ///
-/// Fails where it can't be read or is damaged.
+/// Fails if the file can't be read or is damaged.
 pub fn read(folder: &Path) -> Result<BTreeSet<SocketAddr>, BeaconError> {
-    let bytes = match fs::read(folder.join(FILE)) {
+    let bytes = match fs::read(folder.join(FILE_NAME)) {
         Err(err) if err.kind() == io::ErrorKind::NotFound => return Ok(BTreeSet::new()),
         result => result?,
     };
@@ -144,22 +139,22 @@
     Ok(hosts.iter().filter_map(|h| h.place.parse().ok()).collect())
 }
 
-/// Replaces the list in the folder; a crash leaves the one or the other.
+/// Atomically replaces the list in `folder`.
 ///
 /// # Errors
 ///
-/// Fails where it can't be written or synced.
-pub fn write(folder: &Path, places: &BTreeSet<SocketAddr>) -> Result<(), BeaconError> {
-    let host = |place: &SocketAddr| EntryHost {
-        place: place.to_string(),
+/// Fails if the file can't be written or synced.
+pub fn write(folder: &Path, addresses: &BTreeSet<SocketAddr>) -> Result<(), BeaconError> {
+    let host = |address: &SocketAddr| EntryHost {
+        place: address.to_string(),
         ..EntryHost::default()
     };
-    let bytes = registry::pack_hosts(places.iter().map(host).collect())?;
-    let next = folder.join(NEXT);
+    let bytes = registry::pack_hosts(addresses.iter().map(host).collect())?;
+    let next = folder.join(TEMP_FILE_NAME);
     let mut file = File::create(&next)?;
     file.write_all(&bytes)?;
     file.sync_all()?;
-    fs::rename(&next, folder.join(FILE))?;
+    fs::rename(&next, folder.join(FILE_NAME))?;
     File::open(folder)?.sync_all()?;
     Ok(())
 }
--- a/crates/hub/src/bin/rwr-hub.rs
+++ b/crates/hub/src/bin/rwr-hub.rs
@@ -1,4 +1,4 @@
-//! `rwr-hub`: keeps the route table and the list of upstreams.
+//! The `rwr-hub` daemon, which stores the route table and the announced upstreams.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -36,14 +36,14 @@
     async fn run(settings: Settings, log: Logger, mut signals: Signals) -> Result<(), HubError> {
         let mut hub = Hub::start(settings, log).await?;
         let commands = hub.commands().clone();
-        let asked = async {
+        let reloading = async {
             while signals.next().await == Asked::Reload {
                 commands.reload(Settings::open(signals.path()));
             }
         };
         tokio::select! {
             result = hub.ended() => return result,
-            () = asked => {}
+            () = reloading => {}
         }
         hub.stop().await;
         Ok(())
--- a/crates/hub/src/commands.rs
+++ b/crates/hub/src/commands.rs
@@ -1,4 +1,4 @@
-//! What upstreams, operators and callers ask of a hub, whatever they speak.
+//! Commands and queries of upstreams, operators and callers, independent of the protocol.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,41 +23,41 @@
 use crate::settings::Settings;
 use crate::state::State;
 
-/// How long a majority may take to confirm the newest table; operators wait a second.
+/// How long a read or an evacuation waits for a majority. Operators wait one second.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
 
 quick_error! {
-    /// Why a hub can't do what it was asked for.
+    /// Errors of a command.
     #[derive(Debug)]
     pub enum CommandError {
-        /// No majority of the hubs answered in time.
+        /// No majority of the hubs answered within the timeout.
         NoMajority {
-            display("no majority of the hubs answered in time; ask another one or again")
+            display("no majority of the hubs answered in time; retry or ask another hub")
         }
-        /// Another order on the failure domain was taken at the same time.
+        /// Another order on the failure domain was accepted first.
         Overtaken(domain: DomainName) {
-            display("another order on failure domain {domain} was taken meanwhile; ask again")
+            display("another order on failure domain {domain} was accepted first; retry")
         }
-        /// The failure domain can't be evacuated.
+        /// The order names a new failure domain, and the maximum number is stored already.
         TooManyDomains(domain: DomainName) {
-            display("failure domain {domain}: orders have named {} others, as many as are kept",
+            display("failure domain {domain}: the limit of {} domains with evacuation orders is reached",
                 evacuation::domains::MOST_DOMAINS)
         }
-        /// There is no table yet.
+        /// No route table was accepted yet.
         NoTable {
             display("no route table was accepted yet")
         }
-        /// The table is invalid.
+        /// The route table is invalid.
         InvalidTable(faults: Vec<Fault>) {
             display("{}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))
         }
-        /// The announcement names no instance to use.
+        /// The announcement is invalid.
         InvalidAnnouncement(err: AnnouncementError) {
             from()
             source(err)
             display("{err}")
         }
-        /// The table can't be written or read.
+        /// The route table can't be encoded or decoded.
         Codec(err: CodecError) {
             from()
             source(err)
@@ -66,16 +66,16 @@
     }
 }
 
-/// A table on its way in.
+/// A proposed route table.
 #[derive(Clone, Debug)]
 pub struct TableUpdate {
     /// It, checked by the desk.
     pub table: Table,
-    /// The operator's own document, given back on reads.
+    /// The operator's document, returned unchanged on reads.
     pub source: Vec<u8>,
 }
 
-/// Answers what a hub is asked.
+/// Handles the commands and queries that a hub receives.
 #[derive(Clone)]
 pub struct CommandHandler {
     state: Arc<State>,
@@ -86,16 +86,16 @@
         Self { state }
     }
 
-    /// Takes an instance's announcement or its notice of leaving.
+    /// Applies an announcement of an instance.
     ///
-    /// Watchers learn of it at once, the other hubs through the log. An
-    /// acknowledgement that the instance leaves binds all of them, so that one
-    /// waits for the log.
+    /// Watchers of this hub are notified at once, the other hubs through the log. Announcements
+    /// that an instance drains or is gone are acknowledged only once they are in the log, as
+    /// the acknowledgement binds all hubs.
     ///
     /// # Errors
     ///
-    /// Fails when the announcement names no instance to use, or when the instance leaves
-    /// and the log didn't take that in time.
+    /// Fails if the announcement is invalid, or if an announcement that has to be in the log
+    /// didn't get there in time.
     pub async fn announce(&self, instance: Instance) -> Result<(), CommandError> {
         if let Err(err) = registry::check(&instance) {
             warn!(self.state.log, "announcement refused"; "instance" => &instance.id,
@@ -103,23 +103,23 @@
             return Err(err.into());
         }
         let phase = instance.phase();
-        let taken = self.state.take([&instance]);
+        let outcome = self.state.apply([&instance]);
         if phase != Phase::Gone {
-            // Watchers learn of it with the next look at what was missed.
+            // Watchers are notified of the renewed lease by the next expiry check.
             let now = self.state.clock.now();
-            self.state.known().registry.renew_lease(now, &instance);
+            self.state.lock().registry.renew_lease(now, &instance);
         }
-        if taken != ApplyOutcome::Known {
+        if outcome != ApplyOutcome::Known {
             info!(self.state.log, "announcement"; "instance" => &instance.id,
                 "phase" => phase.as_str_name(), "incarnation" => instance.incarnation,
-                "sequence" => instance.sequence, "outcome" => format!("{taken:?}"));
+                "sequence" => instance.sequence, "outcome" => format!("{outcome:?}"));
         }
-        if taken == ApplyOutcome::Stale || self.state.tables.registry().holds(&instance) {
+        if outcome == ApplyOutcome::Stale || self.state.tables.registry().is_known(&instance) {
             return Ok(());
         }
         let commands = self.clone();
         if phase == Phase::Ready {
-            // What fails is told again with the next announcement.
+            // If this fails, the next announcement of the instance tries again.
             tokio::spawn(async move { commands.register(instance).await });
             return Ok(());
         }
@@ -132,64 +132,65 @@
 
     async fn register(&self, instance: Instance) -> bool {
         let (id, phase) = (instance.id.clone(), instance.phase());
-        let taken = self.state.tables.register(instance).await;
+        let accepted = self.state.tables.register(instance).await;
         info!(self.state.log, "announcement in the log"; "instance" => id,
-            "phase" => phase.as_str_name(), "outcome" => taken);
-        taken
+            "phase" => phase.as_str_name(), "outcome" => accepted);
+        accepted
     }
 
-    /// Proposes a table.
+    /// Proposes a route table.
     ///
     /// # Errors
     ///
-    /// Fails when it is invalid, or when no majority took it in time; it may be
-    /// taken later then.
-    pub async fn put(&self, put: TableUpdate) -> Result<TableReply, CommandError> {
-        let version = put.table.version;
-        let faults = table::check(&put.table);
+    /// Fails if the table is invalid, or if no majority accepted it in time; in the latter case
+    /// it may still be accepted later.
+    pub async fn put(&self, update: TableUpdate) -> Result<TableReply, CommandError> {
+        let version = update.table.version;
+        let faults = table::check(&update.table);
         if !faults.is_empty() {
             warn!(self.state.log, "route table refused"; "version" => version,
                 "faults" => faults.len(), "first" => %faults[0]);
             return Err(CommandError::InvalidTable(faults));
         }
-        let row = wire::hub::Table {
+        let table = wire::hub::Table {
             version,
-            content: table::codec::encode(&put.table)?.into(),
-            source: put.source.into(),
+            content: table::codec::encode(&update.table)?.into(),
+            source: update.source.into(),
         };
-        let reply = self.state.tables.put(row).await;
+        let reply = self.state.tables.put(table).await;
         let outcome = reply.map_or("no-majority", |reply| reply.outcome().as_str_name());
         info!(self.state.log, "route table asked"; "version" => version, "outcome" => outcome);
         reply.ok_or(CommandError::NoMajority)
     }
 
-    /// The newest table, as a majority confirms it.
+    /// Reads the newest route table, confirmed by a majority.
     ///
     /// # Errors
     ///
-    /// Fails when there is none yet or no majority answers in time.
+    /// Fails if there is none yet or no majority answers in time.
     pub async fn read(&self) -> Result<Arc<wire::hub::Table>, CommandError> {
-        let found = self.state.tables.read(READ_TIMEOUT).await;
-        match found {
+        let newest = self.state.tables.read(READ_TIMEOUT).await;
+        match newest {
             Some(table) if table.version > 0 => Ok(table),
             Some(_) => Err(CommandError::NoTable),
             None => Err(CommandError::NoMajority),
         }
     }
 
-    /// Asks that nothing more be sent to the upstreams of a failure domain, or takes that
-    /// back. What is in force already is acknowledged again.
+    /// Starts or ends the evacuation of a failure domain: no requests are sent to its instances
+    /// while it lasts. An order that is already in force is acknowledged again.
     ///
     /// # Errors
     ///
-    /// Fails when no majority took it in time, and it may be taken later then unless another
-    /// order comes first; when another order came first; when too many domains were named.
+    /// Fails if no majority accepted the order in time, in which case it may still be accepted
+    /// later unless another order comes first; if another order came first; or if there are
+    /// too many domains with orders.
     pub async fn evacuate(&self, domain: &DomainName, evacuated: bool) -> Result<(), CommandError> {
         let tables = &self.state.tables;
         let outcome = tables.evacuate(domain, evacuated, READ_TIMEOUT).await;
-        let word = outcome.map_or("no-majority", |outcome| outcome.as_str_name());
+        let outcome_text = outcome.map_or("no-majority", |outcome| outcome.as_str_name());
         info!(self.state.log, "evacuation asked"; "domain" => %domain, "evacuated" => evacuated,
-            "outcome" => word);
+            "outcome" => outcome_text);
         match outcome {
             Some(Outcome::Taken | Outcome::Held) => Ok(()),
             Some(Outcome::Overtaken) => Err(CommandError::Overtaken(domain.clone())),
@@ -198,47 +199,46 @@
         }
     }
 
-    /// The evacuated failure domains, as a majority confirms them.
+    /// Reads the evacuated failure domains, confirmed by a majority.
     ///
     /// # Errors
     ///
-    /// Fails when no majority answers in time.
+    /// Fails if no majority answers in time.
     pub async fn evacuations(&self) -> Result<Arc<Domains>, CommandError> {
-        let found = self.state.tables.evacuations(READ_TIMEOUT).await;
-        found.ok_or(CommandError::NoMajority)
+        let domains = self.state.tables.evacuations(READ_TIMEOUT).await;
+        domains.ok_or(CommandError::NoMajority)
     }
 
-    /// Addresses of entry hosts for a caller, and how long it may keep them; none
-    /// when none is known to be ready.
+    /// Addresses of entry hosts for a caller and how long the caller may cache them; no
+    /// addresses if no entry host is ready.
     #[must_use]
     pub fn resolve(&self, name: &str, domain: &str, region: &str) -> (Vec<String>, Duration) {
         let now = self.state.clock.now();
-        let known = self.state.known();
-        let hosts = known.entries.list(now);
+        let inner = self.state.lock();
+        let hosts = inner.entries.list(now);
         let addresses = place::near(&hosts, name, domain, region, self.state.settings.spread);
-        (addresses, known.ttl.unwrap_or(self.state.settings.ttl))
+        (addresses, inner.ttl.unwrap_or(self.state.settings.ttl))
     }
 
-    /// The hub's log, for those who bring in what it is asked.
+    /// The logger of the hub.
     pub fn log(&self) -> &Logger {
         &self.state.log
     }
 
-    /// The announced upstreams, those that left lately included, in the order of
-    /// their ids.
+    /// The announced instances in the order of their ids, including those removed recently.
     #[must_use]
     pub fn instances(&self) -> Vec<Instance> {
-        self.state.known().registry.all().cloned().collect()
+        self.state.lock().registry.all().cloned().collect()
     }
 
-    /// Takes settings that were read again; seeds count from the next start on.
-    pub fn reload(&self, read: Result<Settings, ConfError>) {
-        match read {
+    /// Applies reloaded settings. Only the TTL takes effect without a restart.
+    pub fn reload(&self, reloaded: Result<Settings, ConfError>) {
+        match reloaded {
             Ok(settings) => {
-                let fixed = self.state.settings.is_fixed_same(&settings);
+                let reloadable = self.state.settings.can_reload(&settings);
                 info!(self.state.log, "settings reloaded";
-                    "ttl_ms" => settings.ttl.as_millis(), "restart_needed" => !fixed);
-                self.state.known().ttl = Some(settings.ttl);
+                    "ttl_ms" => settings.ttl.as_millis(), "restart_needed" => !reloadable);
+                self.state.lock().ttl = Some(settings.ttl);
             }
             Err(err) => warn!(self.state.log, "settings not reloaded"; "error" => %err),
         }
--- a/crates/hub/src/entries.rs
+++ b/crates/hub/src/entries.rs
@@ -1,9 +1,8 @@
 //! The entry hosts that callers may be sent to: a pure state machine.
 //!
-//! An entry host counts while it watches this hub and says that it is ready. A
-//! hub that has just started knows only the first few that came to it; it names
-//! none until the others have had the time to come too, as callers would all go
-//! to those few.
+//! An entry host is listed while it watches this hub and reports that it is ready. A hub that
+//! has just started lists none until [`SETTLE_DELAY`] has passed, so that the first entry
+//! hosts to connect don't receive all callers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,19 +13,17 @@
 use wire::hub::EntryHost;
 use wire::hub::Watch;
 
-/// How much longer than it asked for a watch may be held, before its host counts as
-/// lost: some ways through a busy network.
-pub const HELD: Duration = Duration::from_millis(150);
-/// After an answer a host asks again at once; one that takes longer counts as lost.
-/// A host without power is seen so within a second.
-pub const ASKED: Duration = Duration::from_millis(350);
-/// Entry hosts that were silent for so long are forgotten: over the time of a
-/// restart, so that the number of hosts that share a budget doesn't fall while
-/// one of them restarts.
-pub const FORGET: Duration = Duration::from_secs(20);
-/// How long after the first entry host came the others have come too: their
-/// longest pause between two tries to connect, and a connection.
-const SETTLE: Duration = Duration::from_millis(500);
+/// Time beyond the requested wait after which the host of an open watch counts as lost.
+pub const WATCH_GRACE: Duration = Duration::from_millis(150);
+/// Time after an answer within which a host has to watch again; otherwise it counts as lost.
+pub const REWATCH_TIMEOUT: Duration = Duration::from_millis(350);
+/// Time after its last watch for which an entry host still counts towards shared budgets.
+///
+/// Longer than a restart, so that a restart doesn't change the shares of the other hosts.
+pub const RETENTION: Duration = Duration::from_secs(20);
+/// Time after the first watch until hosts are listed: the longest reconnect delay of an entry
+/// process plus the time to connect.
+const SETTLE_DELAY: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Debug)]
 struct Entry {
@@ -35,65 +32,67 @@
     region: String,
     place: String,
     ready: bool,
-    heard: Moment,
-    /// It counts as lost then, unless it is heard.
-    until: Moment,
+    last_seen: Moment,
+    /// When the host counts as lost unless it watches again.
+    expires_at: Moment,
 }
 
-/// All entry hosts that watch.
+/// All entry hosts that watch this hub.
 #[derive(Clone, Debug, Default)]
 pub struct Entries {
-    known: BTreeMap<String, Entry>,
-    first: Option<Moment>,
+    hosts: BTreeMap<String, Entry>,
+    first_watch_at: Option<Moment>,
 }
 
 impl Entries {
-    /// Notes who asks; gives whether it is named from now on, or no more.
-    pub fn asked(&mut self, now: Moment, watch: &Watch) -> bool {
+    /// Records a new watch; returns whether the host has become, or ceased to be, ready.
+    pub fn watch_started(&mut self, now: Moment, watch: &Watch) -> bool {
         let wait = Duration::from_millis(watch.wait_ms.into());
-        self.note(now, now + wait + HELD, watch)
+        self.record(now, now + wait + WATCH_GRACE, watch)
     }
 
-    /// Notes that the watch was answered.
-    pub fn answered(&mut self, now: Moment, watch: &Watch) {
-        self.note(now, now + ASKED, watch);
+    /// Records that the watch was answered.
+    pub fn watch_answered(&mut self, now: Moment, watch: &Watch) {
+        self.record(now, now + REWATCH_TIMEOUT, watch);
     }
 
-    fn note(&mut self, now: Moment, until: Moment, watch: &Watch) -> bool {
+    fn record(&mut self, now: Moment, expires_at: Moment, watch: &Watch) -> bool {
         if watch.address.is_empty() {
             return false;
         }
-        self.first.get_or_insert(now);
+        self.first_watch_at.get_or_insert(now);
         let entry = Entry {
             address: watch.address.clone(),
             domain: watch.domain.clone(),
             region: watch.region.clone(),
             place: watch.place.clone(),
             ready: watch.ready,
-            heard: now,
-            until,
+            last_seen: now,
+            expires_at,
         };
-        let before = self.known.insert(watch.host.clone(), entry);
-        before.is_none_or(|b| b.ready != watch.ready || now >= b.until)
+        let previous = self.hosts.insert(watch.host.clone(), entry);
+        previous.is_none_or(|p| p.ready != watch.ready || now >= p.expires_at)
     }
 
-    /// Hosts that share what is shared out among all entry hosts.
+    /// Number of entry hosts among which budgets are divided.
     #[must_use]
     pub fn count(&self, now: Moment) -> u32 {
-        let recent = |e: &&Entry| now.since(e.heard) < FORGET;
-        let count = self.known.values().filter(recent).count();
+        let recent = |e: &&Entry| now.since(e.last_seen) < RETENTION;
+        let count = self.hosts.values().filter(recent).count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// The hosts that callers may be sent to; none before all had time to come.
+    /// The hosts that callers may be sent to; none until [`SETTLE_DELAY`] after the first watch.
     #[must_use]
     pub fn list(&self, now: Moment) -> Vec<EntryHost> {
-        let settled = self.first.is_some_and(|first| now.since(first) >= SETTLE);
+        let settled = self
+            .first_watch_at
+            .is_some_and(|first| now.since(first) >= SETTLE_DELAY);
         if !settled {
             return Vec::new();
         }
-        let usable = |e: &&Entry| e.ready && now < e.until;
-        let usable = self.known.values().filter(usable);
+        let usable = |e: &&Entry| e.ready && now < e.expires_at;
+        let usable = self.hosts.values().filter(usable);
         let hosts = usable.map(|e| EntryHost {
             address: e.address.clone(),
             domain: e.domain.clone(),
@@ -103,15 +102,15 @@
         hosts.collect()
     }
 
-    /// Where those that watch are asked for instances by others.
+    /// The addresses at which other processes ask these entry hosts for instances.
     #[must_use]
-    pub fn places(&self) -> BTreeSet<SocketAddr> {
-        let places = self.known.values().map(|entry| entry.place.parse());
-        places.filter_map(Result::ok).collect()
+    pub fn placement_addresses(&self) -> BTreeSet<SocketAddr> {
+        let addresses = self.hosts.values().map(|entry| entry.place.parse());
+        addresses.filter_map(Result::ok).collect()
     }
 
-    /// Forgets hosts that were silent for long.
-    pub fn forget(&mut self, now: Moment) {
-        self.known.retain(|_, e| now.since(e.heard) < FORGET);
+    /// Removes hosts that haven't watched for [`RETENTION`].
+    pub fn remove_expired(&mut self, now: Moment) {
+        self.hosts.retain(|_, e| now.since(e.last_seen) < RETENTION);
     }
 }
--- a/crates/hub/src/http.rs
+++ b/crates/hub/src/http.rs
@@ -1,8 +1,8 @@
-//! The HTTP side, for upstreams and callers.
+//! The HTTP interface for upstreams and callers.
 //!
-//! Upstreams announce themselves as they do at a directory. One life of an
-//! instance, from a start to its end, is one row of the registry, named by id and
-//! incarnation: what is sent to an earlier life must not run in a later one.
+//! Upstreams announce themselves as they do at a directory. Each incarnation of an instance
+//! has its own id in the registry, so that a request sent to an earlier incarnation never
+//! runs in a later one.
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,37 +30,37 @@
 use crate::commands::CommandError;
 use crate::commands::CommandHandler;
 
-/// Time after which an instance announces itself again: a hub that has started
-/// anew knows it by then, should the log have lost what wasn't confirmed.
-const REFRESH: Duration = Duration::from_millis(500);
-/// Most connections at once; upstreams and callers come for one short call.
+/// Interval at which instances announce themselves again. After a restart, a hub knows every
+/// live instance once this has passed, even if the log has lost unconfirmed announcements.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of concurrent connections of upstreams and callers.
 const MAX_CONNECTIONS: usize = 1024;
 
-/// The answer to an announcement that was taken.
+/// The answer to an accepted announcement.
 #[derive(Clone, Copy, Debug, Serialize)]
-struct Taken {
-    /// The instance should announce itself again after this, in milliseconds.
+struct Accepted {
+    /// When the instance should announce itself again, in milliseconds.
     refresh_ms: u64,
 }
 
-/// Where a caller may connect.
+/// The entry hosts that a caller may connect to.
 #[derive(Clone, Debug, Serialize)]
-struct Hosts {
+struct EntryAddresses {
     /// Addresses of entry hosts, nearest first.
     addresses: Vec<String>,
-    /// How long the caller may keep them, in milliseconds.
+    /// How long the caller may cache the addresses, in milliseconds.
     ttl_ms: u64,
 }
 
-/// The routes of a hub.
+/// The HTTP routes of a hub.
 fn service(commands: &CommandHandler) -> Service {
     let announce = Router::with_path("v1/announce").post(Announce(commands.clone()));
-    let hosts = Router::with_path("v1/hosts").get(Ask(commands.clone()));
+    let hosts = Router::with_path("v1/hosts").get(Resolve(commands.clone()));
     let router = Router::new().push(announce).push(hosts);
     Service::new(router).catcher(Catcher::new(page::Caught))
 }
 
-/// Listens at `address`; what it gives serves until dropped.
+/// Listens on `address`. Returns the bound address and a future that serves until dropped.
 ///
 /// # Errors
 ///
@@ -81,7 +81,7 @@
 impl Handler for Announce {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let result = match page::receive(req).await {
-            Ok(told) => take(&self.0, told).await,
+            Ok(announcement) => apply(&self.0, announcement).await,
             Err(refusal) => Err(refusal),
         };
         if let Err(refusal) = &result {
@@ -92,39 +92,45 @@
     }
 }
 
-async fn take(commands: &CommandHandler, told: members::Instance) -> Result<Taken, Refusal> {
-    if told.phase != members::Phase::Starting {
+async fn apply(
+    commands: &CommandHandler,
+    announcement: members::Instance,
+) -> Result<Accepted, Refusal> {
+    if announcement.phase != members::Phase::Starting {
         let fail = |err: CommandError| Refusal::new(Reason::NotReady, err.to_string());
-        commands.announce(life(&told)).await.map_err(fail)?;
+        commands
+            .announce(to_instance(&announcement))
+            .await
+            .map_err(fail)?;
     }
-    Ok(Taken {
-        refresh_ms: millis(REFRESH),
+    Ok(Accepted {
+        refresh_ms: millis(REFRESH_INTERVAL),
     })
 }
 
-/// The row of one life of an instance.
-fn life(told: &members::Instance) -> Instance {
+/// Converts an announcement into a registry instance, whose id includes the incarnation.
+fn to_instance(announcement: &members::Instance) -> Instance {
     Instance {
-        id: format!("{}:{}", told.id, told.incarnation),
-        service: told.service.to_string(),
-        address: told.address.to_string(),
-        domain: told.domain.to_string(),
-        slots: told.slots,
-        phase: match told.phase {
+        id: format!("{}:{}", announcement.id, announcement.incarnation),
+        service: announcement.service.to_string(),
+        address: announcement.address.to_string(),
+        domain: announcement.domain.to_string(),
+        slots: announcement.slots,
+        phase: match announcement.phase {
             members::Phase::Starting => Phase::Unspecified.into(),
             members::Phase::Ready => Phase::Ready.into(),
             members::Phase::Draining => Phase::Draining.into(),
             members::Phase::Gone => Phase::Gone.into(),
         },
-        sequence: told.sequence,
+        sequence: announcement.sequence,
         ..Instance::default()
     }
 }
 
-struct Ask(CommandHandler);
+struct Resolve(CommandHandler);
 
 #[salvo::async_trait]
-impl Handler for Ask {
+impl Handler for Resolve {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let field = |name: &str| req.query::<String>(name).unwrap_or_default();
         let (name, domain, region) = (field("name"), field("domain"), field("region"));
@@ -133,7 +139,7 @@
             let detail = "no entry host is known to be ready";
             Err(Refusal::new(Reason::NoHost, detail))
         } else {
-            Ok(Hosts {
+            Ok(EntryAddresses {
                 addresses,
                 ttl_ms: millis(ttl),
             })
@@ -142,6 +148,6 @@
     }
 }
 
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/hub/src/hub.rs
+++ b/crates/hub/src/hub.rs
@@ -1,4 +1,4 @@
-//! Starts a hub from its settings, and stops it.
+//! Starting and stopping a hub.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,27 +16,26 @@
 use crate::beacon;
 use crate::commands::CommandHandler;
 use crate::http;
-use crate::peers;
 use crate::server;
 use crate::server::HubServer;
 use crate::settings::Settings;
 use crate::state::State;
+use crate::tasks;
 
-/// Most connections of entry processes, hubs and operators at once: some
-/// hundred entry hosts with one each, and room for those that reconnect.
+/// Maximum number of concurrent connections of entry processes, hubs and operators.
 const MAX_CONNECTIONS: usize = 1024;
 
 quick_error! {
-    /// Why a hub can't start or go on.
+    /// Errors that keep a hub from starting or running.
     #[derive(Debug)]
     pub enum HubError {
-        /// The control replica within.
+        /// The control replica failed.
         Control(err: ControlError) {
             from()
             source(err)
             display("{err}")
         }
-        /// A port of its own.
+        /// A port of the hub can't be bound.
         Bind(address: SocketAddr, err: io::Error) {
             source(err)
             display("bind {address}: {err}")
@@ -55,7 +54,7 @@
 }
 
 impl Hub {
-    /// Binds, opens the data folder and starts.
+    /// Binds the ports, opens the data folder and starts all tasks.
     ///
     /// # Errors
     ///
@@ -74,15 +73,15 @@
             stop: stop.clone(),
             log: log.clone(),
         };
-        let served = HubServer::new(Arc::clone(&state), commands.clone());
+        let server = HubServer::new(Arc::clone(&state), commands.clone());
         let accepting = acceptor.run(listener, move |channel| {
-            server::serve(channel, served.clone())
+            server::serve(channel, server.clone())
         });
         let mut tasks = vec![
             AbortOnDropHandle::new(tokio::spawn(accepting)),
-            AbortOnDropHandle::new(tokio::spawn(peers::follow_group(Arc::clone(&state)))),
-            AbortOnDropHandle::new(tokio::spawn(peers::follow_lost(Arc::clone(&state)))),
-            AbortOnDropHandle::new(tokio::spawn(peers::follow_registry(Arc::clone(&state)))),
+            AbortOnDropHandle::new(tokio::spawn(tasks::follow_group(Arc::clone(&state)))),
+            AbortOnDropHandle::new(tokio::spawn(tasks::expire_silent(Arc::clone(&state)))),
+            AbortOnDropHandle::new(tokio::spawn(tasks::follow_registry(Arc::clone(&state)))),
             AbortOnDropHandle::new(tokio::spawn(beacon::run(state))),
         ];
         let mut http = None;
@@ -93,8 +92,8 @@
             tasks.push(AbortOnDropHandle::new(tokio::spawn(serving)));
             http = Some(bound);
         }
-        let shown = http.map_or_else(|| "-".to_owned(), |bound| bound.to_string());
-        info!(log, "hub serves"; "address" => %address, "http" => shown);
+        let http_text = http.map_or_else(|| "-".to_owned(), |bound| bound.to_string());
+        info!(log, "hub serves"; "address" => %address, "http" => http_text);
         Ok(Self {
             control,
             commands,
@@ -105,13 +104,13 @@
         })
     }
 
-    /// Where upstreams and callers reach it, if they do.
+    /// The bound HTTP address for upstreams and callers, if there is one.
     #[must_use]
     pub fn http(&self) -> Option<SocketAddr> {
         self.http
     }
 
-    /// Answers what the hub is asked.
+    /// The handler of the hub's commands and queries.
     #[must_use]
     pub fn commands(&self) -> &CommandHandler {
         &self.commands
@@ -121,18 +120,19 @@
     ///
     /// # Errors
     ///
-    /// Fails with what stopped it.
+    /// Fails with the error that stopped the hub.
     pub async fn ended(&mut self) -> Result<(), HubError> {
         Ok(self.control.ended().await?)
     }
 
-    /// Hands leadership over, answers what is open, and stops; its ports are free then.
+    /// Hands leadership over, answers pending requests and stops. The ports are free when this
+    /// returns.
     pub async fn stop(self) {
         self.stop.cancel();
         self.control.stop().await;
         for task in self.tasks {
             task.abort();
-            // One that was ended here has no result.
+            // An aborted task has no result to check.
             let _ = task.await;
         }
         info!(self.log, "hub stopped");
--- a/crates/hub/src/lib.rs
+++ b/crates/hub/src/lib.rs
@@ -1,12 +1,12 @@
-//! The hub: a control replica together with what callers, upstreams and entry
-//! processes ask it for.
+//! The hub: a control replica with the interfaces for callers, upstreams and entry processes.
 //!
-//! The route table lives in the replicated log of [`control`], and so do the
-//! announced upstreams: a hub acknowledges that an instance leaves only when the
-//! log has it. Besides, each hub tells at once what it has just heard ([`desk`],
-//! [`state`]). Entry processes watch all hubs ([`server`]), upstreams and callers ask over HTTP ([`http`]); which entry hosts
-//! callers may use follows from who watches ([`entries`], [`list`]). After a restart it makes
-//! itself known to those that watched before ([`beacon`]).
+//! The route table and the announced instances are stored in the replicated log of
+//! [`control`]; a hub acknowledges that an instance drains or is gone only once the log has
+//! it. All announcements reach the watchers of the hub at once ([`commands`], [`state`]).
+//!
+//! Entry processes watch all hubs ([`server`]); upstreams and callers use HTTP ([`http`]).
+//! Callers are sent to the entry hosts that watch ([`entries`], [`list`]). After a restart, a
+//! hub sends beacons to the entry hosts that watched before ([`beacon`]).
 
 pub mod beacon;
 pub mod commands;
@@ -14,11 +14,11 @@
 pub mod http;
 pub mod hub;
 pub mod list;
-pub mod peers;
 pub mod server;
 pub mod settings;
 pub mod state;
 pub mod suspects;
+pub mod tasks;
 
 pub use commands::CommandError;
 pub use commands::CommandHandler;
--- a/crates/hub/src/list.rs
+++ b/crates/hub/src/list.rs
@@ -1,8 +1,7 @@
-//! The list of entry hosts as it was told, and what has changed since.
+//! The history of the list of entry hosts, from which watchers are sent changes.
 //!
-//! A list of 449 hosts is 30 KB, and a rolling restart changes it ten times a second: told
-//! whole each time it fills links of 250 KB/s. So watchers are told what has changed
-//! since the list that they hold, as long as that is one of the last few.
+//! During a rolling restart the list changes several times a second. To save bandwidth, a
+//! watcher whose list is among the last [`MAX_HISTORY`] receives only the changes since then.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -12,67 +11,65 @@
 use wire::hub::EntryHost;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Lists that are remembered: three seconds of one each 100 ms, over the time between
-/// two questions of a watcher.
-const REMEMBERED: usize = 32;
+/// Number of lists kept. They have to cover the time between two requests of a watcher.
+const MAX_HISTORY: usize = 32;
 
-/// The entry hosts of one moment.
+/// The entry hosts at one point in time.
 #[derive(Clone, Debug, Default)]
-pub struct List {
-    /// Names the list; equal lists have equal marks, and only one that was never
-    /// made has 0.
-    pub mark: u64,
+pub struct HostList {
+    /// Hash of the list. Never 0, which stands for no list.
+    pub hash: u64,
     /// The hosts.
     pub hosts: Vec<EntryHost>,
 }
 
-/// What a watcher lacks.
+/// What a watcher needs to have the newest list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// It holds the list.
-    Held,
-    /// What to put to the list that it holds, and what to take off.
+    /// Nothing: it has the newest list.
+    Unchanged,
+    /// The changes to the list that it has.
     Changes {
-        /// New ones.
+        /// Hosts that were added or changed.
         hosts: Vec<EntryHost>,
-        /// Addresses of those that were lost.
+        /// Addresses of the hosts that were removed.
         lost: Vec<String>,
     },
-    /// All of it, packed.
-    Whole(Bytes),
+    /// The full list, packed.
+    Full(Bytes),
 }
 
-impl List {
-    /// The list of `hosts`.
+impl HostList {
+    /// Creates a list of `hosts` and computes its hash.
     #[must_use]
     pub fn new(hosts: Vec<EntryHost>) -> Self {
         let addresses = hosts.iter().map(|host| host.address.as_bytes());
         Self {
-            mark: mark(addresses),
+            hash: content_hash(addresses),
             hosts,
         }
     }
 
-    /// What leads from `before` to this one.
+    /// The changes from `before` to this list.
     fn changes(&self, before: &Self) -> Update {
-        let held = by_address(&before.hosts);
-        let now = by_address(&self.hosts);
-        let new = |host: &&EntryHost| held.get(&*host.address) != Some(host);
-        let gone = |host: &&EntryHost| !now.contains_key(&*host.address);
+        let previous = by_address(&before.hosts);
+        let current = by_address(&self.hosts);
+        let changed = |host: &&EntryHost| previous.get(&*host.address) != Some(host);
+        let removed = |host: &&EntryHost| !current.contains_key(&*host.address);
         Update::Changes {
-            hosts: self.hosts.iter().filter(new).cloned().collect(),
+            hosts: self.hosts.iter().filter(changed).cloned().collect(),
             lost: before
                 .hosts
                 .iter()
-                .filter(gone)
+                .filter(removed)
                 .map(|host| host.address.clone())
                 .collect(),
         }
     }
 }
 
-/// Names a list of `items`: equal lists have equal names, and none has 0.
-pub(crate) fn mark(items: impl Iterator<Item: AsRef<[u8]>>) -> u64 {
+/// Hash of a list of `items`; never 0.
+pub(crate) fn content_hash(items: impl Iterator<Item: AsRef<[u8]>>) -> u64 {
     let mut hash = Xxh3::new();
     for item in items {
         hash.update(item.as_ref());
@@ -85,41 +82,41 @@
     hosts.iter().map(|host| (&*host.address, host)).collect()
 }
 
-/// The last lists, the newest one packed for whoever needs it whole.
+/// The most recent lists, the newest one also packed.
 #[derive(Clone, Debug, Default)]
-pub struct Lists {
-    recent: VecDeque<Arc<List>>,
+pub struct ListHistory {
+    recent: VecDeque<Arc<HostList>>,
     packed: Bytes,
 }
 
-impl Lists {
-    /// Takes the list in force from now on; `packed` is all of it.
-    pub fn push(&mut self, list: Arc<List>, packed: Bytes) {
-        if self.recent.len() == REMEMBERED {
+impl ListHistory {
+    /// Adds the newest list; `packed` is the full list.
+    pub fn push(&mut self, list: Arc<HostList>, packed: Bytes) {
+        if self.recent.len() == MAX_HISTORY {
             self.recent.pop_front();
         }
         self.recent.push_back(list);
         self.packed = packed;
     }
 
-    /// The mark of the newest list.
+    /// Hash of the newest list; 0 if there is none.
     #[must_use]
-    pub fn mark(&self) -> u64 {
-        self.recent.back().map_or(0, |list| list.mark)
+    pub fn latest_hash(&self) -> u64 {
+        self.recent.back().map_or(0, |list| list.hash)
     }
 
-    /// What a watcher lacks that holds the list with `mark`.
+    /// The update for a watcher whose list has `hash`.
     #[must_use]
-    pub fn update(&self, mark: u64) -> Update {
+    pub fn update(&self, hash: u64) -> Update {
         let Some(newest) = self.recent.back() else {
-            return Update::Held;
+            return Update::Unchanged;
         };
-        if newest.mark == mark {
-            return Update::Held;
+        if newest.hash == hash {
+            return Update::Unchanged;
         }
-        match self.recent.iter().find(|list| list.mark == mark) {
+        match self.recent.iter().find(|list| list.hash == hash) {
             Some(before) => newest.changes(before),
-            None => Update::Whole(self.packed.clone()),
+            None => Update::Full(self.packed.clone()),
         }
     }
 }
--- a/crates/hub/src/server.rs
+++ b/crates/hub/src/server.rs
@@ -1,4 +1,4 @@
-//! What a hub serves to entry processes, other hubs and operators.
+//! The RPC interface of a hub for entry processes, other hubs and operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -41,31 +41,32 @@
 use crate::list::Update;
 use crate::state::State;
 
-/// Longest time that a watch is held.
+/// Maximum time that a watch is kept open.
 const MAX_WAIT: Duration = Duration::from_secs(5);
-/// From a change of instances until those are told who take a digest. It gathers changes:
-/// after a restart hundreds come within a second. It is what a notice of leaving takes
-/// longer where the hub that tells changes at once is lost, of the two seconds in which
-/// such a notice must be in force everywhere.
-const GATHER: Duration = Duration::from_millis(600);
-/// From a change of the suspects that refuses nothing until it is told to those who are told
-/// changes at once. Where many instances crash, each of them changes it, and links are thin.
-const GATHER_SUSPECTS: Duration = Duration::from_millis(500);
+/// Time for which changes of instances are batched for watchers of the digest.
+///
+/// If the hub that sends a watcher all changes is lost, an announcement that an instance
+/// drains or is gone arrives later by this; it has to take effect everywhere within two seconds.
+const DIGEST_BATCH_DELAY: Duration = Duration::from_millis(600);
+/// Time for which changes of suspects are batched unless a request is refused because of them.
+///
+/// Saves bandwidth when many instances crash, as each crash is a change.
+const SUSPECT_BATCH_DELAY: Duration = Duration::from_millis(500);
 /// How long a majority may take to confirm the table for a process that has none.
-const CONFIRM: Duration = Duration::from_millis(300);
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What a watcher is told of instances.
+/// The part of a watch reply that concerns instances.
 #[derive(Default)]
-struct Told {
+struct InstanceUpdate {
     cursor: u64,
     digest: u64,
     announced: u64,
-    rows: Vec<Instance>,
+    instances: Vec<Instance>,
     heard: Vec<Hearing>,
     whole: Bytes,
 }
 
-/// The service, one clone a request.
+/// The RPC service. Each request is served by a clone.
 #[derive(Clone)]
 pub struct HubServer {
     state: Arc<State>,
@@ -77,184 +78,185 @@
         Self { state, commands }
     }
 
-    /// Waits until there is anything that the watcher lacks; gives what it is told of
-    /// instances.
-    async fn wait(&self, ask: &Watch) -> Told {
-        let wait = Duration::from_millis(ask.wait_ms.into()).min(MAX_WAIT);
-        let end = Instant::now() + wait;
+    /// Waits for any change that the watcher doesn't know, at most for the requested time.
+    /// Returns the changes of instances.
+    async fn wait_for_changes(&self, request: &Watch) -> InstanceUpdate {
+        let wait = Duration::from_millis(request.wait_ms.into()).min(MAX_WAIT);
+        let deadline = Instant::now() + wait;
         let mut views = self.state.tables.views();
-        let mut lists = self.state.list.subscribe();
+        let mut lists = self.state.list_hash.subscribe();
         let newer = views.wait_for(|view| {
-            view.table.version > ask.table || view.evacuations.revision() > ask.evacuations
+            view.table.version > request.table || view.evacuations.revision() > request.evacuations
         });
-        let mut gathered = None;
+        let mut batched = None;
         tokio::select! {
-            () = self.moved(ask, &mut gathered) => {}
+            () = self.instances_changed(request, &mut batched) => {}
             _ = newer => {}
-            _ = lists.wait_for(|list| *list != ask.list), if ask.lists => {}
-            () = self.suspected(ask) => {}
-            () = tokio::time::sleep_until(end) => {}
+            _ = lists.wait_for(|hash| *hash != request.list), if request.lists => {}
+            () = self.suspects_changed(request) => {}
+            () = tokio::time::sleep_until(deadline) => {}
         }
-        gathered.unwrap_or_else(|| self.news(ask))
+        batched.unwrap_or_else(|| self.instance_update(request))
     }
 
-    /// Waits until instances have changed, as far as the watcher wants to know.
+    /// Waits until instances have changed, if the watcher asked for them.
     ///
-    /// Who takes digests is told of the moment at which the wait for more changes began:
-    /// by then the hub that tells changes at once has told of it, unless it is behind.
-    async fn moved(&self, ask: &Watch, gathered: &mut Option<Told>) {
-        if ask.news() == News::None {
+    /// A watcher of the digest receives the state before the batch delay: by the end of the
+    /// delay, the hub that sends it all changes has sent these, unless that hub is behind.
+    async fn instances_changed(&self, request: &Watch, batched: &mut Option<InstanceUpdate>) {
+        if request.news() == News::None {
             return std::future::pending().await;
         }
         let mut cursors = self.state.cursor.subscribe();
-        let moved = cursors.wait_for(|cursor| *cursor > ask.cursor);
-        let ended = moved.await.is_err();
-        if ended {
+        let changed = cursors.wait_for(|cursor| *cursor > request.cursor);
+        let closed = changed.await.is_err();
+        if closed {
             return std::future::pending().await;
         }
-        if ask.news() == News::Digest {
-            *gathered = Some(self.news(ask));
-            tokio::time::sleep(GATHER).await;
+        if request.news() == News::Digest {
+            *batched = Some(self.instance_update(request));
+            tokio::time::sleep(DIGEST_BATCH_DELAY).await;
         }
     }
 
-    /// Waits until the suspects have changed: at once for a request that is refused.
-    async fn suspected(&self, ask: &Watch) {
+    /// Waits until the suspects have changed; returns at once if a request is newly refused.
+    async fn suspects_changed(&self, request: &Watch) {
         let mut revisions = self.state.suspects.subscribe();
-        let moved = revisions.wait_for(|revision| revision.newest != ask.suspects);
-        let ended = moved.await.is_err();
-        if ended {
+        let changed = revisions.wait_for(|revision| revision.newest != request.suspects);
+        let closed = changed.await.is_err();
+        if closed {
             return std::future::pending().await;
         }
-        let refused = revisions.wait_for(|revision| revision.refusal > ask.suspects);
-        if !ask.lists {
-            // It is told of what is only suspected with whatever it is told next.
+        let refused = revisions.wait_for(|revision| revision.refusal > request.suspects);
+        if !request.lists {
+            // Other changes of suspects are sent with the next reply.
             let _ = refused.await;
             return;
         }
-        // What has gathered by then is told.
-        let _ = tokio::time::timeout(GATHER_SUSPECTS, refused).await;
+        // The changes batched so far are sent when the delay has passed.
+        let _ = tokio::time::timeout(SUSPECT_BATCH_DELAY, refused).await;
     }
 
-    /// What a watcher lacks of instances.
-    fn news(&self, ask: &Watch) -> Told {
-        if ask.news() == News::None {
-            return Told {
-                cursor: ask.cursor,
-                ..Told::default()
+    /// The changes of instances that the watcher doesn't know.
+    fn instance_update(&self, request: &Watch) -> InstanceUpdate {
+        if request.news() == News::None {
+            return InstanceUpdate {
+                cursor: request.cursor,
+                ..InstanceUpdate::default()
             };
         }
-        let known = self.state.known();
-        let registry = &known.registry;
-        let mut told = Told {
+        let inner = self.state.lock();
+        let registry = &inner.registry;
+        let mut update = InstanceUpdate {
             cursor: registry.cursor(),
             digest: registry.digest().total(),
-            announced: known.announced,
-            ..Told::default()
+            announced: inner.announced_index,
+            ..InstanceUpdate::default()
         };
-        if !ask.buckets.is_empty() {
-            told.whole = self.state.pack(registry.differing(&ask.buckets));
-            told.heard = registry.liveness_changed_since(ask.cursor);
-        } else if ask.news() == News::Digest {
-            told.heard = registry.liveness_changed_since(ask.cursor);
-        } else if ask.cursor > 0 {
-            let news = registry.delta_since(ask.cursor);
-            told.rows = news.instances;
-            told.heard = news.heard;
+        if !request.buckets.is_empty() {
+            update.whole = self.state.pack(registry.differing(&request.buckets));
+            update.heard = registry.liveness_changed_since(request.cursor);
+        } else if request.news() == News::Digest {
+            update.heard = registry.liveness_changed_since(request.cursor);
+        } else if request.cursor > 0 {
+            let delta = registry.delta_since(request.cursor);
+            update.instances = delta.instances;
+            update.heard = delta.liveness;
         } else {
-            drop(known);
-            (told.cursor, told.whole) = self.state.whole();
+            drop(inner);
+            (update.cursor, update.whole) = self.state.packed_instances();
         }
-        told
+        update
     }
 
     async fn confirm(&self) -> bool {
-        self.state.tables.read(CONFIRM).await.is_some()
+        self.state.tables.read(CONFIRM_TIMEOUT).await.is_some()
     }
 
-    /// Whether there is a table from the disk and no leader was known yet.
+    /// Whether a table was read from disk and no leader is known yet.
     ///
-    /// After a loss of all processes entry processes have no table. One that was
-    /// accepted is told to them at once in place of after the election.
+    /// After a full outage, entry processes without a table receive this one at once instead of
+    /// after the election.
     fn is_recovered(&self) -> bool {
         !self.state.tables.is_led() && self.state.tables.applied().version > 0
     }
 
-    fn note(&self, ask: &Watch) {
+    fn record_watch(&self, request: &Watch) {
         let now = self.state.clock.now();
-        if self.state.known().entries.asked(now, ask) {
-            info!(self.state.log, "entry host"; "entry" => &ask.host, "ready" => ask.ready,
-                "address" => &ask.address);
+        if self.state.lock().entries.watch_started(now, request) {
+            info!(self.state.log, "entry host"; "entry" => &request.host, "ready" => request.ready,
+                "address" => &request.address);
         }
     }
 }
 
 impl HubApi for HubServer {
-    async fn watch(self, _: Context, mut ask: Watch) -> WatchReply {
-        self.note(&ask);
-        if ask.epoch != self.state.epoch {
-            ask.cursor = 0;
-            ask.suspects = 0;
-            if ask.news() != News::None {
-                ask.wait_ms = 0;
+    async fn watch(self, _: Context, mut request: Watch) -> WatchReply {
+        self.record_watch(&request);
+        if request.epoch != self.state.epoch {
+            request.cursor = 0;
+            request.suspects = 0;
+            if request.news() != News::None {
+                request.wait_ms = 0;
             }
         }
-        if !ask.buckets.is_empty() {
-            ask.wait_ms = 0;
+        if !request.buckets.is_empty() {
+            request.wait_ms = 0;
         }
         let recovered = self.is_recovered();
-        let confirmed = ask.table == 0 && !recovered && self.confirm().await;
-        let told = self.wait(&ask).await;
+        let confirmed = request.table == 0 && !recovered && self.confirm().await;
+        let update = self.wait_for_changes(&request).await;
         let now = self.state.clock.now();
-        self.state.known().entries.answered(now, &ask);
+        self.state.lock().entries.watch_answered(now, &request);
         let table = self.state.tables.applied().version;
         let evacuations = self.state.tables.evacuated();
-        let evacuations = Some(evacuations).filter(|held| held.revision() > ask.evacuations);
-        let known = self.state.known();
-        let update = if ask.lists {
-            known.lists.update(ask.list)
+        let evacuations =
+            Some(evacuations).filter(|domains| domains.revision() > request.evacuations);
+        let inner = self.state.lock();
+        let list_update = if request.lists {
+            inner.lists.update(request.list)
         } else {
-            Update::Held
+            Update::Unchanged
         };
-        let (hosts, lost, packed) = match update {
-            Update::Held => Default::default(),
+        let (hosts, lost, packed) = match list_update {
+            Update::Unchanged => Default::default(),
             Update::Changes { hosts, lost } => (hosts, lost, Bytes::new()),
-            Update::Whole(packed) => (Vec::new(), Vec::new(), packed),
+            Update::Full(packed) => (Vec::new(), Vec::new(), packed),
         };
-        let suspects =
-            (known.tracker.revision().newest != ask.suspects).then(|| self.state.suspects(&known));
-        let hubs = known.hubs.iter().map(ToString::to_string);
+        let suspects = (inner.tracker.revision().newest != request.suspects)
+            .then(|| self.state.suspects(&inner));
+        let hubs = inner.hubs.iter().map(ToString::to_string);
         WatchReply {
             epoch: self.state.epoch,
-            cursor: told.cursor,
-            instances: told.rows,
-            whole: told.whole,
-            heard: told.heard,
-            digest: told.digest,
-            announced: told.announced,
+            cursor: update.cursor,
+            instances: update.instances,
+            whole: update.whole,
+            heard: update.heard,
+            digest: update.digest,
+            announced: update.announced,
             table,
             confirmed,
             recovered,
-            hubs: if known.group == ask.group {
+            hubs: if inner.hubs_hash == request.group {
                 Vec::new()
             } else {
                 hubs.collect()
             },
-            group: known.group,
-            entries: known.entries.count(now),
+            group: inner.hubs_hash,
+            entries: inner.entries.count(now),
             hosts,
             lost,
             packed,
-            list: known.lists.mark(),
+            list: inner.lists.latest_hash(),
             domain: self.state.settings.domain.to_string(),
             evacuations: evacuations.map(|evacuations| evacuations.to_wire()),
             suspects,
         }
     }
 
-    async fn fetch(self, _: Context, ask: Fetch) -> Table {
+    async fn fetch(self, _: Context, request: Fetch) -> Table {
         let table = self.state.tables.applied();
-        let newer = table.version > ask.have;
+        let newer = table.version > request.have;
         Table {
             version: table.version,
             content: if newer {
@@ -279,22 +281,22 @@
     }
 
     async fn evacuations(self, _: Context) -> EvacuationsReply {
-        let found = self.commands.evacuations().await.ok();
+        let domains = self.commands.evacuations().await.ok();
         EvacuationsReply {
-            confirmed: found.is_some(),
-            evacuations: found.map(|found| found.to_wire()),
+            confirmed: domains.is_some(),
+            evacuations: domains.map(|domains| domains.to_wire()),
         }
     }
 
-    async fn put_table(self, _: Context, row: Table) -> TableReply {
-        let Ok(table) = table::codec::decode(&row.content) else {
+    async fn put_table(self, _: Context, proposed: Table) -> TableReply {
+        let Ok(table) = table::codec::decode(&proposed.content) else {
             return TableReply::default();
         };
-        let put = TableUpdate {
+        let update = TableUpdate {
             table,
-            source: row.source.to_vec(),
+            source: proposed.source.to_vec(),
         };
-        self.commands.put(put).await.unwrap_or_default()
+        self.commands.put(update).await.unwrap_or_default()
     }
 
     async fn read_table(self, _: Context) -> ReadReply {
@@ -306,7 +308,7 @@
     }
 
     async fn report(self, _: Context, report: Report) -> Suspects {
-        self.state.take_report(&report)
+        self.state.apply_report(&report)
     }
 
     async fn resolve(self, _: Context, query: ResolveQuery) -> ResolveReply {
@@ -326,7 +328,7 @@
     }
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it is closed.
 pub async fn serve(
     channel: Transport<ClientMessage<HubApiRequest>, Response<HubApiResponse>>,
     server: HubServer,
--- a/crates/hub/src/settings.rs
+++ b/crates/hub/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one hub, typed and checked.
+//! Typed and validated settings of a hub.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -17,105 +17,100 @@
 
 const HUB: &str = "hub";
 
-/// Between two heartbeats of the log's leader. A quarter of the election
-/// timeout at most; more would cost processor time for a faster election than
-/// operators wait for.
-const HEARTBEAT: Duration = Duration::from_millis(100);
-/// Shortest election timeout; an operator waits a second for one answer, and an
-/// election takes up to twice this.
-const ELECTION: Duration = Duration::from_millis(400);
-/// How long a change is tried for: operators go to the next hub after a second.
-const ASK: Duration = Duration::from_millis(900);
-/// How long a graceful stop waits for what is open.
-const STOP: Duration = Duration::from_millis(1_500);
-/// Bytes of entries after which a snapshot is taken. A restart reads what came
-/// since; a table of 400 routes has 100 KB, and a hub of 0.15 core takes 0.3 s
-/// for 3 MB.
-const SNAPSHOT: Bytes = Bytes(256 * 1024);
-/// Bytes of one segment of the log; whole ones are dropped after a snapshot.
-const SEGMENT: Bytes = Bytes(256 * 1024);
-/// How long callers may keep a list of entry hosts, by default.
-const TTL: Duration = Duration::from_secs(2);
-/// How long an instance counts as heard after an announcement, by default: three
-/// announcements that come every 1.5 s, and half a second for the last.
-const LEASE: Duration = Duration::from_secs(5);
-/// Entry hosts that a caller is told at least, by default: one may be lost, and one
-/// may be stopping.
-const SPREAD: u32 = 3;
+/// Interval between heartbeats of the leader; at most a quarter of [`ELECTION_TIMEOUT`].
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum election timeout. An election takes up to twice this; operators wait one second for
+/// an answer.
+const ELECTION_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long a change is retried. Operators try the next hub after one second.
+const CHANGE_TIMEOUT: Duration = Duration::from_millis(900);
+/// How long a graceful shutdown waits for pending requests.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Size of log entries after which a snapshot is taken. A restart replays the entries since the
+/// last snapshot.
+const SNAPSHOT_THRESHOLD: Bytes = Bytes(256 * 1024);
+/// Size of a log segment. Segments are deleted as a whole after a snapshot.
+const SEGMENT_SIZE: Bytes = Bytes(256 * 1024);
+/// Default of [`Settings::ttl`].
+const DEFAULT_TTL: Duration = Duration::from_secs(2);
+/// Default of [`Settings::lease`]: three announcements, one every 1.5 s, and a margin of 0.5 s.
+const DEFAULT_LEASE: Duration = Duration::from_secs(5);
+/// Default of [`Settings::spread`]: leaves a caller one host if one is lost and another stops.
+const DEFAULT_SPREAD: u32 = 3;
 /// First port of a local hub.
-const PORT: u16 = 7010;
+const DEFAULT_PORT: u16 = 7010;
 /// Region of a local hub.
-const REGION: &str = "local";
-/// Ports that one hub takes, from the first on.
-const PORTS: u16 = 2;
+const DEFAULT_REGION: &str = "local";
+/// Number of ports that a hub uses after its first one.
+const ADDITIONAL_PORTS: u16 = 2;
 
-/// All settings of one hub.
+/// All settings of a hub.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Its host.
+    /// The host that the hub runs on.
     pub host: HostName,
-    /// Its failure domain.
+    /// The failure domain of the host.
     pub domain: DomainName,
-    /// Its region.
+    /// The region of the host.
     pub region: RegionName,
-    /// The data folder, of this process alone.
+    /// The data folder, which no other process may use.
     pub data: PathBuf,
-    /// The host's address.
+    /// The IP address of the host.
     pub address: IpAddr,
-    /// The first of the ports for traffic between the system's processes; the
-    /// same on every host.
+    /// The first port for traffic between the processes of the system; the same on every host.
     pub port: u16,
-    /// Where upstreams announce themselves and callers ask for entry hosts; none
-    /// where another process takes these calls.
+    /// Address of the HTTP interface for upstreams and callers, if the hub itself serves it.
     pub http: Option<SocketAddr>,
-    /// Hosts that run hubs; of each only the address counts, not the port.
+    /// Hosts that run hubs. The ports are ignored.
     pub seeds: Vec<SocketAddr>,
-    /// The seeds found a new system, this hub among them.
+    /// Whether the seeds, including this hub, found a new system.
     pub found: bool,
-    /// How long callers may keep a list of entry hosts.
+    /// How long callers may cache a list of entry hosts.
     pub ttl: Duration,
-    /// Entry hosts that a caller is told where its failure domain has fewer.
+    /// Minimum number of entry hosts returned to a caller; filled up from other failure domains.
     pub spread: usize,
-    /// How long an instance counts as heard after an announcement.
+    /// How long an instance counts as alive after an announcement.
     pub lease: Duration,
-    /// Log and metrics.
+    /// Logging and metrics.
     pub telemetry: telemetry::Settings,
 }
 
 impl Settings {
-    /// A hub at `address` that founds no system and knows no other, with every default.
+    /// Default settings of a hub at `address` without seeds.
     #[must_use]
     pub fn local(host: HostName, domain: DomainName, data: PathBuf, address: IpAddr) -> Self {
         Self {
             host,
             domain,
-            region: RegionName::new(REGION).unwrap_or_else(|_| unreachable!("a valid name")),
+            region: RegionName::new(DEFAULT_REGION)
+                .unwrap_or_else(|_| unreachable!("a valid name")),
             data,
             address,
-            port: PORT,
+            port: DEFAULT_PORT,
             http: None,
             seeds: Vec::new(),
             found: false,
-            ttl: TTL,
-            spread: SPREAD as usize,
-            lease: LEASE,
+            ttl: DEFAULT_TTL,
+            spread: DEFAULT_SPREAD as usize,
+            lease: DEFAULT_LEASE,
             telemetry: telemetry::Settings::default(),
         }
     }
 
-    /// Reads the file at `path`.
+    /// Reads the settings from the file at `path`.
     ///
     /// # Errors
     ///
-    /// Fails with every fault of the file.
+    /// Fails with all faults of the file.
     pub fn open(path: &Path) -> Result<Self, ConfError> {
         let mut reader = Reader::open(path)?;
         let settings = Self::take(&mut reader);
         reader.finish()?;
-        Ok(settings.unwrap_or_else(|| unreachable!("what is missing is a fault of its own")))
+        Ok(settings.unwrap_or_else(|| unreachable!("a missing setting is a fault of the file")))
     }
 
-    /// Reads its own sections; faults are noted in the reader.
+    /// Reads the sections of the hub. Returns `None` if a setting is missing or invalid; the
+    /// faults are recorded in the reader.
     pub fn take(r: &mut Reader) -> Option<Self> {
         let host = r.required(HUB, "host");
         let domain = r.required(HUB, "domain");
@@ -126,12 +121,12 @@
         let http = r.optional(HUB, "http");
         let seeds = r.list(HUB, "seeds");
         let found = r.or(HUB, "found", false);
-        let ttl = r.or(HUB, "ttl", TTL);
-        let spread: u32 = r.or(HUB, "spread", SPREAD);
-        let lease = r.or(HUB, "lease", LEASE);
+        let ttl = r.or(HUB, "ttl", DEFAULT_TTL);
+        let spread: u32 = r.or(HUB, "spread", DEFAULT_SPREAD);
+        let lease = r.or(HUB, "lease", DEFAULT_LEASE);
         let telemetry = telemetry::Settings::read(r);
-        let last = u32::from(u16::MAX - PORTS);
-        if let Some(port) = port.filter(|p| *p > last) {
+        let max_port = u32::from(u16::MAX - ADDITIONAL_PORTS);
+        if let Some(port) = port.filter(|p| *p > max_port) {
             let problem = Problem::Form(port.to_string());
             r.fault(HUB, "port", problem, "a port with two more after it");
         }
@@ -152,31 +147,32 @@
         })
     }
 
-    /// Whether nothing differs that only a new start takes over.
+    /// Whether `other` differs only in settings that take effect without a restart or that
+    /// matter only at a start.
     #[must_use]
-    pub fn is_fixed_same(&self, other: &Self) -> bool {
-        let fixed = Self {
+    pub fn can_reload(&self, other: &Self) -> bool {
+        let reloaded = Self {
             seeds: self.seeds.clone(),
             found: self.found,
             ttl: self.ttl,
             ..other.clone()
         };
-        *self == fixed
+        *self == reloaded
     }
 
-    /// Where the hub at `ip` serves entry processes, hubs and operators.
+    /// The address at which the hub on `ip` serves entry processes, hubs and operators.
     #[must_use]
     pub fn hub_at(&self, ip: IpAddr) -> SocketAddr {
         SocketAddr::new(ip, self.port + 2)
     }
 
-    /// Where the replica at `ip` takes messages of the replicated log.
+    /// The address at which the replica on `ip` receives messages of the replicated log.
     #[must_use]
     pub fn replica_at(&self, ip: IpAddr) -> SocketAddr {
         SocketAddr::new(ip, self.port)
     }
 
-    /// The settings of the control replica within.
+    /// The settings of the hub's control replica.
     #[must_use]
     pub fn control(&self) -> control::Settings {
         let own = self.replica_at(self.address);
@@ -184,7 +180,7 @@
             self.seeds.iter().map(|s| self.replica_at(s.ip())).collect();
         seeds.sort_unstable();
         seeds.dedup();
-        let founds = self.found && seeds.contains(&own);
+        let is_founder = self.found && seeds.contains(&own);
         let mut settings = control::Settings::local(
             self.host.clone(),
             self.domain.clone(),
@@ -194,16 +190,20 @@
         settings.rpc = SocketAddr::new(self.address, self.port + 1);
         settings.replica.listen = own;
         settings.replica.address = own;
-        settings.replica.initial = if founds { seeds.clone() } else { Vec::new() };
+        settings.replica.initial = if is_founder {
+            seeds.clone()
+        } else {
+            Vec::new()
+        };
         settings.replica.seeds = seeds;
         settings.timing = Timing {
-            heartbeat: HEARTBEAT,
-            election: ELECTION,
-            ask: ASK,
-            stop: STOP,
+            heartbeat: HEARTBEAT_INTERVAL,
+            election: ELECTION_TIMEOUT,
+            ask: CHANGE_TIMEOUT,
+            stop: SHUTDOWN_TIMEOUT,
         };
-        settings.sizes.snapshot = SNAPSHOT;
-        settings.sizes.segment = SEGMENT;
+        settings.sizes.snapshot = SNAPSHOT_THRESHOLD;
+        settings.sizes.segment = SEGMENT_SIZE;
         settings.telemetry = self.telemetry;
         settings
     }
--- a/crates/hub/src/state.rs
+++ b/crates/hub/src/state.rs
@@ -1,4 +1,4 @@
-//! What all tasks of one hub share.
+//! State shared by all tasks of a hub.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,56 +21,56 @@
 use wire::hub::Instance;
 
 use crate::entries::Entries;
-use crate::list::List;
-use crate::list::Lists;
+use crate::list::HostList;
+use crate::list::ListHistory;
 use crate::settings::Settings;
 
-/// What changes while the hub runs.
+/// The part of the state that is guarded by a lock.
 #[derive(Debug, Default)]
-pub struct Known {
-    /// The announced upstreams.
+pub struct Inner {
+    /// The announced instances.
     pub registry: Registry,
-    /// The log's index up to which announcements are in it.
-    pub announced: u64,
+    /// Index of the log up to which its announcements are in the registry.
+    pub announced_index: u64,
     /// The entry hosts that watch.
     pub entries: Entries,
-    /// Lists of them, as they were told.
-    pub lists: Lists,
-    /// The hubs of the group, this one included, sorted.
+    /// The lists of entry hosts that watchers may have.
+    pub lists: ListHistory,
+    /// The hubs of the group including this one, sorted.
     pub hubs: Vec<SocketAddr>,
-    /// Names that list, 0 before the first.
-    pub group: u64,
-    /// Requests that crash instances.
+    /// Hash of `hubs`, 0 before the first list.
+    pub hubs_hash: u64,
+    /// Tracks requests that crash instances.
     pub tracker: Tracker,
-    /// How long callers may keep a list of entry hosts, as last read.
+    /// How long callers may cache a list of entry hosts; set by a reload.
     pub ttl: Option<Duration>,
-    /// All instances, packed, and the cursor that they stand for.
+    /// The cursor and packed list of the last call of [`State::packed_instances`].
     packed: (u64, Bytes),
 }
 
 /// The shared state.
 pub struct State {
-    /// As they were read at the start.
+    /// The settings of the start.
     pub settings: Settings,
-    /// Names this process: cursors of another one mean nothing.
+    /// Random id of this process; cursors are valid only within one epoch.
     pub epoch: u64,
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: Clock,
-    /// The route table.
+    /// Access to the replicated log.
     pub tables: TableDesk,
-    /// The log.
+    /// The logger.
     pub log: Logger,
-    /// The registry's cursor, for whoever waits for a change.
+    /// Publishes the cursor of the registry.
     pub cursor: watch::Sender<u64>,
-    /// The mark of the newest list of entry hosts, for whoever waits for a change.
-    pub list: watch::Sender<u64>,
-    /// The revision of the suspects, for whoever waits for a change.
+    /// Publishes the hash of the newest list of entry hosts.
+    pub list_hash: watch::Sender<u64>,
+    /// Publishes the revision of the suspects.
     pub suspects: watch::Sender<Revision>,
-    known: Mutex<Known>,
+    inner: Mutex<Inner>,
 }
 
 impl State {
-    /// A hub that knows nothing yet.
+    /// Creates the state of a hub that has just started.
     #[must_use]
     pub fn new(settings: Settings, tables: TableDesk, log: Logger) -> Arc<Self> {
         Arc::new(Self {
@@ -80,92 +80,96 @@
             tables,
             log,
             cursor: watch::Sender::new(0),
-            list: watch::Sender::default(),
+            list_hash: watch::Sender::default(),
             suspects: watch::Sender::default(),
-            known: Mutex::default(),
+            inner: Mutex::default(),
         })
     }
 
-    /// The changing part, locked; never held across a wait.
-    pub fn known(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the mutable part. The guard must not be held across an await.
+    pub fn lock(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes announcements and wakes whoever waits for them.
-    pub fn take<'a>(&self, instances: impl IntoIterator<Item = &'a Instance>) -> ApplyOutcome {
+    /// Applies announcements and notifies watchers if anything has changed.
+    ///
+    /// Returns [`ApplyOutcome::Changed`] if any did, otherwise the first outcome that isn't
+    /// [`ApplyOutcome::Known`].
+    pub fn apply<'a>(&self, instances: impl IntoIterator<Item = &'a Instance>) -> ApplyOutcome {
         let now = self.clock.now();
-        let mut last = ApplyOutcome::Known;
+        let mut outcome = ApplyOutcome::Known;
         {
-            let mut known = self.known();
+            let mut inner = self.lock();
             for instance in instances {
-                match known.registry.apply(now, instance.clone()) {
-                    ApplyOutcome::Changed => last = ApplyOutcome::Changed,
-                    taken @ (ApplyOutcome::Stale | ApplyOutcome::Unusable)
-                        if last == ApplyOutcome::Known =>
+                match inner.registry.apply(now, instance.clone()) {
+                    ApplyOutcome::Changed => outcome = ApplyOutcome::Changed,
+                    other @ (ApplyOutcome::Stale | ApplyOutcome::Unusable)
+                        if outcome == ApplyOutcome::Known =>
                     {
-                        last = taken;
+                        outcome = other;
                     }
                     ApplyOutcome::Stale | ApplyOutcome::Unusable | ApplyOutcome::Known => {}
                 }
             }
         }
-        if last == ApplyOutcome::Changed {
-            self.publish();
+        if outcome == ApplyOutcome::Changed {
+            self.publish_cursor();
         }
-        last
+        outcome
     }
 
-    /// All instances as they are told to a watcher without a cursor, and the cursor that
-    /// goes with them. They are packed once for all who ask between two changes.
-    pub fn whole(&self) -> (u64, Bytes) {
-        let mut known = self.known();
-        let cursor = known.registry.cursor();
-        if known.packed.0 != cursor {
-            let packed = self.pack(known.registry.all_with_liveness());
+    /// The current cursor and all instances, packed, for a watcher without a cursor.
+    ///
+    /// The list is packed once per change of the registry.
+    pub fn packed_instances(&self) -> (u64, Bytes) {
+        let mut inner = self.lock();
+        let cursor = inner.registry.cursor();
+        if inner.packed.0 != cursor {
+            let packed = self.pack(inner.registry.all_with_liveness());
             if packed.is_empty() {
-                // From cursor 0 the watcher asks again.
+                // With cursor 0 the watcher asks for all instances again.
                 return (0, packed);
             }
-            known.packed = (cursor, packed);
+            inner.packed = (cursor, packed);
         }
-        known.packed.clone()
+        inner.packed.clone()
     }
 
-    /// The rows as they are told to a watcher; nothing where they can't be packed.
-    pub fn pack(&self, rows: Vec<Instance>) -> Bytes {
-        match registry::pack(rows) {
+    /// Packs `instances`; returns no bytes if that fails.
+    pub fn pack(&self, instances: Vec<Instance>) -> Bytes {
+        match registry::pack(instances) {
             Ok(packed) => packed.into(),
             Err(err) => {
-                warn!(self.log, "instances not packed"; "error" => %err);
+                warn!(self.log, "could not pack the list of instances"; "error" => %err);
                 Bytes::new()
             }
         }
     }
 
-    /// Takes the entry hosts of this moment, and wakes whoever waits for a change of them.
-    pub fn list(&self, hosts: Vec<EntryHost>) {
-        let list = List::new(hosts);
-        let mark = list.mark;
+    /// Sets the current entry hosts and notifies watchers if they have changed.
+    pub fn update_host_list(&self, hosts: Vec<EntryHost>) {
+        let list = HostList::new(hosts);
+        let hash = list.hash;
         {
-            let mut known = self.known();
-            if known.lists.mark() == mark {
+            let mut inner = self.lock();
+            if inner.lists.latest_hash() == hash {
                 return;
             }
             match registry::pack_hosts(list.hosts.clone()) {
-                Ok(packed) => known.lists.push(Arc::new(list), packed.into()),
+                Ok(packed) => inner.lists.push(Arc::new(list), packed.into()),
                 Err(err) => {
-                    warn!(self.log, "entry hosts not packed"; "error" => %err);
+                    warn!(self.log, "could not pack the list of entry hosts"; "error" => %err);
                     return;
                 }
             }
         }
-        self.list.send_replace(mark);
+        self.list_hash.send_replace(hash);
     }
 
-    /// Wakes whoever waits for a change of the registry.
-    pub fn publish(&self) {
-        let cursor = self.known().registry.cursor();
+    /// Notifies watchers if the cursor of the registry has changed.
+    pub fn publish_cursor(&self) {
+        let cursor = self.lock().registry.cursor();
         self.cursor
-            .send_if_modified(|held| std::mem::replace(held, cursor) != cursor);
+            .send_if_modified(|last| std::mem::replace(last, cursor) != cursor);
     }
 }
--- a/crates/hub/src/suspects.rs
+++ b/crates/hub/src/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that crash instances, as all entry processes tell of them.
+//! Collects the reports of all entry processes on requests that crash instances.
 
 use quarantine::Crash;
 use quarantine::Fingerprint;
@@ -9,75 +9,76 @@
 use wire::hub::Report;
 use wire::hub::Suspects;
 
-use crate::state::Known;
+use crate::state::Inner;
 use crate::state::State;
 
 impl State {
-    /// Takes what an entry process has seen, and wakes whoever waits for a change.
-    pub fn take_report(&self, report: &Report) -> Suspects {
-        let (told, revision) = {
-            let mut known = self.known();
+    /// Applies the report of an entry process, notifies watchers of changes and returns the
+    /// current suspects.
+    pub fn apply_report(&self, report: &Report) -> Suspects {
+        let (suspects, revision) = {
+            let mut inner = self.lock();
             for request in &report.answered {
-                self.take_answer(&mut known, report, *request);
+                self.apply_answer(&mut inner, report, *request);
             }
             for crash in &report.crashes {
-                self.take_crash(&mut known, report, crash);
+                self.apply_crash(&mut inner, report, crash);
             }
             for suspect in &report.refused {
-                self.take_refusal(&mut known, report, suspect);
+                self.apply_refusal(&mut inner, report, suspect);
             }
-            (self.suspects(&known), known.tracker.revision())
+            (self.suspects(&inner), inner.tracker.revision())
         };
         self.suspects
-            .send_if_modified(|held| std::mem::replace(held, revision) != revision);
-        told
+            .send_if_modified(|last| std::mem::replace(last, revision) != revision);
+        suspects
     }
 
-    /// What is told of suspects.
-    pub fn suspects(&self, known: &Known) -> Suspects {
-        let rows = known.tracker.suspects(self.clock.now());
+    /// The current suspects as sent to entry processes.
+    pub fn suspects(&self, inner: &Inner) -> Suspects {
+        let suspects = inner.tracker.suspects(self.clock.now());
         Suspects {
-            revision: known.tracker.revision().newest,
-            rows: rows.iter().map(Suspect::to_wire).collect(),
+            revision: inner.tracker.revision().newest,
+            rows: suspects.iter().map(Suspect::to_wire).collect(),
         }
     }
 
-    fn take_answer(&self, known: &mut Known, report: &Report, request: wire::hub::Fingerprint) {
+    fn apply_answer(&self, inner: &mut Inner, report: &Report, request: wire::hub::Fingerprint) {
         let request = Fingerprint::from(request);
-        if known.tracker.succeeded(self.clock.now(), request) {
+        if inner.tracker.succeeded(self.clock.now(), request) {
             info!(self.log, "suspect answered"; "fingerprint" => %request,
                 "entry" => &report.host);
         }
     }
 
-    fn take_crash(&self, known: &mut Known, report: &Report, told: &wire::hub::Crash) {
+    fn apply_crash(&self, inner: &mut Inner, report: &Report, reported: &wire::hub::Crash) {
         let now = self.clock.now();
-        let crash = match Crash::from_wire(now, told) {
+        let crash = match Crash::from_wire(now, reported) {
             Ok(crash) => crash,
             Err(err) => {
-                warn!(self.log, "crash not taken"; "entry" => &report.host, "error" => %err);
+                warn!(self.log, "ignored an invalid crash report"; "entry" => &report.host, "error" => %err);
                 return;
             }
         };
-        let outcome = known.tracker.crashed(now, &crash);
+        let outcome = inner.tracker.crashed(now, &crash);
         if outcome != Outcome::Known {
             info!(self.log, "crash"; "fingerprint" => %crash.request,
                 "instance" => %crash.life.instance, "incarnation" => crash.life.incarnation,
-                "service" => %crash.service, "age_ms" => told.ago_ms, "entry" => &report.host,
+                "service" => %crash.service, "age_ms" => reported.ago_ms, "entry" => &report.host,
                 "outcome" => format!("{outcome:?}"));
         }
     }
 
-    fn take_refusal(&self, known: &mut Known, report: &Report, told: &wire::hub::Suspect) {
-        match Suspect::from_wire(told) {
+    fn apply_refusal(&self, inner: &mut Inner, report: &Report, reported: &wire::hub::Suspect) {
+        match Suspect::from_wire(reported) {
             Ok(Suspect { request, refused }) => {
-                if known.tracker.learn(self.clock.now(), request, refused) {
+                if inner.tracker.learn(self.clock.now(), request, refused) {
                     info!(self.log, "refusal learned"; "fingerprint" => %request,
-                        "left_ms" => told.refused_ms, "entry" => &report.host);
+                        "left_ms" => reported.refused_ms, "entry" => &report.host);
                 }
             }
             Err(err) => {
-                warn!(self.log, "refusal not taken"; "entry" => &report.host, "error" => %err);
+                warn!(self.log, "ignored an invalid refusal report"; "entry" => &report.host, "error" => %err);
             }
         }
     }
--- a/crates/hub/src/tasks.rs
+++ b/crates/hub/src/tasks.rs
@@ -1,4 +1,4 @@
-//! Follows the log: who is in the group, and what it says of upstreams.
+//! Background tasks of a hub.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,17 +6,16 @@
 
 use slog::info;
 
-use crate::list::mark;
+use crate::list::content_hash;
 use crate::state::State;
 
-/// Between two looks at the group; entry processes learn of a new hub after this.
-const LOOK: Duration = Duration::from_millis(500);
-/// Between two looks at entry hosts and instances; short beside the time in which one
-/// is seen to be lost. After a restart hundreds of instances are heard within 150 ms,
-/// and watchers are told of all that came between two looks at once.
-const GLANCE: Duration = Duration::from_millis(100);
+/// How often the list of hubs is read. Entry processes learn of a new hub this much later.
+const GROUP_INTERVAL: Duration = Duration::from_millis(500);
+/// How often entry hosts and instances are checked for expiry. Watchers receive all changes
+/// since the last check together.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Keeps the list of hubs. Never ends.
+/// Keeps the list of hubs up to date and removes expired entries. Never returns.
 pub async fn follow_group(state: Arc<State>) {
     loop {
         let replicas = state.tables.replicas().await;
@@ -29,49 +28,50 @@
         hubs.sort_unstable();
         let now = state.clock.now();
         {
-            let mut known = state.known();
-            known.registry.forget(now);
-            known.entries.forget(now);
-            if known.hubs != hubs {
+            let mut inner = state.lock();
+            inner.registry.remove_expired(now);
+            inner.entries.remove_expired(now);
+            if inner.hubs != hubs {
                 info!(state.log, "hubs"; "addresses" => format!("{hubs:?}"));
-                known.group = mark(hubs.iter().map(ToString::to_string));
-                known.hubs = hubs;
+                inner.hubs_hash = content_hash(hubs.iter().map(ToString::to_string));
+                inner.hubs = hubs;
             }
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(GROUP_INTERVAL).await;
     }
 }
 
-/// Looks for entry hosts that were lost and instances that fell silent, and tells
-/// watchers. Never ends.
-pub async fn follow_lost(state: Arc<State>) {
+/// Expires entry hosts and instances that were not seen in time, and notifies watchers. Never
+/// returns.
+pub async fn expire_silent(state: Arc<State>) {
     loop {
-        tokio::time::sleep(GLANCE).await;
+        tokio::time::sleep(EXPIRY_INTERVAL).await;
         let now = state.clock.now();
-        state.known().registry.miss(now, state.settings.lease);
-        state.publish();
-        let hosts = state.known().entries.list(now);
-        state.list(hosts);
+        state
+            .lock()
+            .registry
+            .expire_leases(now, state.settings.lease);
+        state.publish_cursor();
+        let hosts = state.lock().entries.list(now);
+        state.update_host_list(hosts);
     }
 }
 
-/// Takes announcements from the log, those of before a restart first. Ends with
-/// the replica.
+/// Applies the announcements of the log, from its beginning. Returns when the replica stops.
 pub async fn follow_registry(state: Arc<State>) {
     let mut views = state.tables.views();
-    let (mut cursor, mut numbered) = (0, 0);
+    let (mut cursor, mut last_snapshots) = (0, 0);
     loop {
         let (registry, announced, snapshots) = {
             let view = views.borrow_and_update();
             (Arc::clone(&view.registry), view.announced, view.snapshots)
         };
-        // A snapshot numbers changes anew: by the old numbers, what it says of instances
-        // that were known would be passed over, a notice of leaving among it.
-        if snapshots != numbered {
-            (cursor, numbered) = (0, snapshots);
+        // A snapshot restarts the numbering of changes, so the old cursor would skip some.
+        if snapshots != last_snapshots {
+            (cursor, last_snapshots) = (0, snapshots);
         }
-        state.take(&registry.since(cursor));
-        state.known().announced = announced;
+        state.apply(&registry.changed_since(cursor));
+        state.lock().announced_index = announced;
         cursor = registry.cursor();
         if views.changed().await.is_err() {
             return;
--- a/crates/hub/tests/common/mod.rs
+++ b/crates/hub/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Hubs as processes would run them, and one that watches.
-#![allow(dead_code, reason = "each test binary uses its own part")]
+//! Helpers that start hubs, propose tables and watch.
+#![allow(dead_code, reason = "each test binary uses only some helpers")]
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
 use wire::peer;
 use wire::peer::HubLink;
 
-pub const PATIENCE: Duration = Duration::from_mins(1);
-pub const PAUSE: Duration = Duration::from_millis(20);
+pub const TIMEOUT: Duration = Duration::from_mins(1);
+pub const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A hub of its own system; the layout keeps its host and folder.
+/// Starts a single hub. The layout owns its host and folder.
 pub async fn start() -> (Hub, Layout) {
     let layout = Layout::new(1, 0).expect("a folder");
     let log = telemetry::log::silent();
@@ -27,7 +27,7 @@
     (hub.expect("starts"), layout)
 }
 
-/// All hubs of the layout.
+/// Starts all hubs of the layout.
 pub async fn start_all(layout: &Layout, log: &Logger) -> Vec<Hub> {
     let mut hubs = Vec::new();
     for settings in &layout.hubs {
@@ -37,7 +37,7 @@
     hubs
 }
 
-pub fn put(version: u64) -> TableUpdate {
+pub fn table_update(version: u64) -> TableUpdate {
     TableUpdate {
         table: Table {
             version,
@@ -47,30 +47,29 @@
     }
 }
 
-pub async fn put_surely(hub: &Hub, put: TableUpdate) -> TableOutcome {
-    let tries = async {
+pub async fn put_until_accepted(hub: &Hub, update: TableUpdate) -> TableOutcome {
+    let retrying = async {
         loop {
-            match hub.commands().put(put.clone()).await {
+            match hub.commands().put(update.clone()).await {
                 Ok(reply) => return reply.outcome(),
-                Err(CommandError::NoMajority) => tokio::time::sleep(PAUSE).await,
+                Err(CommandError::NoMajority) => tokio::time::sleep(RETRY_INTERVAL).await,
                 Err(err) => panic!("{err}"),
             }
         }
     };
-    tokio::time::timeout(PATIENCE, tries)
+    tokio::time::timeout(TIMEOUT, retrying)
         .await
         .expect("a leader in the end")
 }
 
-/// Puts tables 2 to 11, over the bytes after which a snapshot takes the place of the log,
-/// several times.
+/// Puts tables 2 to 11, which exceed the snapshot threshold several times.
 pub async fn outgrow_log(hub: &Hub) {
     for version in 2..12 {
         let large = TableUpdate {
             source: vec![b'x'; 200 * 1024],
-            ..put(version)
+            ..table_update(version)
         };
-        put_surely(hub, large).await;
+        put_until_accepted(hub, large).await;
     }
 }
 
@@ -79,7 +78,10 @@
     peer::hub(settings.hub_at(settings.address))
 }
 
-pub async fn watch(link: &HubLink, ask: Watch) -> WatchReply {
+pub async fn watch(link: &HubLink, request: Watch) -> WatchReply {
     let client = link.client().await.expect("connects");
-    client.watch(within(PATIENCE), ask).await.expect("answers")
+    client
+        .watch(within(TIMEOUT), request)
+        .await
+        .expect("answers")
 }
--- a/crates/hub/tests/test_entries.rs
+++ b/crates/hub/tests/test_entries.rs
@@ -1,13 +1,13 @@
-//! Which entry hosts callers may be sent to.
+//! Which entry hosts are listed for callers.
 
 use std::time::Duration;
 
 use base::prelude::*;
-use hub::entries::ASKED;
 use hub::entries::Entries;
-use hub::entries::FORGET;
-use hub::entries::HELD;
-use hub::list::List;
+use hub::entries::RETENTION;
+use hub::entries::REWATCH_TIMEOUT;
+use hub::entries::WATCH_GRACE;
+use hub::list::HostList;
 use wire::hub::Watch;
 
 const WAIT: Duration = Duration::from_secs(2);
@@ -24,7 +24,7 @@
     }
 }
 
-fn named(entries: &Entries, now: Moment) -> Vec<String> {
+fn listed(entries: &Entries, now: Moment) -> Vec<String> {
     let list = entries.list(now).into_iter();
     list.map(|host| host.address).collect()
 }
@@ -34,67 +34,67 @@
 }
 
 #[test]
-fn test_entries_are_named_once_the_first_ones_had_time_to_come() {
+fn test_entries_are_listed_after_settle_delay() {
     let mut entries = Entries::default();
-    entries.asked(after(0), &watch("one", true));
-    assert!(named(&entries, after(100)).is_empty());
-    entries.asked(after(400), &watch("two", true));
-    assert_eq!(named(&entries, after(900)), ["one:1", "two:1"]);
+    entries.watch_started(after(0), &watch("one", true));
+    assert!(listed(&entries, after(100)).is_empty());
+    entries.watch_started(after(400), &watch("two", true));
+    assert_eq!(listed(&entries, after(900)), ["one:1", "two:1"]);
 }
 
 #[test]
-fn test_entries_are_named_while_they_are_ready_and_heard() {
+fn test_entries_are_listed_while_ready_and_watching() {
     let mut entries = Entries::default();
-    entries.asked(after(0), &watch("one", true));
-    entries.asked(after(0), &watch("two", true));
-    entries.asked(after(900), &watch("two", false));
-    assert_eq!(named(&entries, after(1_000)), ["one:1"]);
-    // Its watch is held for as long as it asked, and little longer.
-    let held = after(0) + WAIT + HELD;
-    assert!(named(&entries, held).is_empty());
-    entries.asked(held, &watch("one", true));
-    assert_eq!(named(&entries, held), ["one:1"]);
+    entries.watch_started(after(0), &watch("one", true));
+    entries.watch_started(after(0), &watch("two", true));
+    entries.watch_started(after(900), &watch("two", false));
+    assert_eq!(listed(&entries, after(1_000)), ["one:1"]);
+    // An open watch expires soon after the requested wait.
+    let expired = after(0) + WAIT + WATCH_GRACE;
+    assert!(listed(&entries, expired).is_empty());
+    entries.watch_started(expired, &watch("one", true));
+    assert_eq!(listed(&entries, expired), ["one:1"]);
 }
 
 #[test]
-fn test_entries_that_do_not_ask_again_are_lost_soon() {
+fn test_entries_that_do_not_watch_again_expire() {
     let mut entries = Entries::default();
-    entries.asked(after(0), &watch("one", true));
-    entries.answered(after(600), &watch("one", true));
-    assert_eq!(named(&entries, after(700)), ["one:1"]);
-    assert!(named(&entries, after(600) + ASKED).is_empty());
-    entries.asked(after(1_000), &watch("one", true));
-    assert_eq!(named(&entries, after(1_100)), ["one:1"]);
+    entries.watch_started(after(0), &watch("one", true));
+    entries.watch_answered(after(600), &watch("one", true));
+    assert_eq!(listed(&entries, after(700)), ["one:1"]);
+    assert!(listed(&entries, after(600) + REWATCH_TIMEOUT).is_empty());
+    entries.watch_started(after(1_000), &watch("one", true));
+    assert_eq!(listed(&entries, after(1_100)), ["one:1"]);
 }
 
 #[test]
-fn test_entries_count_those_that_restart() {
+fn test_entries_count_includes_restarting_hosts() {
     let mut entries = Entries::default();
-    entries.asked(after(0), &watch("one", true));
-    entries.asked(after(0), &watch("two", true));
+    entries.watch_started(after(0), &watch("one", true));
+    entries.watch_started(after(0), &watch("two", true));
     assert_eq!(entries.count(after(5_000)), 2);
-    assert_eq!(entries.count(after(0) + FORGET), 0);
+    assert_eq!(entries.count(after(0) + RETENTION), 0);
 }
 
 #[test]
-fn test_entries_watcher_without_an_address_takes_no_callers() {
+fn test_entries_ignore_watcher_without_address() {
     let mut entries = Entries::default();
-    let other = Watch {
+    let no_address = Watch {
         address: String::new(),
         ..watch("one", true)
     };
-    assert!(!entries.asked(after(0), &other));
+    assert!(!entries.watch_started(after(0), &no_address));
     assert_eq!(entries.count(after(0)), 0);
 }
 
 #[test]
-fn test_entries_equal_lists_have_equal_marks() {
+fn test_entries_equal_lists_have_equal_hashes() {
     let mut entries = Entries::default();
-    entries.asked(after(0), &watch("one", true));
-    let one = List::new(entries.list(after(600))).mark;
-    entries.asked(after(700), &watch("two", true));
-    let two = List::new(entries.list(after(700))).mark;
+    entries.watch_started(after(0), &watch("one", true));
+    let one = HostList::new(entries.list(after(600))).hash;
+    entries.watch_started(after(700), &watch("two", true));
+    let two = HostList::new(entries.list(after(700))).hash;
     assert_ne!(one, two);
-    assert_ne!(List::new(Vec::new()).mark, 0);
-    assert_eq!(two, List::new(entries.list(after(800))).mark);
+    assert_ne!(HostList::new(Vec::new()).hash, 0);
+    assert_eq!(two, HostList::new(entries.list(after(800))).hash);
 }
--- a/crates/hub/tests/test_evacuation.rs
+++ b/crates/hub/tests/test_evacuation.rs
@@ -1,16 +1,16 @@
-//! Orders on failure domains at hubs, and what watchers are told of them.
+//! Evacuations of failure domains: orders, watchers and snapshots.
 
 mod common;
 
 use base::prelude::*;
-use common::PATIENCE;
-use common::PAUSE;
+use common::RETRY_INTERVAL;
+use common::TIMEOUT;
 use common::link;
 use common::outgrow_log;
-use common::put;
-use common::put_surely;
+use common::put_until_accepted;
 use common::start;
 use common::start_all;
+use common::table_update;
 use common::watch;
 use hub::Hub;
 use testutils::Layout;
@@ -19,15 +19,15 @@
 use wire::hub::Watch;
 use wire::link::within;
 
-/// Whoever holds older evacuations is told at once, and who holds these is not.
+/// A watcher with older evacuations must be answered at once, and one with these must not.
 #[tokio::test]
-async fn test_hub_watcher_learns_of_evacuations() {
+async fn test_hub_watcher_receives_evacuations() {
     let (hub, layout) = start().await;
-    put_surely(&hub, put(7)).await;
+    put_until_accepted(&hub, table_update(7)).await;
     let domain = DomainName::new("a").expect("a name");
     let first = watch(&link(&layout), Watch::default()).await;
     assert_eq!(first.evacuations, None);
-    let ask = |revision| Watch {
+    let request = |revision| Watch {
         epoch: first.epoch,
         cursor: first.cursor,
         news: News::None.into(),
@@ -37,63 +37,67 @@
         ..Watch::default()
     };
     let waiting = tokio::spawn({
-        let (link, ask) = (link(&layout), ask(0));
-        async move { watch(&link, ask).await }
+        let (link, request) = (link(&layout), request(0));
+        async move { watch(&link, request).await }
     });
     hub.commands()
         .evacuate(&domain, true)
         .await
         .expect("in the log");
     hub.commands().evacuate(&domain, true).await.expect("held");
-    let told = waiting.await.expect("ends").evacuations.expect("told");
-    assert_eq!((told.revision, told.rows[0].evacuated), (1, true));
+    let received = waiting.await.expect("ends").evacuations.expect("sent");
+    assert_eq!((received.revision, received.rows[0].evacuated), (1, true));
     let client = link(&layout).client().await.expect("connects");
-    let back = client.evacuate(
-        within(PATIENCE),
+    let ended = client.evacuate(
+        within(TIMEOUT),
         wire::hub::Evacuation {
             domain: "a".into(),
             ..Default::default()
         },
     );
     assert_eq!(
-        back.await.expect("answers").outcome(),
+        ended.await.expect("answers").outcome(),
         EvacuationOutcome::Taken
     );
-    let told = watch(&link(&layout), ask(1)).await.evacuations;
-    assert!(!told.expect("told").rows[0].evacuated);
-    let held = client.evacuations(within(PATIENCE)).await.expect("answers");
-    assert!(held.confirmed);
-    assert_eq!(held.evacuations.expect("some").revision, 2);
+    let received = watch(&link(&layout), request(1)).await.evacuations;
+    assert!(!received.expect("sent").rows[0].evacuated);
+    let reply = client.evacuations(within(TIMEOUT)).await.expect("answers");
+    assert!(reply.confirmed);
+    assert_eq!(reply.evacuations.expect("some").revision, 2);
 }
 
-/// An order that was acknowledged holds after every hub was lost, and also at one that was
-/// away and takes a snapshot in place of the entries that it missed.
+/// An acknowledged order must also reach a hub that receives a snapshot instead of the log
+/// entries that it missed.
 #[tokio::test]
-async fn test_hub_evacuations_come_with_a_snapshot() {
+async fn test_hub_receives_evacuations_with_a_snapshot() {
     let layout = Layout::new(3, 0).expect("a folder");
     let log = telemetry::log::silent();
     let mut hubs = start_all(&layout, &log).await;
-    put_surely(&hubs[0], put(1)).await;
+    put_until_accepted(&hubs[0], table_update(1)).await;
     hubs.pop().expect("the third").stop().await;
     let domain = DomainName::new("a").expect("a name");
-    let ordered = async {
+    let ordering = async {
         while hubs[0].commands().evacuate(&domain, true).await.is_err() {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     };
-    let ordered = tokio::time::timeout(PATIENCE, ordered).await;
+    let ordered = tokio::time::timeout(TIMEOUT, ordering).await;
     ordered.expect("in the log in the end");
     outgrow_log(&hubs[0]).await;
-    let back = Hub::start(layout.hubs[2].clone(), log).await;
-    let back = back.expect("starts");
-    let held = async {
+    let restarted = Hub::start(layout.hubs[2].clone(), log).await;
+    let restarted = restarted.expect("starts");
+    let reading = async {
         loop {
-            match back.commands().evacuations().await {
-                Ok(held) => return held,
-                Err(_) => tokio::time::sleep(PAUSE).await,
+            match restarted.commands().evacuations().await {
+                Ok(domains) => return domains,
+                Err(_) => tokio::time::sleep(RETRY_INTERVAL).await,
             }
         }
     };
-    let held = tokio::time::timeout(PATIENCE, held).await;
-    assert!(held.expect("a majority in the end").is_evacuated(&domain));
+    let domains = tokio::time::timeout(TIMEOUT, reading).await;
+    assert!(
+        domains
+            .expect("a majority in the end")
+            .is_evacuated(&domain)
+    );
 }
--- a/crates/hub/tests/test_hub.rs
+++ b/crates/hub/tests/test_hub.rs
@@ -1,16 +1,16 @@
-//! One hub as a process would run it, over its own interface.
+//! The interfaces of a hub: tables, announcements, watches and HTTP.
 
 mod common;
 
 use base::prelude::*;
-use common::PATIENCE;
-use common::PAUSE;
+use common::RETRY_INTERVAL;
+use common::TIMEOUT;
 use common::link;
 use common::outgrow_log;
-use common::put;
-use common::put_surely;
+use common::put_until_accepted;
 use common::start;
 use common::start_all;
+use common::table_update;
 use common::watch;
 use hub::CommandError;
 use hub::Hub;
@@ -44,30 +44,39 @@
 
 async fn fetch(link: &HubLink, have: u64) -> wire::hub::Table {
     let client = link.client().await.expect("connects");
-    let fetched = client.fetch(within(PATIENCE), Fetch { have }).await;
+    let fetched = client.fetch(within(TIMEOUT), Fetch { have }).await;
     fetched.expect("answers")
 }
 
 #[tokio::test]
-async fn test_hub_table_is_read_back_as_it_was_sent() {
+async fn test_hub_returns_table_as_sent() {
     let (hub, _layout) = start().await;
     assert!(matches!(
         hub.commands().read().await,
         Err(CommandError::NoTable | CommandError::NoMajority)
     ));
-    assert_eq!(put_surely(&hub, put(7)).await, TableOutcome::Taken);
-    assert_eq!(put_surely(&hub, put(7)).await, TableOutcome::Held);
-    assert_eq!(put_surely(&hub, put(6)).await, TableOutcome::Older);
-    let row = hub.commands().read().await.expect("a table");
-    assert_eq!((row.version, &row.source[..]), (7, &b"as sent"[..]));
+    assert_eq!(
+        put_until_accepted(&hub, table_update(7)).await,
+        TableOutcome::Taken
+    );
+    assert_eq!(
+        put_until_accepted(&hub, table_update(7)).await,
+        TableOutcome::Held
+    );
+    assert_eq!(
+        put_until_accepted(&hub, table_update(6)).await,
+        TableOutcome::Older
+    );
+    let table = hub.commands().read().await.expect("a table");
+    assert_eq!((table.version, &table.source[..]), (7, &b"as sent"[..]));
 }
 
 #[tokio::test]
-async fn test_hub_refuses_an_invalid_table_whole() {
+async fn test_hub_refuses_invalid_table() {
     let (hub, _layout) = start().await;
-    put_surely(&hub, put(7)).await;
-    let mut bad = put(8);
-    bad.table.hosts.push(table::Host {
+    put_until_accepted(&hub, table_update(7)).await;
+    let mut invalid = table_update(8);
+    invalid.table.hosts.push(table::Host {
         name: "example.org".into(),
         routes: vec![table::Route {
             name: "r".into(),
@@ -80,7 +89,7 @@
             target: table::Target::Service(ServiceName::new("none").expect("a name")),
         }],
     });
-    match hub.commands().put(bad).await {
+    match hub.commands().put(invalid).await {
         Err(CommandError::InvalidTable(faults)) => assert_eq!(faults.len(), 2),
         other => panic!("{other:?}"),
     }
@@ -88,20 +97,20 @@
 }
 
 #[tokio::test]
-async fn test_hub_watcher_learns_of_tables_and_instances() {
+async fn test_hub_watcher_receives_tables_and_instances() {
     let (hub, layout) = start().await;
-    put_surely(&hub, put(7)).await;
+    put_until_accepted(&hub, table_update(7)).await;
     hub.commands()
         .announce(instance(Phase::Ready, 1))
         .await
-        .expect("taken");
+        .expect("accepted");
     let all = watch(&link(&layout), Watch::default()).await;
     assert_eq!(unpack(&all.whole).expect("a list").len(), 1);
     assert_eq!(all.table, 7);
     assert!(fetch(&link(&layout), 6).await.content.len() > 10);
     assert_eq!(fetch(&link(&layout), 7).await.content.len(), 0);
-    // Nothing new ends with the wait; a change ends it at once.
-    let ask = Watch {
+    // A change ends the watch before the requested wait is over.
+    let request = Watch {
         epoch: all.epoch,
         cursor: all.cursor,
         table: 7,
@@ -110,26 +119,25 @@
     };
     let waiting = tokio::spawn({
         let link = link(&layout);
-        async move { watch(&link, ask).await }
+        async move { watch(&link, request).await }
     });
     hub.commands()
         .announce(instance(Phase::Draining, 2))
         .await
         .expect("in the log");
-    let news = waiting.await.expect("ends");
-    assert_eq!(news.instances[0].phase(), Phase::Draining);
-    assert_eq!(news.table, 7);
+    let reply = waiting.await.expect("ends");
+    assert_eq!(reply.instances[0].phase(), Phase::Draining);
+    assert_eq!(reply.table, 7);
 }
 
-/// A watcher that takes digests learns that something has changed and which instances are
-/// heard, and asks for the rows that differ from what it holds.
+/// A watcher of digests must get the instances that differ from its own by comparing buckets.
 #[tokio::test]
-async fn test_hub_watcher_of_digests_asks_for_what_differs() {
+async fn test_hub_watcher_of_digests_fetches_differing_instances() {
     let (hub, layout) = start().await;
-    put_surely(&hub, put(7)).await;
+    put_until_accepted(&hub, table_update(7)).await;
     let announce = async |phase, sequence| {
-        let told = hub.commands().announce(instance(phase, sequence)).await;
-        told.expect("taken");
+        let result = hub.commands().announce(instance(phase, sequence)).await;
+        result.expect("accepted");
     };
     announce(Phase::Ready, 1).await;
     let digest = Watch {
@@ -140,76 +148,76 @@
     };
     let first = watch(&link(&layout), digest.clone()).await;
     assert!(first.whole.is_empty() && first.instances.is_empty());
-    let mut held = Registry::default();
-    assert_ne!(first.digest, held.digest().total());
-    let compare = |held: &Registry, reply: &WatchReply| Watch {
+    let mut registry = Registry::default();
+    assert_ne!(first.digest, registry.digest().total());
+    let compare = |registry: &Registry, reply: &WatchReply| Watch {
         epoch: reply.epoch,
         cursor: reply.cursor,
-        buckets: held.digest().buckets().to_vec(),
+        buckets: registry.digest().buckets().to_vec(),
         ..digest.clone()
     };
-    let rows = watch(&link(&layout), compare(&held, &first)).await;
-    for row in unpack(&rows.whole).expect("a list") {
-        held.apply(NOW, row);
+    let reply = watch(&link(&layout), compare(&registry, &first)).await;
+    for instance in unpack(&reply.whole).expect("a list") {
+        registry.apply(NOW, instance);
     }
-    assert_eq!(rows.digest, held.digest().total());
+    assert_eq!(reply.digest, registry.digest().total());
     announce(Phase::Draining, 2).await;
-    let ask = Watch {
-        epoch: rows.epoch,
-        cursor: rows.cursor,
+    let request = Watch {
+        epoch: reply.epoch,
+        cursor: reply.cursor,
         ..digest.clone()
     };
-    let news = watch(&link(&layout), ask).await;
-    assert!(news.instances.is_empty());
-    let rows = watch(&link(&layout), compare(&held, &news)).await;
-    let rows = unpack(&rows.whole).expect("a list");
-    assert_eq!(rows[0].phase(), Phase::Draining);
+    let reply = watch(&link(&layout), request).await;
+    assert!(reply.instances.is_empty());
+    let reply = watch(&link(&layout), compare(&registry, &reply)).await;
+    let instances = unpack(&reply.whole).expect("a list");
+    assert_eq!(instances[0].phase(), Phase::Draining);
 }
 
-/// While another hub sends all instances, none are told, and no change ends the watch.
+/// A watcher that gets instances from another hub must only be answered for other changes.
 #[tokio::test]
-async fn test_hub_watcher_that_wants_no_instances_is_told_of_tables() {
+async fn test_hub_watcher_without_instances_receives_tables() {
     let (hub, layout) = start().await;
     let announced = instance(Phase::Ready, 1);
-    hub.commands().announce(announced).await.expect("taken");
-    let ask = Watch {
+    hub.commands().announce(announced).await.expect("accepted");
+    let request = Watch {
         news: News::None.into(),
         wait_ms: 60_000,
         ..Watch::default()
     };
     let waiting = tokio::spawn({
         let link = link(&layout);
-        async move { watch(&link, ask).await }
+        async move { watch(&link, request).await }
     });
-    put_surely(&hub, put(7)).await;
+    put_until_accepted(&hub, table_update(7)).await;
     let reply = waiting.await.expect("ends");
     assert_eq!((reply.table, reply.cursor), (7, 0));
     assert!(reply.whole.is_empty() && reply.instances.is_empty() && reply.heard.is_empty());
 }
 
 #[tokio::test]
-async fn test_hub_cursor_of_another_process_asks_for_everything() {
+async fn test_hub_sends_all_instances_for_cursor_of_another_epoch() {
     let (hub, layout) = start().await;
-    put_surely(&hub, put(7)).await;
+    put_until_accepted(&hub, table_update(7)).await;
     hub.commands()
         .announce(instance(Phase::Ready, 1))
         .await
-        .expect("taken");
-    let ask = Watch {
+        .expect("accepted");
+    let request = Watch {
         epoch: 1,
         cursor: 1_000,
         wait_ms: 60_000,
         ..Watch::default()
     };
-    let reply = watch(&link(&layout), ask).await;
+    let reply = watch(&link(&layout), request).await;
     assert_eq!(unpack(&reply.whole).expect("a list").len(), 1);
 }
 
 #[tokio::test]
-async fn test_hub_leaving_instance_is_acknowledged_once_the_log_has_it() {
+async fn test_hub_acknowledges_draining_and_gone_once_in_the_log() {
     let (hub, _layout) = start().await;
-    put_surely(&hub, put(7)).await;
-    for row in [
+    put_until_accepted(&hub, table_update(7)).await;
+    for announcement in [
         instance(Phase::Ready, 1),
         instance(Phase::Draining, 2),
         Instance {
@@ -218,17 +226,20 @@
             ..Instance::default()
         },
     ] {
-        hub.commands().announce(row).await.expect("in the log");
+        hub.commands()
+            .announce(announcement)
+            .await
+            .expect("in the log");
     }
-    // Told again, it is acknowledged again.
+    // A repeated announcement is acknowledged again.
     let again = hub.commands().announce(instance(Phase::Draining, 2)).await;
     again.expect("known");
 }
 
 #[tokio::test]
-async fn test_hub_names_entry_hosts_that_watch() {
+async fn test_hub_lists_entry_hosts_that_watch() {
     let (hub, layout) = start().await;
-    let ask = Watch {
+    let request = Watch {
         host: "entry-1".into(),
         domain: "a".into(),
         region: "r".into(),
@@ -236,59 +247,61 @@
         ready: true,
         ..Watch::default()
     };
-    let named = async {
+    let resolving = async {
         loop {
-            watch(&link(&layout), ask.clone()).await;
+            watch(&link(&layout), request.clone()).await;
             let (addresses, _) = hub.commands().resolve("example.org", "a", "r");
             if !addresses.is_empty() {
                 return addresses;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     };
-    let named = tokio::time::timeout(PATIENCE, named).await;
-    assert_eq!(named.expect("named in the end"), ["127.0.0.1:8080"]);
+    let addresses = tokio::time::timeout(TIMEOUT, resolving).await;
+    assert_eq!(addresses.expect("listed in the end"), ["127.0.0.1:8080"]);
 }
 
-/// All hubs were lost, and one is back before the others: no majority can confirm.
+/// After a full outage, the first hub to return must serve its table without a majority.
 #[tokio::test]
-async fn test_hub_alone_after_a_restart_tells_of_the_table_that_was_accepted() {
+async fn test_hub_alone_after_restart_serves_accepted_table() {
     let layout = Layout::new(3, 0).expect("a folder");
     let log = telemetry::log::silent();
     let hubs = start_all(&layout, &log).await;
     for version in [7, 8, 9] {
-        put_surely(&hubs[0], put(version)).await;
+        put_until_accepted(&hubs[0], table_update(version)).await;
     }
-    // The disk of each names the last but one as accepted by now.
-    let told = async {
+    // By now the disk of each hub marks at least the table before the last as accepted.
+    let watching = async {
         while watch(&link(&layout), Watch::default()).await.table < 9 {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     };
-    tokio::time::timeout(PATIENCE, told).await.expect("told");
+    tokio::time::timeout(TIMEOUT, watching)
+        .await
+        .expect("received");
     for hub in hubs {
         hub.stop().await;
     }
     let hub = Hub::start(layout.hubs[0].clone(), log)
         .await
         .expect("starts");
-    let ask = Watch {
+    let request = Watch {
         wait_ms: 60_000,
         ..Watch::default()
     };
-    let reply = watch(&link(&layout), ask).await;
+    let reply = watch(&link(&layout), request).await;
     assert!(reply.recovered && !reply.confirmed, "{reply:?}");
     assert!(reply.table >= 8, "{}", reply.table);
     assert!(fetch(&link(&layout), 0).await.content.len() > 10);
-    // Whoever asks for what is in force is not told.
+    // A confirmed read still fails.
     assert!(matches!(
         hub.commands().read().await,
         Err(CommandError::NoMajority)
     ));
 }
 
-/// Where the hub takes announcements over HTTP.
-fn base(hub: &Hub) -> String {
+/// The base URL of the HTTP interface.
+fn base_url(hub: &Hub) -> String {
     format!("http://{}", hub.http().expect("served"))
 }
 
@@ -302,7 +315,7 @@
     (status, answer.text().await.expect("a body"))
 }
 
-fn told(phase: &str, incarnation: u64, sequence: u64) -> String {
+fn announcement(phase: &str, incarnation: u64, sequence: u64) -> String {
     format!(
         "{{\"service\":\"status\",\"id\":\"status-1\",\"address\":\"127.0.0.1:9\",\
          \"domain\":\"a\",\"slots\":6,\"connections\":250,\"phase\":\"{phase}\",\
@@ -311,44 +324,44 @@
 }
 
 #[tokio::test]
-async fn test_hub_takes_announcements_over_http() {
+async fn test_hub_accepts_announcements_over_http() {
     let (hub, _layout) = start().await;
-    let base = base(&hub);
-    // `starting` is acknowledged and tells nobody of the instance.
+    let base = base_url(&hub);
+    // `starting` is acknowledged but not recorded.
     for (phase, count) in [("starting", 0), ("ready", 1)] {
         assert_eq!(
-            post(&base, &told(phase, 1, 1)).await,
+            post(&base, &announcement(phase, 1, 1)).await,
             (200, "{\"refresh_ms\":500}".to_owned())
         );
         assert_eq!(hub.commands().instances().len(), count, "{phase}");
     }
-    // A later life of the same instance is another row, and the earlier one can leave.
-    assert_eq!(post(&base, &told("ready", 2, 1)).await.0, 200);
-    let leave = async {
-        while post(&base, &told("gone", 1, 2)).await.0 != 200 {
-            tokio::time::sleep(PAUSE).await;
+    // Another incarnation of the instance has its own entry, and the earlier one can be removed.
+    assert_eq!(post(&base, &announcement("ready", 2, 1)).await.0, 200);
+    let removing = async {
+        while post(&base, &announcement("gone", 1, 2)).await.0 != 200 {
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     };
-    let left = tokio::time::timeout(PATIENCE, leave).await;
-    left.expect("in the log in the end");
-    let lives = hub.commands().instances();
-    let lives: Vec<(&str, Phase)> = lives.iter().map(|i| (&*i.id, i.phase())).collect();
+    let removed = tokio::time::timeout(TIMEOUT, removing).await;
+    removed.expect("in the log in the end");
+    let instances = hub.commands().instances();
+    let phases: Vec<(&str, Phase)> = instances.iter().map(|i| (&*i.id, i.phase())).collect();
     assert_eq!(
-        lives,
+        phases,
         [("status-1:1", Phase::Gone), ("status-1:2", Phase::Ready)]
     );
 }
 
 #[tokio::test]
-async fn test_hub_refuses_what_is_no_announcement() {
+async fn test_hub_refuses_invalid_announcements_over_http() {
     let (hub, _layout) = start().await;
-    let base = base(&hub);
+    let base = base_url(&hub);
     let cases = [
         ("{", 400, "json"),
         ("{}", 400, "json"),
-        (&told("asleep", 1, 1), 400, "field"),
+        (&announcement("asleep", 1, 1), 400, "field"),
         (
-            &told("ready", 1, 1).replace("127.0.0.1:9", "here"),
+            &announcement("ready", 1, 1).replace("127.0.0.1:9", "here"),
             400,
             "field",
         ),
@@ -362,21 +375,20 @@
 }
 
 #[tokio::test]
-async fn test_hub_without_entry_hosts_tells_callers_to_come_back() {
+async fn test_hub_without_entry_hosts_answers_with_retry_after() {
     let (hub, _layout) = start().await;
-    let base = base(&hub);
+    let base = base_url(&hub);
     let url = format!("{base}/v1/hosts?name=example.org&domain=a&region=r");
     let answer = reqwest::get(url).await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 503);
     assert!(answer.headers().contains_key("retry-after"));
-    let other = reqwest::get(format!("{base}/v1/other")).await;
-    assert_eq!(other.expect("an answer").status().as_u16(), 404);
+    let unknown = reqwest::get(format!("{base}/v1/other")).await;
+    assert_eq!(unknown.expect("an answer").status().as_u16(), 404);
 }
 
-/// A hub that was away takes a snapshot in place of the entries that it missed; what that
-/// says of instances is told like any other news.
+/// Instances from a snapshot, received instead of missed log entries, must reach watchers too.
 #[tokio::test]
-async fn test_hub_that_was_away_learns_what_a_snapshot_says_of_instances() {
+async fn test_hub_applies_instances_of_a_snapshot() {
     let layout = Layout::new(3, 0).expect("a folder");
     let log = telemetry::log::silent();
     let mut hubs = start_all(&layout, &log).await;
@@ -384,40 +396,40 @@
         let instances = hub.commands().instances();
         instances.iter().map(Instance::phase).max()
     };
-    let reaches = async |hub: &Hub, wanted: Phase| {
-        let reached = async {
+    let wait_for_phase = async |hub: &Hub, wanted: Phase| {
+        let waiting = async {
             while phase(hub) != Some(wanted) {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_INTERVAL).await;
             }
         };
-        let reached = tokio::time::timeout(PATIENCE, reached).await;
-        reached.expect("told in the end");
+        let reached = tokio::time::timeout(TIMEOUT, waiting).await;
+        reached.expect("reached in the end");
     };
-    put_surely(&hubs[0], put(1)).await;
-    let told = hubs[0].commands().announce(instance(Phase::Ready, 1)).await;
-    told.expect("taken");
-    reaches(&hubs[2], Phase::Ready).await;
+    put_until_accepted(&hubs[0], table_update(1)).await;
+    let announced = hubs[0].commands().announce(instance(Phase::Ready, 1)).await;
+    announced.expect("accepted");
+    wait_for_phase(&hubs[2], Phase::Ready).await;
     hubs.pop().expect("the third").stop().await;
-    let drain = async {
+    let draining = async {
         while hubs[0]
             .commands()
             .announce(instance(Phase::Draining, 2))
             .await
             .is_err()
         {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     };
-    let drained = tokio::time::timeout(PATIENCE, drain).await;
+    let drained = tokio::time::timeout(TIMEOUT, draining).await;
     drained.expect("in the log in the end");
     outgrow_log(&hubs[0]).await;
-    let back = Hub::start(layout.hubs[2].clone(), log).await;
-    reaches(&back.expect("starts"), Phase::Draining).await;
+    let restarted = Hub::start(layout.hubs[2].clone(), log).await;
+    wait_for_phase(&restarted.expect("starts"), Phase::Draining).await;
 }
 
-/// Whoever starts a hub again right after it has stopped finds its ports free.
+/// A hub that is restarted right after it has stopped must find its ports free.
 #[tokio::test]
-async fn test_hub_that_has_stopped_holds_no_port() {
+async fn test_hub_frees_its_ports_when_stopped() {
     let (hub, layout) = start().await;
     let settings = &layout.hubs[0];
     let ports = [
--- a/crates/hub/tests/test_suspects.rs
+++ b/crates/hub/tests/test_suspects.rs
@@ -1,8 +1,8 @@
-//! Requests that crash instances, as a hub hears of them and tells of them.
+//! Requests that crash instances: reports to a hub and what its watchers receive.
 
 mod common;
 
-use common::PATIENCE;
+use common::TIMEOUT;
 use common::link;
 use common::start;
 use common::watch;
@@ -35,18 +35,18 @@
 
 async fn report(link: &HubLink, report: Report) -> Suspects {
     let client = link.client().await.expect("connects");
-    let told = client.report(within(PATIENCE), report).await;
-    told.expect("answers")
+    let reply = client.report(within(TIMEOUT), report).await;
+    reply.expect("answers")
 }
 
-/// Tells of a crash from one entry process.
-async fn crashed(link: &HubLink, host: &str, instance: &str) -> Suspects {
-    let told = Report {
+/// Reports a crash as the entry process `host`.
+async fn report_crash(link: &HubLink, host: &str, instance: &str) -> Suspects {
+    let crashed = Report {
         host: host.into(),
         crashes: vec![crash(instance)],
         ..Report::default()
     };
-    report(link, told).await
+    report(link, crashed).await
 }
 
 fn refused(suspects: &Suspects) -> Vec<Fingerprint> {
@@ -54,15 +54,15 @@
     rows.filter_map(|row| row.request).collect()
 }
 
-/// Each of three entry processes sees one crash; a fourth one that watches learns of them.
+/// Crashes seen by different entry processes must add up, and reach one that only watches.
 #[tokio::test]
 async fn test_hub_counts_crashes_of_all_entry_processes() {
     let (_hub, layout) = start().await;
     let link = link(&layout);
     let first = watch(&link, Watch::default()).await;
     assert_eq!(first.suspects, None);
-    let waits = |lists, suspects| {
-        let ask = Watch {
+    let wait_for_suspects = |lists, suspects| {
+        let request = Watch {
             epoch: first.epoch,
             cursor: first.cursor,
             news: News::None.into(),
@@ -73,28 +73,31 @@
             ..Watch::default()
         };
         let link = common::link(&layout);
-        tokio::spawn(async move { watch(&link, ask).await })
+        tokio::spawn(async move { watch(&link, request).await })
     };
-    assert!(crashed(&link, "entry-1", "i-1").await.rows.is_empty());
-    let suspected = crashed(&link, "entry-2", "i-2").await;
+    assert!(report_crash(&link, "entry-1", "i-1").await.rows.is_empty());
+    let suspected = report_crash(&link, "entry-2", "i-2").await;
     assert!(refused(&suspected).is_empty());
-    let waiting = [true, false].map(|lists| waits(lists, suspected.revision));
-    assert_eq!(refused(&crashed(&link, "entry-3", "i-3").await), [REQUEST]);
+    let waiting = [true, false].map(|lists| wait_for_suspects(lists, suspected.revision));
+    assert_eq!(
+        refused(&report_crash(&link, "entry-3", "i-3").await),
+        [REQUEST]
+    );
     for waiting in waiting {
-        let told = waiting.await.expect("ends").suspects.expect("told");
-        assert_eq!(refused(&told), [REQUEST]);
+        let suspects = waiting.await.expect("ends").suspects.expect("sent");
+        assert_eq!(refused(&suspects), [REQUEST]);
     }
-    // One of before the hub's start holds another revision, whatever its number is.
-    let told = watch(&link, Watch::default()).await.suspects;
-    assert_eq!(refused(&told.expect("told")), [REQUEST]);
+    // A watcher of another epoch receives the suspects whatever its revision is.
+    let suspects = watch(&link, Watch::default()).await.suspects;
+    assert_eq!(refused(&suspects.expect("sent")), [REQUEST]);
 }
 
 #[tokio::test]
-async fn test_hub_request_that_was_answered_is_no_suspect() {
+async fn test_hub_answered_request_is_not_suspected() {
     let (_hub, layout) = start().await;
     let link = link(&layout);
     for instance in ["i-1", "i-2"] {
-        crashed(&link, "entry-1", instance).await;
+        report_crash(&link, "entry-1", instance).await;
     }
     let answered = Report {
         host: "entry-2".into(),
@@ -105,9 +108,9 @@
     assert!(report(&link, answered).await.rows.is_empty());
 }
 
-/// Every hub has started anew, and an entry process refuses a request by what they said.
+/// A refusal must survive a restart of all hubs, by way of the entry processes that apply it.
 #[tokio::test]
-async fn test_hub_that_starts_anew_learns_what_is_refused() {
+async fn test_hub_learns_refusals_from_entry_processes() {
     let (_hub, layout) = start().await;
     let link = link(&layout);
     let known = Report {
@@ -119,16 +122,16 @@
         ..Report::default()
     };
     assert_eq!(refused(&report(&link, known).await), [REQUEST]);
-    let told = watch(&link, Watch::default()).await.suspects;
-    assert_eq!(refused(&told.expect("told")), [REQUEST]);
+    let suspects = watch(&link, Watch::default()).await.suspects;
+    assert_eq!(refused(&suspects.expect("sent")), [REQUEST]);
 }
 
-/// What names nothing is left out, and the rest of the report counts.
+/// Invalid entries of a report must not discard its valid ones.
 #[tokio::test]
-async fn test_hub_takes_what_is_usable_of_a_report() {
+async fn test_hub_applies_valid_entries_of_a_report() {
     let (_hub, layout) = start().await;
     let link = link(&layout);
-    let told = Report {
+    let mixed = Report {
         crashes: vec![
             Crash::default(),
             crash("i-1"),
@@ -143,5 +146,5 @@
         refused: vec![Suspect::default()],
         ..Report::default()
     };
-    assert_eq!(refused(&report(&link, told).await), [REQUEST]);
+    assert_eq!(refused(&report(&link, mixed).await), [REQUEST]);
 }
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -41,7 +41,7 @@
     /// Instances that are new or have changed.
     pub instances: Vec<Instance>,
     /// Of all others, those that are heard now and weren't, or the other way round.
-    pub heard: Vec<Hearing>,
+    pub liveness: Vec<Hearing>,
 }
 
 #[derive(Clone, Debug)]
@@ -151,7 +151,7 @@
 
     /// What has changed after `cursor`, in whole rows.
     #[must_use]
-    pub fn since(&self, cursor: u64) -> Vec<Instance> {
+    pub fn changed_since(&self, cursor: u64) -> Vec<Instance> {
         let newer = self.rows.values().filter(|row| row.moved() > cursor);
         newer.map(|row| row.with_liveness()).collect()
     }
@@ -164,7 +164,7 @@
         let noticed = same.filter(|row| row.noticed > cursor);
         Delta {
             instances: newer.map(|row| row.with_liveness()).collect(),
-            heard: noticed.map(|row| row.hearing()).collect(),
+            liveness: noticed.map(|row| row.hearing()).collect(),
         }
     }
 
@@ -205,7 +205,7 @@
     }
 
     /// Notes which instances haven't announced themselves here for `lease`.
-    pub fn miss(&mut self, now: Moment, lease: Duration) {
+    pub fn expire_leases(&mut self, now: Moment, lease: Duration) {
         for row in self.rows.values_mut() {
             if row.heard.is_some_and(|at| now.since(at) >= lease) {
                 let row = Arc::make_mut(row);
@@ -229,13 +229,13 @@
 
     /// Whether this is known of the instance already.
     #[must_use]
-    pub fn holds(&self, instance: &Instance) -> bool {
+    pub fn is_known(&self, instance: &Instance) -> bool {
         self.get(&instance.id)
             .is_some_and(|held| !matches!(merge(held, instance.clone()), Merged::Changed(_)))
     }
 
     /// Forgets ids that left long ago.
-    pub fn forget(&mut self, now: Moment) {
+    pub fn remove_expired(&mut self, now: Moment) {
         let digest = &mut self.digest;
         self.rows.retain(|_, row| {
             let kept =
--- a/crates/registry/tests/test_digest.rs
+++ b/crates/registry/tests/test_digest.rs
@@ -79,7 +79,7 @@
     fn prop_digest_follows_every_change(steps: Vec<(u8, u8, u8)>, forgets: bool) -> bool {
         let mut registry = registry(&steps);
         if forgets {
-            registry.forget(NOW + TOMBSTONE_RETENTION);
+            registry.remove_expired(NOW + TOMBSTONE_RETENTION);
         }
         let mut fresh = Digest::default();
         for instance in registry.all() {
--- a/crates/registry/tests/test_registry.rs
+++ b/crates/registry/tests/test_registry.rs
@@ -108,21 +108,21 @@
     registry.apply(NOW, at(1, Phase::Ready));
     let seen = registry.cursor();
     registry.apply(NOW, at(2, Phase::Ready));
-    assert!(registry.since(seen).is_empty());
+    assert!(registry.changed_since(seen).is_empty());
     registry.apply(NOW, at(3, Phase::Draining));
-    assert_eq!(registry.since(seen).len(), 1);
-    assert_eq!(registry.since(0).len(), 1);
+    assert_eq!(registry.changed_since(seen).len(), 1);
+    assert_eq!(registry.changed_since(0).len(), 1);
 }
 
 #[test]
 fn test_registry_holds_what_it_was_told() {
     let mut registry = Registry::default();
-    assert!(!registry.holds(&at(1, Phase::Ready)));
+    assert!(!registry.is_known(&at(1, Phase::Ready)));
     registry.apply(NOW, at(1, Phase::Ready));
-    assert!(registry.holds(&at(5, Phase::Ready)));
-    assert!(!registry.holds(&at(5, Phase::Draining)));
+    assert!(registry.is_known(&at(5, Phase::Ready)));
+    assert!(!registry.is_known(&at(5, Phase::Draining)));
     registry.apply(NOW, gone());
-    assert!(registry.holds(&gone()));
+    assert!(registry.is_known(&gone()));
 }
 
 /// An announcement of a later or earlier start under the same id.
@@ -408,13 +408,13 @@
     assert!(!heard(&registry));
     let seen = registry.cursor();
     registry.renew_lease(NOW, &ready);
-    assert!(heard(&registry) && registry.since(seen).len() == 1);
+    assert!(heard(&registry) && registry.changed_since(seen).len() == 1);
     let seen = registry.cursor();
     registry.renew_lease(later(4), &ready);
-    registry.miss(later(8), LEASE);
-    assert!(heard(&registry) && registry.since(seen).is_empty());
-    registry.miss(later(9), LEASE);
-    assert!(!heard(&registry) && registry.since(seen).len() == 1);
+    registry.expire_leases(later(8), LEASE);
+    assert!(heard(&registry) && registry.changed_since(seen).is_empty());
+    registry.expire_leases(later(9), LEASE);
+    assert!(!heard(&registry) && registry.changed_since(seen).len() == 1);
     // A late call of an earlier start isn't a sign of life.
     registry.renew_lease(later(9), &life(0, 9, Phase::Ready));
     assert!(!heard(&registry));
