--- a/crates/hub/src/beacon.rs
+++ b/crates/hub/src/beacon.rs
@@ -3,7 +3,7 @@
 //! An entry process that starts knows only the seeds. After a full outage the seeds may
 //! be the last hosts to return, while other hubs are ready to serve. A hub therefore stores
 //! the addresses of the entry hosts next to its log and, after a restart, sends each of them
-//! beacons until it watches this hub or [`SEND_TIMEOUT`] has passed.
+//! beacons until it watches this hub or a timeout has passed.
 //!
 //! The stored list is only a hint: without it, entry processes wait for the seeds.
 
--- a/crates/hub/src/commands.rs
+++ b/crates/hub/src/commands.rs
@@ -159,7 +159,7 @@
         };
         let reply = self.state.tables.put(table).await;
         let outcome = reply.map_or("no-majority", |reply| reply.outcome().as_str_name());
-        info!(self.state.log, "route table asked"; "version" => version, "outcome" => outcome);
+        info!(self.state.log, "route table proposed"; "version" => version, "outcome" => outcome);
         reply.ok_or(CommandError::NoMajority)
     }
 
@@ -189,7 +189,7 @@
         let tables = &self.state.tables;
         let outcome = tables.evacuate(domain, evacuated, READ_TIMEOUT).await;
         let outcome_text = outcome.map_or("no-majority", |outcome| outcome.as_str_name());
-        info!(self.state.log, "evacuation asked"; "domain" => %domain, "evacuated" => evacuated,
+        info!(self.state.log, "evacuation requested"; "domain" => %domain, "evacuated" => evacuated,
             "outcome" => outcome_text);
         match outcome {
             Some(Outcome::Taken | Outcome::Held) => Ok(()),
--- a/crates/hub/src/entries.rs
+++ b/crates/hub/src/entries.rs
@@ -1,7 +1,7 @@
 //! The entry hosts that callers may be sent to: a pure state machine.
 //!
 //! An entry host is listed while it watches this hub and reports that it is ready. A hub that
-//! has just started lists none until [`SETTLE_DELAY`] has passed, so that the first entry
+//! has just started lists none for a short time after the first watch, so that the first entry
 //! hosts to connect don't receive all callers.
 
 use std::collections::BTreeMap;
@@ -82,7 +82,7 @@
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// The hosts that callers may be sent to; none until [`SETTLE_DELAY`] after the first watch.
+    /// The hosts that callers may be sent to; none in the first 500 ms after the first watch.
     #[must_use]
     pub fn list(&self, now: Moment) -> Vec<EntryHost> {
         let settled = self
--- a/crates/hub/src/list.rs
+++ b/crates/hub/src/list.rs
@@ -1,7 +1,7 @@
 //! The history of the list of entry hosts, from which watchers are sent changes.
 //!
 //! During a rolling restart the list changes several times a second. To save bandwidth, a
-//! watcher whose list is among the last [`MAX_HISTORY`] receives only the changes since then.
+//! watcher whose list is recent enough receives only the changes since then.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
--- a/crates/registry/src/check.rs
+++ b/crates/registry/src/check.rs
@@ -1,7 +1,7 @@
-//! Whether an announcement names an instance that can be used.
+//! Validation of announcements.
 //!
-//! What another writer sends must cost the sound instances nothing: it isn't taken, and
-//! a row of that kind in an older log is passed over.
+//! Invalid announcements are refused, and skipped when read from an older log, so that they
+//! can't affect valid instances.
 
 use std::net::SocketAddr;
 
@@ -11,37 +11,37 @@
 use wire::hub::Instance;
 use wire::hub::Phase;
 
-/// Most slots that one instance may claim, as at a directory; requests are placed by them.
+/// Maximum number of slots of an instance; the same as at a directory.
 const MAX_SLOTS: u32 = 65_536;
 
 quick_error! {
-    /// Why an announcement names no instance to use.
+    /// Why an announcement is invalid.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum AnnouncementError {
-        /// A name isn't one.
+        /// A field isn't a valid name.
         Name(field: &'static str, err: NameError) {
             display("{field}: {err}")
         }
-        /// Nothing can be connected to there.
+        /// The address is not an IP address and port to connect to.
         Address(text: String) {
             display("address: {text:?} is no IP:port that can be connected to")
         }
-        /// It claims no slot, or too many.
+        /// The number of slots is out of range.
         Slots(count: u32) {
             display("slots: {count} is not within 1 to {MAX_SLOTS}")
         }
-        /// It says neither that it is ready nor that it leaves.
+        /// The phase is missing or unknown.
         Phase {
             display("phase: not one of ready, draining and gone")
         }
     }
 }
 
-/// Checks an announcement; of a notice of leaving only the id counts.
+/// Validates an announcement. If its phase is `Gone`, only the id is checked.
 ///
 /// # Errors
 ///
-/// Fails with the first field that can't be used.
+/// Fails with the first invalid field.
 pub fn check(instance: &Instance) -> Result<(), AnnouncementError> {
     let name = |field| move |err| AnnouncementError::Name(field, err);
     InstanceId::new(&instance.id).map_err(name("id"))?;
@@ -62,8 +62,8 @@
 
 fn check_address(text: &str) -> Result<(), AnnouncementError> {
     let address: Option<SocketAddr> = text.parse().ok();
-    let usable = address.is_some_and(|a| a.port() != 0 && !a.ip().is_unspecified());
-    if usable {
+    let valid = address.is_some_and(|a| a.port() != 0 && !a.ip().is_unspecified());
+    if valid {
         Ok(())
     } else {
         Err(AnnouncementError::Address(text.to_owned()))
--- a/crates/registry/src/digest.rs
+++ b/crates/registry/src/digest.rs
@@ -1,23 +1,25 @@
-//! A whole list of instances as few bytes, to tell where two copies of it differ.
+//! Digests of registries, to find where two copies differ.
 //!
-//! The rows fall into buckets by their ids, and each bucket is the sum of its rows'
-//! hashes: it follows a change without a look at any other row, and two copies that took
-//! the same announcements in another order have the same. A process that follows many
-//! hubs takes changes from one of them, and of the others just this: 900 instances told
-//! by each of ten hubs to each of 449 processes would be 600 MB.
+//! Instances are assigned to buckets by id, and a bucket is the wrapping sum of the hashes of
+//! its instances. It can therefore be updated incrementally and doesn't depend on the order of
+//! announcements. A process that watches several hubs receives all changes from one of them
+//! and only digests from the others, which saves bandwidth.
 
 use prost::Message;
 use wire::hub::Instance;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::merge::bare;
+use crate::merge::normalized;
 
-/// Buckets of a digest. With one change a sixty-fourth of the rows is sent, 14 of 900
-/// or 2 KB, against half a KB for the question.
+/// Number of buckets of a digest.
+///
+/// More buckets make a comparison request larger, but reduce the instances sent for a change.
 pub const BUCKETS: usize = 64;
 
-/// What a copy of the list holds. Those that left are part of it until they are forgotten:
-/// a copy that was never told of one may be told by another, later, that it is ready.
+/// Digest of a copy of the registry.
+///
+/// Removed instances are included as long as they are retained: a copy that lacks one could
+/// otherwise accept a late announcement that it is ready.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Digest {
     buckets: [u64; BUCKETS],
@@ -32,32 +34,32 @@
 }
 
 impl Digest {
-    /// Takes a row that is held from now on.
-    pub fn add(&mut self, row: &Instance) {
-        let bucket = &mut self.buckets[bucket(&row.id)];
-        *bucket = bucket.wrapping_add(hash(row));
+    /// Adds an instance.
+    pub fn add(&mut self, instance: &Instance) {
+        let bucket = &mut self.buckets[bucket(&instance.id)];
+        *bucket = bucket.wrapping_add(hash(instance));
     }
 
-    /// Takes a row that is held no more.
-    pub fn remove(&mut self, row: &Instance) {
-        let bucket = &mut self.buckets[bucket(&row.id)];
-        *bucket = bucket.wrapping_sub(hash(row));
+    /// Removes an instance that was added before with equal content.
+    pub fn remove(&mut self, instance: &Instance) {
+        let bucket = &mut self.buckets[bucket(&instance.id)];
+        *bucket = bucket.wrapping_sub(hash(instance));
     }
 
-    /// All of it in one number.
+    /// Hash of all buckets.
     #[must_use]
     pub fn total(&self) -> u64 {
         let bytes: Vec<u8> = self.buckets.iter().flat_map(|b| b.to_le_bytes()).collect();
         xxh3_64(&bytes)
     }
 
-    /// Bucket by bucket, for the question where another copy differs.
+    /// The buckets, to be compared by another copy with [`Digest::may_differ`].
     #[must_use]
     pub fn buckets(&self) -> &[u64] {
         &self.buckets
     }
 
-    /// Whether the row of this id may differ from the one in the copy with `buckets`.
+    /// Whether the instance `id` may differ from the one in a copy with `buckets`.
     #[must_use]
     pub fn may_differ(&self, id: &str, buckets: &[u64]) -> bool {
         let index = bucket(id);
@@ -70,7 +72,7 @@
     hash.unwrap_or_else(|_| unreachable!("below the number of buckets"))
 }
 
-/// Of what watchers would see differ.
+/// Hash of the fields that count as a change for watchers.
 fn hash(instance: &Instance) -> u64 {
-    xxh3_64(&bare(instance).encode_to_vec())
+    xxh3_64(&normalized(instance).encode_to_vec())
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The announced upstreams: which announcement counts, and what has changed.
+//! The registry of announced instances: ordering of announcements and tracking of changes.
 
 pub mod check;
 pub mod digest;
--- a/crates/registry/src/merge.rs
+++ b/crates/registry/src/merge.rs
@@ -1,97 +1,95 @@
-//! What is known of an instance after one more announcement.
+//! Merging an announcement into the known state of an instance.
 //!
-//! An instance may start again under its id: the later incarnation replaces all that
-//! was known of the earlier one, whose late announcements change nothing. Within one
-//! incarnation an announcement of a lower sequence changes nothing, a phase never goes
-//! back, and one that has left stays away. Hubs, the replicated log and entry
-//! processes all go by this, so that they agree whatever the order in which they hear.
+//! An instance may restart under its id: the later incarnation replaces the earlier one, and
+//! late announcements of the earlier one are ignored. Within an incarnation, announcements
+//! with a lower sequence are ignored, the phase never goes back, and `Gone` is final. Hubs,
+//! the replicated log and entry processes all merge by these rules, so that they converge
+//! whatever the order in which they receive announcements.
 
 use std::cmp::Ordering;
 
 use wire::hub::Instance;
 use wire::hub::Phase;
 
-/// What an announcement does to what is held.
+/// The result of merging an announcement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Merged {
-    /// Nothing: it is older than what is held.
+    /// The announcement is ignored: it is older than the current state.
     Stale,
-    /// It says what is held; only its sequence is newer.
+    /// Only fields have changed that watchers don't see, such as the sequence.
     Known(Instance),
-    /// It says something new.
+    /// The state has changed.
     Changed(Instance),
 }
 
-/// Puts an announcement to what is held of the same id.
+/// Merges an announcement into the current state of the instance with the same id.
 #[must_use]
-pub fn merge(held: &Instance, next: Instance) -> Merged {
-    let leaves = next.phase() == Phase::Gone;
-    match incarnation(held, &next) {
+pub fn merge(current: &Instance, next: Instance) -> Merged {
+    let is_gone = next.phase() == Phase::Gone;
+    match compare_incarnations(current, &next) {
         Ordering::Less => return Merged::Stale,
-        Ordering::Greater => return Merged::Changed(later(held, next)),
+        Ordering::Greater => return Merged::Changed(next_incarnation(current, next)),
         Ordering::Equal => {}
     }
-    if held.phase() == Phase::Gone && !leaves {
+    if current.phase() == Phase::Gone && !is_gone {
         return Merged::Stale;
     }
-    // One that is said to have moved to another service is another one: what the table
-    // sends to the first service must not run there.
-    if next.service != held.service && !leaves {
+    // An instance can't move to another service: it must not run requests of the first one.
+    if next.service != current.service && !is_gone {
         return Merged::Stale;
     }
-    // A notice of leaving has no sequence.
-    if next.sequence < held.sequence && !leaves {
+    // An announcement with phase `Gone` has no sequence.
+    if next.sequence < current.sequence && !is_gone {
         return Merged::Stale;
     }
-    let merged = if leaves {
+    let merged = if is_gone {
         Instance {
             phase: Phase::Gone.into(),
-            ..held.clone()
+            ..current.clone()
         }
     } else {
         Instance {
-            phase: next.phase.max(held.phase),
+            phase: next.phase.max(current.phase),
             ..next
         }
     };
-    if is_same(held, &merged) {
+    if is_same(current, &merged) {
         Merged::Known(merged)
     } else {
         Merged::Changed(merged)
     }
 }
 
-/// How the announcement's incarnation stands to the held one. A notice of leaving that
-/// names none means the incarnation that is held: its sender is known by the id alone.
-fn incarnation(held: &Instance, next: &Instance) -> Ordering {
+/// Compares the incarnation of the announcement with the current one. An announcement with
+/// phase `Gone` and no incarnation refers to the current one.
+fn compare_incarnations(current: &Instance, next: &Instance) -> Ordering {
     if next.phase() == Phase::Gone && next.incarnation == 0 {
         return Ordering::Equal;
     }
-    next.incarnation.cmp(&held.incarnation)
+    next.incarnation.cmp(&current.incarnation)
 }
 
-/// The first announcement of a later incarnation; a notice of leaving names nothing
-/// but the id, so the rest stays for those who hold the earlier one.
-fn later(held: &Instance, next: Instance) -> Instance {
+/// The state after the first announcement of a later incarnation. If its phase is `Gone`, it
+/// has no other fields, and those of the earlier incarnation are kept.
+fn next_incarnation(current: &Instance, next: Instance) -> Instance {
     if next.phase() == Phase::Gone {
         return Instance {
             phase: next.phase,
             sequence: next.sequence,
             incarnation: next.incarnation,
-            ..held.clone()
+            ..current.clone()
         };
     }
     next
 }
 
-/// Whether watchers would see no difference; the sequence rises all the time, and who
-/// has heard it is told apart from it.
-fn is_same(held: &Instance, next: &Instance) -> bool {
-    bare(held) == bare(next)
+fn is_same(current: &Instance, next: &Instance) -> bool {
+    normalized(current) == normalized(next)
 }
 
-/// What watchers see of an instance.
-pub(crate) fn bare(instance: &Instance) -> Instance {
+/// The instance without the fields that don't count as a change for watchers: the sequence
+/// rises with every announcement, and liveness is tracked separately.
+pub(crate) fn normalized(instance: &Instance) -> Instance {
     Instance {
         sequence: 0,
         warmup_ms: 0,
--- a/crates/registry/src/pack.rs
+++ b/crates/registry/src/pack.rs
@@ -1,8 +1,7 @@
-//! A whole list of instances or of entry hosts as few bytes.
+//! Compressed encoding of full lists of instances and entry hosts.
 //!
-//! Each entry process asks a hub for both when it has started, all of them at once after
-//! a restart of everything. Row by row 500 instances take 60 KB, a quarter of a second of
-//! a link of 2 Mbit/s. Packed they take a tenth.
+//! Every entry process fetches both lists when it starts, so after a full outage all of them do
+//! so at once. Compression keeps this from saturating slow links.
 
 use std::io;
 use std::io::Read;
@@ -18,72 +17,74 @@
 use wire::hub::Instance;
 use wire::hub::Instances;
 
-/// Most bytes that a list unpacks to: some hundred thousand instances.
-const MOST: u64 = 16 * 1024 * 1024;
+/// Maximum size of an unpacked list in bytes.
+const MAX_UNPACKED_BYTES: u64 = 16 * 1024 * 1024;
 
 quick_error! {
-    /// Why bytes are no packed list.
+    /// Errors of packing or unpacking a list.
     #[derive(Debug)]
     pub enum PackError {
-        /// They have another form.
-        Form(err: prost::DecodeError) {
+        /// The unpacked bytes are no valid message.
+        Decode(err: prost::DecodeError) {
             from()
             source(err)
-            display("packed list: {err}")
+            display("invalid packed list: {err}")
         }
-        /// They can't be packed or unpacked.
-        Pack(err: io::Error) {
+        /// The bytes can't be compressed or decompressed.
+        Compression(err: io::Error) {
             from()
             source(err)
-            display("packing: {err}")
+            display("could not compress or decompress list: {err}")
         }
     }
 }
 
-/// The list of instances as bytes.
+/// Packs a list of instances.
 ///
 /// # Errors
 ///
-/// Fails when it can't be packed.
+/// Fails if the list can't be compressed.
 pub fn pack(rows: Vec<Instance>) -> Result<Vec<u8>, PackError> {
     deflate(&Instances { rows })
 }
 
-/// The list that [`pack`] wrote.
+/// Unpacks a list packed by [`pack`].
 ///
 /// # Errors
 ///
-/// Fails on other bytes.
+/// Fails if `bytes` is no packed list.
 pub fn unpack(bytes: &[u8]) -> Result<Vec<Instance>, PackError> {
     Ok(Instances::decode(&*inflate(bytes)?)?.rows)
 }
 
-/// The list of entry hosts as bytes.
+/// Packs a list of entry hosts.
 ///
 /// # Errors
 ///
-/// Fails when it can't be packed.
+/// Fails if the list can't be compressed.
 pub fn pack_hosts(rows: Vec<EntryHost>) -> Result<Vec<u8>, PackError> {
     deflate(&EntryHosts { rows })
 }
 
-/// The list that [`pack_hosts`] wrote.
+/// Unpacks a list packed by [`pack_hosts`].
 ///
 /// # Errors
 ///
-/// Fails on other bytes.
+/// Fails if `bytes` is no packed list.
 pub fn unpack_hosts(bytes: &[u8]) -> Result<Vec<EntryHost>, PackError> {
     Ok(EntryHosts::decode(&*inflate(bytes)?)?.rows)
 }
 
 fn deflate(message: &impl Message) -> Result<Vec<u8>, PackError> {
-    let mut packed = ZlibEncoder::new(Vec::new(), Compression::fast());
-    packed.write_all(&message.encode_to_vec())?;
-    Ok(packed.finish()?)
+    let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
+    encoder.write_all(&message.encode_to_vec())?;
+    Ok(encoder.finish()?)
 }
 
 fn inflate(bytes: &[u8]) -> Result<Vec<u8>, PackError> {
     let mut plain = Vec::new();
-    ZlibDecoder::new(bytes).take(MOST).read_to_end(&mut plain)?;
+    ZlibDecoder::new(bytes)
+        .take(MAX_UNPACKED_BYTES)
+        .read_to_end(&mut plain)?;
     Ok(plain)
 }
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -1,8 +1,8 @@
-//! A pure state machine.
+//! The registry of announced instances: a pure state machine.
 //!
-//! Announcements come late, twice, and by way of several hubs. [`merge`] orders those
-//! of one id. Every change gets a number, so that a watcher asks for what is newer
-//! than the last number that it saw.
+//! Announcements may be delayed, duplicated and received from several hubs; [`merge`] orders
+//! those of one id. Changes are numbered, so that a watcher can ask for those after the last
+//! one that it has seen, its cursor.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,126 +18,124 @@
 use crate::merge::Merged;
 use crate::merge::merge;
 
-/// How long the id of an instance that has left is kept, so that a late
-/// announcement doesn't bring it back: well over the time for which a cut link delays one.
+/// How long a removed instance is retained, so that a delayed announcement doesn't bring it back.
 pub const TOMBSTONE_RETENTION: Duration = Duration::from_mins(10);
 
-/// What an announcement changed.
+/// The outcome of applying an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// Watchers are to learn of it.
+    /// The instance is new or has changed for watchers.
     Changed,
-    /// It said what was known.
+    /// Nothing has changed for watchers.
     Known,
-    /// It is older than what is known.
+    /// The announcement is outdated and was ignored.
     Stale,
-    /// It names no instance to use; nothing is kept of it.
+    /// The announcement is invalid and was ignored.
     Unusable,
 }
 
-/// What a watcher lacks.
+/// The changes since a cursor.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Delta {
     /// Instances that are new or have changed.
     pub instances: Vec<Instance>,
-    /// Of all others, those that are heard now and weren't, or the other way round.
+    /// Liveness of the other instances for which only that has changed.
     pub liveness: Vec<Hearing>,
 }
 
 #[derive(Clone, Debug)]
-struct Row {
+struct Record {
     instance: Instance,
-    /// The number of the last change of what watchers see of it.
+    /// The number of the last change other than of liveness.
     changed: u64,
-    /// The number of the last change of whether it is heard.
-    noticed: u64,
-    /// When it was last told of, by itself or by way of the log.
-    told: Moment,
-    /// When it last announced itself here, as long as that counts.
-    heard: Option<Moment>,
+    /// The number of the last change of liveness.
+    liveness_changed: u64,
+    /// When the last announcement was applied, received directly or from the log.
+    updated_at: Moment,
+    /// When the instance last announced itself to this hub; none if its lease has expired.
+    lease_renewed_at: Option<Moment>,
 }
 
-impl Row {
-    /// As watchers are told of it.
+impl Record {
     fn with_liveness(&self) -> Instance {
         Instance {
-            heard: self.heard.is_some(),
+            heard: self.lease_renewed_at.is_some(),
             ..self.instance.clone()
         }
     }
 
-    fn hearing(&self) -> Hearing {
+    fn liveness(&self) -> Hearing {
         Hearing {
             id: self.instance.id.clone(),
             incarnation: self.instance.incarnation,
-            heard: self.heard.is_some(),
+            heard: self.lease_renewed_at.is_some(),
         }
     }
 
-    fn moved(&self) -> u64 {
-        self.changed.max(self.noticed)
+    fn last_change(&self) -> u64 {
+        self.changed.max(self.liveness_changed)
     }
 }
 
 /// All announced instances.
 ///
-/// Rows are shared between copies: a replica that replays its log copies the registry
-/// with each announcement, as its readers hold the last one.
+/// Copies share their records, as a replica copies the registry for each announcement in its
+/// log while readers use the previous copy.
 ///
-/// Invariants: `cursor` is the highest number of a change of all rows there ever were,
-/// and `digest` is that of all rows.
+/// Invariants: `cursor` is the number of the last change, including those of records deleted
+/// since, and `digest` covers exactly the records.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     cursor: u64,
-    rows: BTreeMap<Arc<str>, Arc<Row>>,
+    records: BTreeMap<Arc<str>, Arc<Record>>,
     digest: Digest,
 }
 
 impl Registry {
-    /// Takes an announcement, heard by this hub or by another one.
+    /// Applies an announcement, received directly or through the log.
     pub fn apply(&mut self, now: Moment, instance: Instance) -> ApplyOutcome {
         if check(&instance).is_err() {
             return ApplyOutcome::Unusable;
         }
-        let Some(row) = self.rows.get_mut(&*instance.id) else {
+        let Some(record) = self.records.get_mut(&*instance.id) else {
             self.insert(now, instance);
             return ApplyOutcome::Changed;
         };
-        let (next, taken) = match merge(&row.instance, instance) {
+        let (next, outcome) = match merge(&record.instance, instance) {
             Merged::Stale => return ApplyOutcome::Stale,
             Merged::Known(next) => (next, ApplyOutcome::Known),
             Merged::Changed(next) => (next, ApplyOutcome::Changed),
         };
-        let row = Arc::make_mut(row);
-        row.told = now;
-        if next.incarnation != row.instance.incarnation {
-            row.heard = None;
+        let record = Arc::make_mut(record);
+        record.updated_at = now;
+        if next.incarnation != record.instance.incarnation {
+            record.lease_renewed_at = None;
         }
-        if taken == ApplyOutcome::Changed {
-            self.digest.remove(&row.instance);
+        if outcome == ApplyOutcome::Changed {
+            self.digest.remove(&record.instance);
             self.digest.add(&next);
             self.cursor += 1;
-            row.changed = self.cursor;
+            record.changed = self.cursor;
         }
-        row.instance = next;
-        taken
+        record.instance = next;
+        outcome
     }
 
     fn insert(&mut self, now: Moment, instance: Instance) {
         self.cursor += 1;
         self.digest.add(&instance);
-        let row = Row {
+        let record = Record {
             changed: self.cursor,
-            noticed: 0,
-            told: now,
-            heard: None,
+            liveness_changed: 0,
+            updated_at: now,
+            lease_renewed_at: None,
             instance,
         };
-        self.rows
-            .insert(row.instance.id.as_str().into(), row.into());
+        self.records
+            .insert(record.instance.id.as_str().into(), record.into());
     }
 
-    /// What the registry holds, for a copy to be compared with.
+    /// Digest of all instances, to compare copies of the registry.
     #[must_use]
     pub fn digest(&self) -> &Digest {
         &self.digest
@@ -149,101 +147,108 @@
         self.cursor
     }
 
-    /// What has changed after `cursor`, in whole rows.
+    /// The instances that have changed since `cursor`, in their data or liveness.
     #[must_use]
     pub fn changed_since(&self, cursor: u64) -> Vec<Instance> {
-        let newer = self.rows.values().filter(|row| row.moved() > cursor);
-        newer.map(|row| row.with_liveness()).collect()
+        let changed = self.records.values().filter(|r| r.last_change() > cursor);
+        changed.map(|r| r.with_liveness()).collect()
     }
 
-    /// The same in few bytes: rows only of what has changed but for being heard.
+    /// The changes since `cursor`, with the full instance only if more than liveness has changed.
     #[must_use]
     pub fn delta_since(&self, cursor: u64) -> Delta {
-        let newer = self.rows.values().filter(|row| row.changed > cursor);
-        let same = self.rows.values().filter(|row| row.changed <= cursor);
-        let noticed = same.filter(|row| row.noticed > cursor);
+        let changed = self.records.values().filter(|r| r.changed > cursor);
+        let unchanged = self.records.values().filter(|r| r.changed <= cursor);
+        let liveness_changed = unchanged.filter(|r| r.liveness_changed > cursor);
         Delta {
-            instances: newer.map(|row| row.with_liveness()).collect(),
-            liveness: noticed.map(|row| row.hearing()).collect(),
+            instances: changed.map(|r| r.with_liveness()).collect(),
+            liveness: liveness_changed.map(|r| r.liveness()).collect(),
         }
     }
 
-    /// Which instances are heard now and weren't at `cursor`, or the other way round.
+    /// The liveness of the instances for which it has changed since `cursor`.
     #[must_use]
     pub fn liveness_changed_since(&self, cursor: u64) -> Vec<Hearing> {
-        let noticed = self.rows.values().filter(|row| row.noticed > cursor);
-        noticed.map(|row| row.hearing()).collect()
+        let changed = self
+            .records
+            .values()
+            .filter(|r| r.liveness_changed > cursor);
+        changed.map(|r| r.liveness()).collect()
     }
 
-    /// The rows that may differ from those of a copy whose digest has `buckets`.
+    /// The instances that may differ from those of a copy whose digest has `buckets`.
     #[must_use]
     pub fn differing(&self, buckets: &[u64]) -> Vec<Instance> {
-        let rows = self.rows.values();
-        let differ = rows.filter(|row| self.digest.may_differ(&row.instance.id, buckets));
-        differ.map(|row| row.with_liveness()).collect()
+        let records = self.records.values();
+        let differing = records.filter(|r| self.digest.may_differ(&r.instance.id, buckets));
+        differing.map(|r| r.with_liveness()).collect()
     }
 
-    /// All instances as watchers are told of them.
+    /// All instances with their `heard` field set.
     #[must_use]
     pub fn all_with_liveness(&self) -> Vec<Instance> {
-        self.rows.values().map(|row| row.with_liveness()).collect()
+        self.records.values().map(|r| r.with_liveness()).collect()
     }
 
-    /// Notes that the instance has announced itself here, in the incarnation that is held.
+    /// Records that the instance has announced itself to this hub. An announcement of another
+    /// incarnation than the current one is ignored.
     pub fn renew_lease(&mut self, now: Moment, instance: &Instance) {
-        let Some(row) = self.rows.get_mut(&*instance.id) else {
+        let Some(record) = self.records.get_mut(&*instance.id) else {
             return;
         };
-        if row.instance.incarnation != instance.incarnation {
+        if record.instance.incarnation != instance.incarnation {
             return;
         }
-        let row = Arc::make_mut(row);
-        if row.heard.replace(now).is_none() {
+        let record = Arc::make_mut(record);
+        if record.lease_renewed_at.replace(now).is_none() {
             self.cursor += 1;
-            row.noticed = self.cursor;
+            record.liveness_changed = self.cursor;
         }
     }
 
-    /// Notes which instances haven't announced themselves here for `lease`.
+    /// Expires the leases of instances that haven't announced themselves to this hub for `lease`.
     pub fn expire_leases(&mut self, now: Moment, lease: Duration) {
-        for row in self.rows.values_mut() {
-            if row.heard.is_some_and(|at| now.since(at) >= lease) {
-                let row = Arc::make_mut(row);
-                row.heard = None;
+        for record in self.records.values_mut() {
+            if record
+                .lease_renewed_at
+                .is_some_and(|at| now.since(at) >= lease)
+            {
+                let record = Arc::make_mut(record);
+                record.lease_renewed_at = None;
                 self.cursor += 1;
-                row.noticed = self.cursor;
+                record.liveness_changed = self.cursor;
             }
         }
     }
 
-    /// One instance.
+    /// The instance with this id, if there is one.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Instance> {
-        self.rows.get(id).map(|row| &row.instance)
+        self.records.get(id).map(|r| &r.instance)
     }
 
-    /// All instances, those that left included, in the order of their ids.
+    /// All instances in the order of their ids, including removed ones that are still retained.
     pub fn all(&self) -> impl Iterator<Item = &Instance> {
-        self.rows.values().map(|row| &row.instance)
+        self.records.values().map(|r| &r.instance)
     }
 
-    /// Whether this is known of the instance already.
+    /// Whether applying the announcement would change nothing for watchers.
     #[must_use]
     pub fn is_known(&self, instance: &Instance) -> bool {
         self.get(&instance.id)
-            .is_some_and(|held| !matches!(merge(held, instance.clone()), Merged::Changed(_)))
+            .is_some_and(|current| !matches!(merge(current, instance.clone()), Merged::Changed(_)))
     }
 
-    /// Forgets ids that left long ago.
+    /// Deletes instances that were removed [`TOMBSTONE_RETENTION`] ago.
     pub fn remove_expired(&mut self, now: Moment) {
         let digest = &mut self.digest;
-        self.rows.retain(|_, row| {
-            let kept =
-                row.instance.phase() != Phase::Gone || now.since(row.told) < TOMBSTONE_RETENTION;
-            if !kept {
-                digest.remove(&row.instance);
+        self.records.retain(|_, r| {
+            let retained =
+                r.instance.phase() != Phase::Gone || now.since(r.updated_at) < TOMBSTONE_RETENTION;
+            if !retained {
+                digest.remove(&r.instance);
             }
-            kept
+            retained
         });
     }
 }
--- a/crates/registry/tests/test_digest.rs
+++ b/crates/registry/tests/test_digest.rs
@@ -1,4 +1,4 @@
-//! Copies of a registry that are compared by their digests.
+//! Comparing copies of a registry by their digests.
 
 use base::prelude::*;
 use quickcheck::quickcheck;
@@ -10,9 +10,9 @@
 
 const NOW: Moment = Moment::from_millis(1);
 
-/// An announcement of one of twenty instances. Each is ready, then drains, then leaves,
-/// and numbers what it says.
-fn announced((id, sequence, phase): (u8, u8, u8)) -> Instance {
+/// An announcement of one of twenty instances. An instance is first ready, then drains and is
+/// then gone.
+fn announcement((id, sequence, phase): (u8, u8, u8)) -> Instance {
     let (phase, sequence) = match phase % 6 {
         0 => (Phase::Gone, 0),
         1 => (Phase::Draining, 256 + u64::from(sequence)),
@@ -34,32 +34,33 @@
 fn registry(steps: &[(u8, u8, u8)]) -> Registry {
     let mut registry = Registry::default();
     for step in steps {
-        registry.apply(NOW, announced(*step));
+        registry.apply(NOW, announcement(*step));
     }
     registry
 }
 
-/// What is held of each instance.
-fn held(registry: &Registry) -> Vec<(String, String, i32)> {
-    let rows = registry.all();
-    rows.map(|i| (i.id.clone(), i.address.clone(), i.phase))
+/// The id, address and phase of each instance.
+fn contents(registry: &Registry) -> Vec<(String, String, i32)> {
+    let instances = registry.all();
+    instances
+        .map(|i| (i.id.clone(), i.address.clone(), i.phase))
         .collect()
 }
 
 quickcheck! {
-    /// Equal digests mean that the same is held, whatever the order of announcements.
-    fn prop_digest_is_equal_where_the_same_is_held(
+    /// Two copies have equal digests if and only if they have equal contents, whatever the order
+    /// of announcements.
+    fn prop_digest_is_equal_for_equal_contents(
         one: Vec<(u8, u8, u8)>,
         other: Vec<(u8, u8, u8)>
     ) -> bool {
         let (one, other) = (registry(&one), registry(&other));
         let same = one.digest() == other.digest();
-        same == (held(&one) == held(&other))
+        same == (contents(&one) == contents(&other))
     }
 
-    /// After it has taken the rows that may differ, a copy holds at least what the other
-    /// one does, and asked the other way round both hold the same.
-    fn prop_digest_rows_that_differ_bring_a_copy_up_to_date(
+    /// Copies that exchange their differing instances in both directions become equal.
+    fn prop_digest_differing_instances_make_copies_equal(
         shared: Vec<(u8, u8, u8)>,
         one: Vec<(u8, u8, u8)>,
         other: Vec<(u8, u8, u8)>
@@ -72,13 +73,13 @@
         for instance in one.differing(other.digest().buckets()) {
             other.apply(NOW, instance);
         }
-        held(&one) == held(&other) && one.digest() == other.digest()
+        contents(&one) == contents(&other) && one.digest() == other.digest()
     }
 
-    /// A digest follows changes to what one over all rows is.
-    fn prop_digest_follows_every_change(steps: Vec<(u8, u8, u8)>, forgets: bool) -> bool {
+    /// The incrementally updated digest equals one computed from all instances.
+    fn prop_digest_matches_recomputed_digest(steps: Vec<(u8, u8, u8)>, removes: bool) -> bool {
         let mut registry = registry(&steps);
-        if forgets {
+        if removes {
             registry.remove_expired(NOW + TOMBSTONE_RETENTION);
         }
         let mut fresh = Digest::default();
@@ -89,23 +90,23 @@
     }
 }
 
-/// One change among 900 instances costs a small part of all rows.
+/// A single change must not make a copy fetch most of the instances.
 #[test]
-fn test_digest_one_change_sends_few_rows() {
-    let rows = (0..900_u32).map(|i| Instance {
+fn test_digest_one_change_sends_few_instances() {
+    let instances = (0..900_u32).map(|i| Instance {
         id: format!("i-{i:06}"),
-        ..announced((0, 1, 2))
+        ..announcement((0, 1, 2))
     });
     let mut registry = Registry::default();
-    for row in rows.clone() {
-        registry.apply(NOW, row);
+    for instance in instances.clone() {
+        registry.apply(NOW, instance);
     }
     let before = registry.digest().clone();
     assert!(registry.differing(before.buckets()).is_empty());
     let drained = Instance {
         phase: Phase::Draining.into(),
         sequence: 256,
-        ..rows.clone().next().expect("one")
+        ..instances.clone().next().expect("one")
     };
     registry.apply(NOW, drained.clone());
     let differing = registry.differing(before.buckets());
@@ -115,7 +116,7 @@
             .any(|i| i.id == drained.id && i.phase() == Phase::Draining)
     );
     assert!(differing.len() <= 30, "{} rows", differing.len());
-    // Being heard is no part of it.
+    // Liveness is not part of the digest.
     let after = registry.digest().total();
     registry.renew_lease(NOW, &drained);
     assert_eq!(registry.digest().total(), after);
--- a/crates/registry/tests/test_registry.rs
+++ b/crates/registry/tests/test_registry.rs
@@ -1,4 +1,4 @@
-//! Announcements that come late, twice, and out of order.
+//! Applying delayed, duplicated and reordered announcements.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A notice of leaving names nothing but the id.
+/// An announcement with phase `Gone` has no field but the id.
 fn gone() -> Instance {
     Instance {
         id: "i-1".into(),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn test_registry_takes_what_is_new_and_ignores_what_is_old() {
+fn test_registry_applies_new_and_ignores_old_announcements() {
     let cases = [
         (
             "first",
@@ -70,25 +70,25 @@
             Phase::Draining,
         ),
         (
-            "leaving without a drain",
+            "gone without a drain",
             vec![at(1, Phase::Ready), gone()],
             ApplyOutcome::Changed,
             Phase::Gone,
         ),
         (
-            "leaving twice",
+            "gone twice",
             vec![at(1, Phase::Ready), gone(), gone()],
             ApplyOutcome::Known,
             Phase::Gone,
         ),
         (
-            "late heartbeat after leaving",
+            "late heartbeat after gone",
             vec![at(1, Phase::Ready), gone(), at(9, Phase::Ready)],
             ApplyOutcome::Stale,
             Phase::Gone,
         ),
         (
-            "leaving before it was ever announced",
+            "gone before the first announcement",
             vec![gone(), at(1, Phase::Ready)],
             ApplyOutcome::Stale,
             Phase::Gone,
@@ -96,14 +96,15 @@
     ];
     for (name, steps, expected, last) in cases {
         let mut registry = Registry::default();
-        let taken: Vec<ApplyOutcome> = steps.into_iter().map(|i| registry.apply(NOW, i)).collect();
-        assert_eq!(taken.last(), Some(&expected), "{name}");
+        let outcomes: Vec<ApplyOutcome> =
+            steps.into_iter().map(|i| registry.apply(NOW, i)).collect();
+        assert_eq!(outcomes.last(), Some(&expected), "{name}");
         assert_eq!(phase(&registry), Some(last), "{name}");
     }
 }
 
 #[test]
-fn test_registry_tells_what_changed_since() {
+fn test_registry_returns_changes_since_cursor() {
     let mut registry = Registry::default();
     registry.apply(NOW, at(1, Phase::Ready));
     let seen = registry.cursor();
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn test_registry_holds_what_it_was_told() {
+fn test_registry_knows_applied_announcements() {
     let mut registry = Registry::default();
     assert!(!registry.is_known(&at(1, Phase::Ready)));
     registry.apply(NOW, at(1, Phase::Ready));
@@ -125,8 +126,8 @@
     assert!(registry.is_known(&gone()));
 }
 
-/// An announcement of a later or earlier start under the same id.
-fn life(incarnation: u64, sequence: u64, phase: Phase) -> Instance {
+/// An announcement of an incarnation.
+fn of_incarnation(incarnation: u64, sequence: u64, phase: Phase) -> Instance {
     Instance {
         incarnation,
         ..at(sequence, phase)
@@ -141,69 +142,78 @@
     let cases = [
         (
             "sequence starts anew",
-            vec![life(1, 9, Ready), life(2, 1, Ready)],
+            vec![of_incarnation(1, 9, Ready), of_incarnation(2, 1, Ready)],
             ApplyOutcome::Changed,
             (2, Ready),
         ),
         (
             "after a drain",
-            vec![life(1, 9, Draining), life(2, 1, Ready)],
+            vec![of_incarnation(1, 9, Draining), of_incarnation(2, 1, Ready)],
             ApplyOutcome::Changed,
             (2, Ready),
         ),
         (
-            "after it left",
-            vec![life(1, 9, Ready), life(1, 0, Gone), life(2, 1, Ready)],
+            "after it is gone",
+            vec![
+                of_incarnation(1, 9, Ready),
+                of_incarnation(1, 0, Gone),
+                of_incarnation(2, 1, Ready),
+            ],
             ApplyOutcome::Changed,
             (2, Ready),
         ),
         (
-            "late call of the earlier one",
-            vec![life(2, 1, Ready), life(1, 9, Draining)],
+            "late announcement of the earlier one",
+            vec![of_incarnation(2, 1, Ready), of_incarnation(1, 9, Draining)],
             ApplyOutcome::Stale,
             (2, Ready),
         ),
         (
-            "late notice of the earlier one",
-            vec![life(2, 1, Ready), life(1, 0, Gone)],
+            "earlier one gone late",
+            vec![of_incarnation(2, 1, Ready), of_incarnation(1, 0, Gone)],
             ApplyOutcome::Stale,
             (2, Ready),
         ),
         (
-            "notice that names none",
-            vec![life(2, 1, Ready), gone()],
+            "gone without incarnation",
+            vec![of_incarnation(2, 1, Ready), gone()],
             ApplyOutcome::Changed,
             (2, Gone),
         ),
         (
-            "announcement that names none",
-            vec![life(2, 1, Ready), at(9, Draining)],
+            "announcement without incarnation",
+            vec![of_incarnation(2, 1, Ready), at(9, Draining)],
             ApplyOutcome::Stale,
             (2, Ready),
         ),
         (
-            "one that names itself after one that did not",
-            vec![at(9, Draining), life(1, 1, Ready)],
+            "incarnation after none",
+            vec![at(9, Draining), of_incarnation(1, 1, Ready)],
             ApplyOutcome::Changed,
             (1, Ready),
         ),
         (
-            "notice of the later one first",
-            vec![life(1, 9, Ready), life(2, 0, Gone), life(2, 1, Ready)],
+            "later one gone first",
+            vec![
+                of_incarnation(1, 9, Ready),
+                of_incarnation(2, 0, Gone),
+                of_incarnation(2, 1, Ready),
+            ],
             ApplyOutcome::Stale,
             (2, Gone),
         ),
     ];
     for (name, steps, expected, last) in cases {
         let mut registry = Registry::default();
-        let taken: Vec<ApplyOutcome> = steps.into_iter().map(|i| registry.apply(NOW, i)).collect();
-        assert_eq!(taken.last(), Some(&expected), "{name}");
-        let held = registry.get("i-1").expect("a row");
-        assert_eq!((held.incarnation, held.phase()), last, "{name}");
+        let outcomes: Vec<ApplyOutcome> =
+            steps.into_iter().map(|i| registry.apply(NOW, i)).collect();
+        assert_eq!(outcomes.last(), Some(&expected), "{name}");
+        let instance = registry.get("i-1").expect("an instance");
+        assert_eq!((instance.incarnation, instance.phase()), last, "{name}");
     }
 }
 
-/// The same id with another service is another writer's.
+/// An announcement must not move an instance to another service.
 #[test]
 fn test_registry_instance_stays_with_its_service() {
     let mut registry = Registry::default();
@@ -217,7 +227,7 @@
 }
 
 #[test]
-fn test_registry_takes_nothing_that_can_not_be_used() {
+fn test_registry_ignores_invalid_announcements() {
     let ready = at(1, Phase::Ready);
     let address = |text: &str| Instance {
         address: text.into(),
@@ -232,7 +242,7 @@
             },
         ),
         (
-            "id that is no name",
+            "invalid id",
             Instance {
                 id: "a b".into(),
                 ..ready.clone()
@@ -256,7 +266,7 @@
         ("address without a port", address("127.0.0.1")),
         ("port 0", address("127.0.0.1:0")),
         ("host name", address("localhost:80")),
-        ("anywhere", address("0.0.0.0:80")),
+        ("unspecified address", address("0.0.0.0:80")),
         (
             "no slot",
             Instance {
@@ -279,7 +289,7 @@
             },
         ),
         (
-            "odd phase",
+            "unknown phase",
             Instance {
                 phase: 17,
                 ..ready.clone()
@@ -300,18 +310,17 @@
 }
 
 quickcheck! {
-    /// Whatever comes in whatever order, the incarnation never goes back, a phase only
-    /// with a later incarnation, and all who heard the same agree on the incarnation,
-    /// and that it has left once it says so.
+    /// In any order of announcements, the incarnation never goes back and the phase only with a
+    /// later incarnation, and opposite orders agree on the incarnation and on `Gone`.
     fn prop_registry_incarnations_rise_and_agree(steps: Vec<(u8, u8, u8)>) -> bool {
         let announcements: Vec<Instance> = steps
             .iter()
             .map(|(incarnation, sequence, phase)| {
                 let incarnation = u64::from(incarnation % 4) + 1;
                 match phase % 8 {
-                    0 => life(incarnation, 0, Phase::Gone),
-                    1 => life(incarnation, (*sequence).into(), Phase::Draining),
-                    _ => life(incarnation, (*sequence).into(), Phase::Ready),
+                    0 => of_incarnation(incarnation, 0, Phase::Gone),
+                    1 => of_incarnation(incarnation, (*sequence).into(), Phase::Draining),
+                    _ => of_incarnation(incarnation, (*sequence).into(), Phase::Ready),
                 }
             })
             .collect();
@@ -330,18 +339,18 @@
             backward.apply(NOW, announcement.clone());
         }
         let newest = announcements.iter().map(|i| i.incarnation).max().unwrap_or_default();
-        let left = announcements.contains(&life(newest, 0, Phase::Gone));
+        let is_gone = announcements.contains(&of_incarnation(newest, 0, Phase::Gone));
         let last = |registry: &Registry| registry.get("i-1").map(|i| (i.incarnation, i.phase()));
         let agree = [&forward, &backward].iter().all(|registry| {
             last(registry).is_none_or(|(incarnation, phase)| {
-                incarnation == newest && (phase == Phase::Gone) == left
+                incarnation == newest && (phase == Phase::Gone) == is_gone
             })
         });
         agree && forward.all().count() == usize::from(!steps.is_empty())
     }
 
-    /// Whatever comes in whatever order, a phase never goes back, and two hubs that
-    /// heard the same announcements agree on it.
+    /// In any order of announcements, the phase never goes back, and opposite orders agree on
+    /// `Gone`.
     fn prop_registry_phases_rise_and_agree(steps: Vec<(u8, u8)>) -> TestResult {
         if steps.is_empty() {
             return TestResult::discard();
@@ -368,15 +377,15 @@
         for announcement in announcements.iter().rev() {
             backward.apply(NOW, announcement.clone());
         }
-        let left = announcements.contains(&gone());
+        let is_gone = announcements.contains(&gone());
         let agree = phase(&forward) == phase(&backward);
-        TestResult::from_bool(!left || agree)
+        TestResult::from_bool(!is_gone || agree)
     }
 }
 
 #[test]
-fn test_registry_whole_list_takes_a_tenth_of_its_rows() {
-    let rows: Vec<Instance> = (0..500_u32)
+fn test_registry_packed_list_is_small() {
+    let instances: Vec<Instance> = (0..500_u32)
         .map(|i| Instance {
             id: format!(
                 "i-{:010x}",
@@ -388,43 +397,42 @@
             ..at(1, Phase::Ready)
         })
         .collect();
-    let packed = pack(rows.clone()).expect("packs");
+    let packed = pack(instances.clone()).expect("packs");
     assert!(packed.len() < 13_000, "{} bytes", packed.len());
-    assert_eq!(unpack(&packed).expect("unpacks"), rows);
+    assert_eq!(unpack(&packed).expect("unpacks"), instances);
     assert!(unpack(&packed[..packed.len() / 2]).is_err());
     assert!(unpack(b"other").is_err());
 }
 
-/// Told of by the log, heard, silent for a lease, heard again; each is a change that
-/// watchers learn of, and none is one of what is known of it.
+/// Renewed and expired leases must reach watchers without counting as changed instances.
 #[test]
-fn test_registry_tells_which_instances_were_heard() {
+fn test_registry_tracks_liveness_by_lease() {
     const LEASE: Duration = Duration::from_secs(5);
     let later = |secs| NOW + Duration::from_secs(secs);
     let mut registry = Registry::default();
-    let ready = life(1, 3, Phase::Ready);
+    let ready = of_incarnation(1, 3, Phase::Ready);
     registry.apply(NOW, ready.clone());
-    let heard = |registry: &Registry| registry.all_with_liveness().iter().all(|i| i.heard);
-    assert!(!heard(&registry));
+    let live = |registry: &Registry| registry.all_with_liveness().iter().all(|i| i.heard);
+    assert!(!live(&registry));
     let seen = registry.cursor();
     registry.renew_lease(NOW, &ready);
-    assert!(heard(&registry) && registry.changed_since(seen).len() == 1);
+    assert!(live(&registry) && registry.changed_since(seen).len() == 1);
     let seen = registry.cursor();
     registry.renew_lease(later(4), &ready);
     registry.expire_leases(later(8), LEASE);
-    assert!(heard(&registry) && registry.changed_since(seen).is_empty());
+    assert!(live(&registry) && registry.changed_since(seen).is_empty());
     registry.expire_leases(later(9), LEASE);
-    assert!(!heard(&registry) && registry.changed_since(seen).len() == 1);
-    // A late call of an earlier start isn't a sign of life.
-    registry.renew_lease(later(9), &life(0, 9, Phase::Ready));
-    assert!(!heard(&registry));
+    assert!(!live(&registry) && registry.changed_since(seen).len() == 1);
+    // An announcement of an earlier incarnation doesn't renew the lease.
+    registry.renew_lease(later(9), &of_incarnation(0, 9, Phase::Ready));
+    assert!(!live(&registry));
     registry.renew_lease(later(10), &ready);
-    assert!(heard(&registry));
-    // The next start has yet to be heard.
-    registry.apply(later(11), life(2, 1, Phase::Ready));
-    assert!(!heard(&registry));
+    assert!(live(&registry));
+    // The lease doesn't carry over to the next incarnation.
+    registry.apply(later(11), of_incarnation(2, 1, Phase::Ready));
+    assert!(!live(&registry));
     assert_eq!(
-        registry.apply(later(11), life(2, 2, Phase::Ready)),
+        registry.apply(later(11), of_incarnation(2, 2, Phase::Ready)),
         ApplyOutcome::Known
     );
 }
