--- a/crates/table/src/check.rs
+++ b/crates/table/src/check.rs
@@ -1,4 +1,4 @@
-//! What makes a table invalid; every fault is reported at once.
+//! Validation of route tables. All faults are reported together.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -11,52 +11,55 @@
 use crate::model::Table;
 use crate::model::Target;
 
-/// Longest timeout of a route.
+/// Maximum timeout of a route.
 pub const MAX_TIMEOUT: Duration = Duration::from_mins(10);
 
-/// What is wrong with a route.
+/// Why a route is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Problem {
-    /// It names a service that the table lacks.
+    /// The target is a service that is not in the table.
     UnknownService(ServiceName),
-    /// Another route has its host and prefix.
-    SamePlace,
-    /// The weights of its split add up to nothing.
+    /// Another route has the same host and prefix.
+    DuplicatePrefix,
+    /// The weights of the target add up to 0.
     NoWeight,
-    /// Its timeout is over [`MAX_TIMEOUT`].
-    LongTimeout(Duration),
-    /// Its timeout leaves no time for any answer.
-    NoTimeout,
-    /// It may be sent to no instance.
+    /// The timeout exceeds [`MAX_TIMEOUT`].
+    TimeoutTooLong(Duration),
+    /// The timeout is 0.
+    ZeroTimeout,
+    /// The number of attempts is 0.
     NoAttempts,
-    /// Its prefix doesn't begin and end with a slash.
-    Prefix,
+    /// The prefix doesn't begin and end with a slash.
+    InvalidPrefix,
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::UnknownService(name) => write!(f, "service {name} is not in the table"),
-            Self::SamePlace => f.write_str("another route has the same host and prefix"),
+            Self::DuplicatePrefix => f.write_str("another route has the same host and prefix"),
             Self::NoWeight => f.write_str("the weights add up to 0"),
-            Self::LongTimeout(found) => {
-                write!(f, "the timeout {found:?} is over {MAX_TIMEOUT:?}")
+            Self::TimeoutTooLong(timeout) => {
+                write!(
+                    f,
+                    "the timeout {timeout:?} exceeds the maximum of {MAX_TIMEOUT:?}"
+                )
             }
-            Self::NoTimeout => f.write_str("the timeout is 0"),
+            Self::ZeroTimeout => f.write_str("the timeout is 0"),
             Self::NoAttempts => f.write_str("0 attempts; at least 1 is needed"),
-            Self::Prefix => f.write_str("the prefix must begin and end with a slash"),
+            Self::InvalidPrefix => f.write_str("the prefix must begin and end with a slash"),
         }
     }
 }
 
-/// One fault and where it is.
+/// A fault and the route that has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// The route's host.
     pub host: Arc<str>,
     /// The route's prefix.
     pub prefix: Arc<str>,
-    /// What is wrong.
+    /// Why the route is invalid.
     pub problem: Problem,
 }
 
@@ -66,17 +69,17 @@
     }
 }
 
-/// All faults of `table`, none when it is valid.
+/// Returns all faults of `table`; none if it is valid.
 #[must_use]
 pub fn check(table: &Table) -> Vec<Fault> {
     let services: HashSet<&ServiceName> = table.services.iter().map(|s| &s.name).collect();
-    let mut places = HashSet::new();
+    let mut prefixes = HashSet::new();
     let mut faults = Vec::new();
     for host in &table.hosts {
         for route in &host.routes {
             let mut problems = check_route(route, &services);
-            if !places.insert((&host.name, &route.prefix)) {
-                problems.push(Problem::SamePlace);
+            if !prefixes.insert((&host.name, &route.prefix)) {
+                problems.push(Problem::DuplicatePrefix);
             }
             faults.extend(problems.into_iter().map(|problem| Fault {
                 host: Arc::clone(&host.name),
@@ -97,16 +100,16 @@
         problems.push(Problem::NoWeight);
     }
     if let Some(timeout) = route.timeout.filter(|t| *t > MAX_TIMEOUT) {
-        problems.push(Problem::LongTimeout(timeout));
+        problems.push(Problem::TimeoutTooLong(timeout));
     }
     if route.timeout.is_some_and(|timeout| timeout.is_zero()) {
-        problems.push(Problem::NoTimeout);
+        problems.push(Problem::ZeroTimeout);
     }
     if route.attempts == 0 {
         problems.push(Problem::NoAttempts);
     }
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-        problems.push(Problem::Prefix);
+        problems.push(Problem::InvalidPrefix);
     }
     problems
 }
--- a/crates/table/src/codec.rs
+++ b/crates/table/src/codec.rs
@@ -1,7 +1,6 @@
-//! A table as bytes, for the replicated log and between processes.
+//! The encoding of tables in the replicated log and between processes: compressed JSON.
 //!
-//! Compressed JSON. Tables go to every entry host, whose links are narrow: 1,440
-//! routes take 400 KB without compression, which is over a second of 2.3 Mbit/s.
+//! Every entry host fetches the full table, so compression saves bandwidth on slow links.
 
 use std::io;
 use std::io::Read;
@@ -14,48 +13,49 @@
 
 use crate::model::Table;
 
-/// Longest JSON of a table in bytes: some hundred thousand routes. Bytes that
-/// unpack to more are no table.
-const MOST: u64 = 32 * 1024 * 1024;
+/// Maximum size of the JSON of a table in bytes. Longer JSON is cut off and fails to parse.
+const MAX_JSON_BYTES: u64 = 32 * 1024 * 1024;
 
 quick_error! {
-    /// Why bytes are no table.
+    /// Errors of encoding or decoding a table.
     #[derive(Debug)]
     pub enum CodecError {
-        /// They have another form.
-        Form(err: serde_json::Error) {
+        /// The JSON is no valid table.
+        Json(err: serde_json::Error) {
             from()
             source(err)
-            display("route table: {err}")
+            display("invalid route table: {err}")
         }
-        /// They can't be packed or unpacked.
-        Pack(err: io::Error) {
+        /// The bytes can't be compressed or decompressed.
+        Compression(err: io::Error) {
             from()
             source(err)
-            display("packed route table: {err}")
+            display("could not compress or decompress route table: {err}")
         }
     }
 }
 
-/// The table as bytes; equal tables give equal bytes.
+/// Encodes a table. Equal tables have equal encodings.
 ///
 /// # Errors
 ///
-/// Fails when a value can't be written.
+/// Fails if the table can't be serialized or compressed.
 pub fn encode(table: &Table) -> Result<Vec<u8>, CodecError> {
     let json = serde_json::to_vec(table)?;
-    let mut packed = ZlibEncoder::new(Vec::new(), Compression::default());
-    packed.write_all(&json)?;
-    Ok(packed.finish()?)
+    let mut encoder = ZlibEncoder::new(Vec::new(), Compression::default());
+    encoder.write_all(&json)?;
+    Ok(encoder.finish()?)
 }
 
-/// The table that [`encode`] wrote.
+/// Decodes a table encoded by [`encode`].
 ///
 /// # Errors
 ///
-/// Fails on other bytes.
+/// Fails if `bytes` is no encoded table.
 pub fn decode(bytes: &[u8]) -> Result<Table, CodecError> {
     let mut json = Vec::new();
-    ZlibDecoder::new(bytes).take(MOST).read_to_end(&mut json)?;
+    ZlibDecoder::new(bytes)
+        .take(MAX_JSON_BYTES)
+        .read_to_end(&mut json)?;
     Ok(serde_json::from_slice(&json)?)
 }
--- a/crates/table/src/file.rs
+++ b/crates/table/src/file.rs
@@ -1,4 +1,4 @@
-//! A table in INI, as operators write and read it.
+//! The INI format of a table for operators.
 //!
 //! ```ini
 //! [table]
@@ -49,9 +49,9 @@
 const SERVICE: &str = "service ";
 const ROUTE: &str = "route ";
 
-struct Word(Kind);
+struct KindValue(Kind);
 
-impl conf::Value for Word {
+impl conf::Value for KindValue {
     const FORM: &'static str = "idempotent or once";
 
     fn read(text: &str) -> Option<Self> {
@@ -59,9 +59,9 @@
     }
 }
 
-struct Share(WeightedService);
+struct TargetValue(WeightedService);
 
-impl conf::Value for Share {
+impl conf::Value for TargetValue {
     const FORM: &'static str = "service, or service:weight";
 
     fn read(text: &str) -> Option<Self> {
@@ -74,9 +74,9 @@
     }
 }
 
-struct Text(Arc<str>);
+struct TextValue(Arc<str>);
 
-impl conf::Value for Text {
+impl conf::Value for TextValue {
     const FORM: &'static str = "text";
 
     fn read(text: &str) -> Option<Self> {
@@ -84,11 +84,11 @@
     }
 }
 
-/// Reads a table; what only [`crate::check()`] sees is not looked at.
+/// Reads a table without the validation of [`crate::check()`].
 ///
 /// # Errors
 ///
-/// Fails with every fault of the file.
+/// Fails with all faults of the file.
 pub fn read(mut reader: Reader) -> Result<Table, ConfError> {
     let r = &mut reader;
     let version = r.required(TABLE, "version").unwrap_or_default();
@@ -98,10 +98,10 @@
     for section in r.sections() {
         if let Some(name) = section.strip_prefix(SERVICE) {
             services.extend(read_service(r, &section, name));
-        } else if let Some(place) = section.strip_prefix(ROUTE)
-            && let Some((host, route)) = read_route(r, &section, place)
+        } else if let Some(host_and_prefix) = section.strip_prefix(ROUTE)
+            && let Some((host, route)) = read_route(r, &section, host_and_prefix)
         {
-            add(&mut hosts, host, route);
+            add_route(&mut hosts, host, route);
         }
     }
     reader.finish()?;
@@ -113,7 +113,7 @@
     })
 }
 
-fn add(hosts: &mut Vec<Host>, name: &str, route: Route) {
+fn add_route(hosts: &mut Vec<Host>, name: &str, route: Route) {
     match hosts.iter_mut().find(|h| &*h.name == name) {
         Some(host) => host.routes.push(route),
         None => hosts.push(Host {
@@ -124,19 +124,19 @@
 }
 
 fn read_limits(r: &mut Reader) -> Limits {
-    let preset = Limits::default();
-    let header = Bytes(preset.header_bytes as u64);
+    let defaults = Limits::default();
+    let header = Bytes(defaults.header_bytes as u64);
     let header = r.or(LIMITS, "header-bytes", header).0;
     Limits {
         header_bytes: usize::try_from(header).unwrap_or(usize::MAX),
-        body_bytes: r.or(LIMITS, "body-bytes", Bytes(preset.body_bytes)).0,
-        header_timeout: r.or(LIMITS, "header-timeout", preset.header_timeout),
-        idle_timeout: r.or(LIMITS, "idle-timeout", preset.idle_timeout),
+        body_bytes: r.or(LIMITS, "body-bytes", Bytes(defaults.body_bytes)).0,
+        header_timeout: r.or(LIMITS, "header-timeout", defaults.header_timeout),
+        idle_timeout: r.or(LIMITS, "idle-timeout", defaults.idle_timeout),
     }
 }
 
 fn read_service(r: &mut Reader, section: &str, name: &str) -> Option<Service> {
-    let health = r.required(section, "health").map(|Text(path)| path);
+    let health = r.required(section, "health").map(|TextValue(path)| path);
     let connections = r.required(section, "connections");
     let cold = read_cold(r, section);
     let Ok(name) = ServiceName::new(name) else {
@@ -168,23 +168,27 @@
     }
 }
 
-fn read_route<'a>(r: &mut Reader, section: &str, place: &'a str) -> Option<(&'a str, Route)> {
-    let name = r.or(section, "name", Text(place.into())).0;
-    let kind = r.required(section, "kind").map(|Word(kind)| kind);
+fn read_route<'a>(
+    r: &mut Reader,
+    section: &str,
+    host_and_prefix: &'a str,
+) -> Option<(&'a str, Route)> {
+    let name = r.or(section, "name", TextValue(host_and_prefix.into())).0;
+    let kind = r.required(section, "kind").map(|KindValue(kind)| kind);
     let timeout: Option<Duration> = r.optional(section, "timeout");
     let aim: Option<Duration> = r.optional(section, "aim");
     let priority = r.or(section, "priority", 0);
     let attempts = r.or(section, "attempts", 1);
-    let parts: Vec<Share> = r.list(section, "target");
-    let Some(slash) = place.find('/') else {
+    let services: Vec<TargetValue> = r.list(section, "target");
+    let Some(slash) = host_and_prefix.find('/') else {
         let form = "host and path prefix, such as example.org/status/";
-        r.fault(section, "", Problem::Form(place.into()), form);
+        r.fault(section, "", Problem::Form(host_and_prefix.into()), form);
         return None;
     };
-    if parts.is_empty() {
+    if services.is_empty() {
         r.fault(section, "target", Problem::Missing, "services by commas");
     }
-    let (host, prefix) = place.split_at(slash);
+    let (host, prefix) = host_and_prefix.split_at(slash);
     let route = Route {
         name,
         prefix: prefix.into(),
@@ -193,24 +197,28 @@
         aim,
         priority,
         attempts,
-        target: target(parts)?,
+        target: target(services)?,
     };
     Some((host, route))
 }
 
-fn target(mut parts: Vec<Share>) -> Option<Target> {
-    match parts.len() {
+fn target(mut services: Vec<TargetValue>) -> Option<Target> {
+    match services.len() {
         0 => None,
-        1 => parts.pop().map(|Share(part)| Target::Service(part.service)),
-        _ => Some(Target::Split(parts.into_iter().map(|Share(p)| p).collect())),
+        1 => services
+            .pop()
+            .map(|TargetValue(weighted)| Target::Service(weighted.service)),
+        _ => Some(Target::Split(
+            services.into_iter().map(|TargetValue(s)| s).collect(),
+        )),
     }
 }
 
-/// The table as INI, which [`read`] reads again.
+/// Writes a table as INI, to be read by [`read`].
 #[must_use]
 pub fn write(table: &Table) -> String {
     let mut text = String::new();
-    // Writing to a string fails for no reason of its own.
+    // Writing to a string never fails.
     let _ = write_all(&mut text, table);
     text
 }
@@ -258,9 +266,11 @@
     writeln!(out, "attempts = {}", route.attempts)?;
     let target = match &route.target {
         Target::Service(name) => name.to_string(),
-        Target::Split(parts) => {
-            let parts = parts.iter().map(|p| format!("{}:{}", p.service, p.weight));
-            parts.collect::<Vec<_>>().join(", ")
+        Target::Split(services) => {
+            let shares = services
+                .iter()
+                .map(|s| format!("{}:{}", s.service, s.weight));
+            shares.collect::<Vec<_>>().join(", ")
         }
     };
     writeln!(out, "target = {target}")
--- a/crates/table/src/index.rs
+++ b/crates/table/src/index.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request.
+//! Selection of the route for a request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,16 +6,16 @@
 use crate::model::Route;
 use crate::model::Table;
 
-/// A table arranged for look-ups by host and path.
+/// An index of the routes by host and path.
 ///
-/// Invariant: the routes of a host stand with longer prefixes first.
+/// Invariant: the routes of a host are sorted by the length of the prefix, longest first.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     hosts: HashMap<Arc<str>, Vec<Arc<Route>>>,
 }
 
 impl Index {
-    /// Arranges `table`.
+    /// Builds the index of `table`.
     #[must_use]
     pub fn new(table: &Table) -> Self {
         let mut hosts: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
@@ -29,14 +29,14 @@
         Self { hosts }
     }
 
-    /// The route with the longest prefix of `path` among those of `host`.
+    /// The route of `host` with the longest prefix that matches `path`.
     #[must_use]
     pub fn select(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.hosts.get(host)?;
         routes.iter().find(|r| path.starts_with(&*r.prefix))
     }
 
-    /// All host names.
+    /// The names of all hosts that have routes.
     pub fn hosts(&self) -> impl Iterator<Item = &Arc<str>> {
         self.hosts.keys()
     }
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,8 +1,8 @@
 //! The route table: which requests go to which services, and how they are treated.
 //!
-//! A table is accepted or refused whole, under a version that only rises. A
-//! request's host and the longest prefix of its path select a route; the route
-//! names a service, or several with weights.
+//! A table is accepted or refused as a whole, and its version only increases. The host of a
+//! request and the longest matching prefix of its path select a route; the route targets a
+//! service, or several with weights.
 
 pub mod check;
 pub mod codec;
--- a/crates/table/src/model.rs
+++ b/crates/table/src/model.rs
@@ -1,4 +1,4 @@
-//! A route table as plain values.
+//! The data types of a route table.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use strum::EnumString;
 use strum::IntoStaticStr;
 
-/// What may be done with a request more than once.
+/// Whether a request may be executed more than once.
 #[derive(
     Clone,
     Copy,
@@ -26,32 +26,32 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum Kind {
-    /// It may run any number of times.
+    /// The request may be executed any number of times.
     Idempotent,
-    /// It runs once at most for each attempt of its caller.
+    /// The request is executed at most once per attempt of its caller.
     Once,
 }
 
-/// One service of a split, with its share.
+/// A service with its share of the requests of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Its share in proportion to the sum of all.
+    /// The share of the service, relative to the sum of all weights.
     pub weight: u32,
 }
 
 /// Where a route's requests go.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Target {
-    /// To one service.
+    /// A single service.
     Service(ServiceName),
-    /// To several by weight.
+    /// Several services, in proportion to their weights.
     Split(Vec<WeightedService>),
 }
 
 impl Target {
-    /// All services that requests may go to.
+    /// All services of the target.
     pub fn services(&self) -> impl Iterator<Item = &ServiceName> {
         let (one, parts) = match self {
             Self::Service(name) => (Some(name), &[][..]),
@@ -61,75 +61,74 @@
     }
 }
 
-/// How the requests below one path prefix are treated.
+/// How the requests with one path prefix are handled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// The operator's name for it.
+    /// The operator's name for the route.
     pub name: Arc<str>,
-    /// Begins and ends with a slash.
+    /// The path prefix; begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether a request may be executed more than once.
     pub kind: Kind,
-    /// Longest time that a caller is kept waiting.
+    /// The maximum time that a caller waits for an answer.
     pub timeout: Option<Duration>,
-    /// Time within which an answer is worth its full value.
+    /// The target latency: an answer within this time has its full value.
     pub aim: Option<Duration>,
-    /// Rank, 0 the most urgent.
+    /// The priority; 0 is the highest.
     pub priority: u32,
-    /// Instances that one request may be sent to.
+    /// The maximum number of instances that a request is sent to.
     pub attempts: u32,
-    /// Where its requests go.
+    /// Where requests are sent.
     pub target: Target,
 }
 
 /// The routes of one host name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// As callers send it.
+    /// The host name as sent by callers.
     pub name: Arc<str>,
-    /// Its routes.
+    /// The routes of the host.
     pub routes: Vec<Route>,
 }
 
-/// What an instance takes while it is cold.
+/// The request rate limit of a cold instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cold {
-    /// How long it is cold after its start.
+    /// How long an instance is cold after its start.
     #[serde(rename = "span")]
     pub duration: Duration,
-    /// Requests that it takes then, in a thousand seconds.
+    /// Requests per 1000 seconds that a cold instance may receive.
     pub rate: u32,
 }
 
-/// A service that routes may name.
+/// A service that routes may target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: ServiceName,
-    /// Path of its health page.
+    /// The path of the health check.
     pub health: Arc<str>,
-    /// Connections that one instance takes from everyone together.
+    /// The maximum number of connections to an instance, from all clients together.
     pub connections: u32,
-    /// What its instances take while they are cold; none where nothing bounds it.
+    /// The rate limit of cold instances; none if they are not limited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cold: Option<Cold>,
 }
 
-/// Bounds on what callers send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's header section in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: u64,
-    /// Time for a request's head.
+    /// Maximum time to receive a request's header section.
     pub header_timeout: Duration,
-    /// Time that a connection may be idle.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// Common defaults of HTTP servers.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
@@ -140,15 +139,15 @@
     }
 }
 
-/// A whole table.
+/// A route table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
-    /// Only rises.
+    /// The version; only increases.
     pub version: u64,
-    /// The services that routes may name.
+    /// The services that routes may target.
     pub services: Vec<Service>,
-    /// Bounds on what callers send.
+    /// Limits on requests and connections of callers.
     pub limits: Limits,
-    /// The routes by host name.
+    /// The hosts with their routes.
     pub hosts: Vec<Host>,
 }
--- a/crates/table/src/round_robin.rs
+++ b/crates/table/src/round_robin.rs
@@ -1,21 +1,21 @@
-//! Shares requests out among the parts of a split, in proportion at all times.
+//! Smooth weighted round robin over the services of a target.
 //!
-//! Smooth weighted turns: each choice raises every part's credit by its weight
-//! and takes the sum from the chosen one. So after any number of choices a
-//! part's count is within one of its share, which random draws are not.
+//! Each selection adds to the credit of every service its weight, and subtracts the sum of the
+//! weights from the credit of the selected one. Unlike with random selection, the count of a
+//! service is within one of its share after any number of selections.
 
 use base::prelude::*;
 
 use crate::model::WeightedService;
 
-/// The turns of one split.
+/// The state of the selection for one target.
 #[derive(Clone, Debug, Default)]
 pub struct WeightedRoundRobin {
     credits: Vec<i64>,
 }
 
 impl WeightedRoundRobin {
-    /// The part whose turn it is; none when nothing has a weight.
+    /// Selects the next service; none if all weights are 0.
     pub fn next<'a>(&mut self, parts: &'a [WeightedService]) -> Option<&'a ServiceName> {
         self.credits.resize(parts.len(), 0);
         let mut sum = 0;
--- a/crates/table/tests/test_table.rs
+++ b/crates/table/tests/test_table.rs
@@ -1,4 +1,4 @@
-//! What makes a table valid, how a route is selected, and how splits share out.
+//! Validation, route selection, weighted round robin and the formats of tables.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     ServiceName::new(text).expect("a name")
 }
 
-fn part(service: &str, weight: u32) -> WeightedService {
+fn weighted(service: &str, weight: u32) -> WeightedService {
     WeightedService {
         service: name(service),
         weight,
@@ -41,7 +41,7 @@
     }
 }
 
-fn one(prefix: &str) -> Route {
+fn status_route(prefix: &str) -> Route {
     route(prefix, Target::Service(name("status")))
 }
 
@@ -74,14 +74,14 @@
     let cases = [
         Case {
             name: "valid",
-            route: one("/a/"),
+            route: status_route("/a/"),
             problem: None,
         },
         Case {
             name: "no timeout at all",
             route: Route {
                 timeout: None,
-                ..one("/a/")
+                ..status_route("/a/")
             },
             problem: None,
         },
@@ -94,56 +94,58 @@
             name: "unknown service of a split",
             route: route(
                 "/a/",
-                Target::Split(vec![part("status", 1), part("other", 1)]),
+                Target::Split(vec![weighted("status", 1), weighted("other", 1)]),
             ),
             problem: Some(Problem::UnknownService(name("other"))),
         },
         Case {
-            name: "weights add up to nothing",
-            route: route("/a/", Target::Split(vec![part("status", 0)])),
+            name: "weights add up to 0",
+            route: route("/a/", Target::Split(vec![weighted("status", 0)])),
             problem: Some(Problem::NoWeight),
         },
         Case {
-            name: "longest timeout",
+            name: "maximum timeout",
             route: Route {
                 timeout: Some(MAX_TIMEOUT),
-                ..one("/a/")
+                ..status_route("/a/")
             },
             problem: None,
         },
         Case {
-            name: "too long a timeout",
+            name: "timeout too long",
             route: Route {
                 timeout: Some(MAX_TIMEOUT + Duration::from_millis(1)),
-                ..one("/a/")
+                ..status_route("/a/")
             },
-            problem: Some(Problem::LongTimeout(MAX_TIMEOUT + Duration::from_millis(1))),
+            problem: Some(Problem::TimeoutTooLong(
+                MAX_TIMEOUT + Duration::from_millis(1),
+            )),
         },
         Case {
-            name: "no time for an answer",
+            name: "timeout of 0",
             route: Route {
                 timeout: Some(Duration::ZERO),
-                ..one("/a/")
+                ..status_route("/a/")
             },
-            problem: Some(Problem::NoTimeout),
+            problem: Some(Problem::ZeroTimeout),
         },
         Case {
             name: "no attempts",
             route: Route {
                 attempts: 0,
-                ..one("/a/")
+                ..status_route("/a/")
             },
             problem: Some(Problem::NoAttempts),
         },
         Case {
             name: "prefix without a slash at its end",
-            route: one("/a"),
-            problem: Some(Problem::Prefix),
+            route: status_route("/a"),
+            problem: Some(Problem::InvalidPrefix),
         },
         Case {
             name: "prefix without a slash at its beginning",
-            route: one("a/"),
-            problem: Some(Problem::Prefix),
+            route: status_route("a/"),
+            problem: Some(Problem::InvalidPrefix),
         },
     ];
     for case in cases {
@@ -156,25 +158,33 @@
 
 #[test]
 fn test_check_reports_every_fault_at_once() {
-    let twice = table(vec![one("/a/"), one("/a/"), one("/b")]);
-    let faults = table::check(&twice);
+    let invalid = table(vec![
+        status_route("/a/"),
+        status_route("/a/"),
+        status_route("/b"),
+    ]);
+    let faults = table::check(&invalid);
     let found: Vec<&Problem> = faults.iter().map(|fault| &fault.problem).collect();
-    assert_eq!(found, [&Problem::SamePlace, &Problem::Prefix]);
+    assert_eq!(found, [&Problem::DuplicatePrefix, &Problem::InvalidPrefix]);
 }
 
 #[test]
 fn test_check_allows_one_prefix_on_two_hosts() {
-    let mut two = table(vec![one("/a/")]);
-    two.hosts.push(Host {
+    let mut two_hosts = table(vec![status_route("/a/")]);
+    two_hosts.hosts.push(Host {
         name: "example.net".into(),
-        routes: vec![one("/a/")],
+        routes: vec![status_route("/a/")],
     });
-    assert_eq!(table::check(&two), []);
+    assert_eq!(table::check(&two_hosts), []);
 }
 
 #[test]
 fn test_index_selects_the_longest_prefix_of_the_host() {
-    let index = Index::new(&table(vec![one("/"), one("/a/"), one("/a/b/")]));
+    let index = Index::new(&table(vec![
+        status_route("/"),
+        status_route("/a/"),
+        status_route("/a/b/"),
+    ]));
     let cases = [
         ("example.org", "/a/b/c", Some("/a/b/")),
         ("example.org", "/a/b", Some("/a/")),
@@ -190,62 +200,65 @@
 }
 
 #[test]
-fn test_index_has_no_route_beside_the_prefixes() {
-    let index = Index::new(&table(vec![one("/a/")]));
+fn test_index_has_no_route_without_matching_prefix() {
+    let index = Index::new(&table(vec![status_route("/a/")]));
     assert!(index.select("example.org", "/b/").is_none());
     assert!(index.select("example.org", "/ab/").is_none());
 }
 
 #[test]
-fn test_split_keeps_each_share_within_one_at_all_times() {
-    let parts = [part("status", 90), part("status-next", 10)];
-    let mut split = WeightedRoundRobin::default();
+fn test_round_robin_keeps_each_share_within_one() {
+    let services = [weighted("status", 90), weighted("status-next", 10)];
+    let mut round_robin = WeightedRoundRobin::default();
     let mut second = 0_i64;
-    for turn in 1..=1000_i64 {
-        let chosen = split.next(&parts).expect("a part");
+    for count in 1..=1000_i64 {
+        let chosen = round_robin.next(&services).expect("a service");
         second += i64::from(*chosen == name("status-next"));
-        let owed = turn * 10;
-        assert!((second * 100 - owed).abs() <= 100, "{second} of {turn}");
+        let expected = count * 10;
+        assert!(
+            (second * 100 - expected).abs() <= 100,
+            "{second} of {count}"
+        );
     }
     assert_eq!(second, 100);
 }
 
 #[test]
-fn test_split_never_chooses_a_part_without_weight() {
-    let parts = [part("status", 0), part("status-next", 3)];
-    let mut split = WeightedRoundRobin::default();
+fn test_round_robin_never_selects_service_without_weight() {
+    let services = [weighted("status", 0), weighted("status-next", 3)];
+    let mut round_robin = WeightedRoundRobin::default();
     for _ in 0..20 {
-        assert_eq!(split.next(&parts), Some(&name("status-next")));
+        assert_eq!(round_robin.next(&services), Some(&name("status-next")));
     }
-    assert_eq!(WeightedRoundRobin::default().next(&parts[..1]), None);
+    assert_eq!(WeightedRoundRobin::default().next(&services[..1]), None);
 }
 
 #[test]
-fn test_split_takes_new_weights_over() {
-    let mut split = WeightedRoundRobin::default();
-    let before = [part("status", 1), part("status-next", 1)];
+fn test_round_robin_applies_new_weights() {
+    let mut round_robin = WeightedRoundRobin::default();
+    let before = [weighted("status", 1), weighted("status-next", 1)];
     for _ in 0..7 {
-        let _ = split.next(&before);
+        let _ = round_robin.next(&before);
     }
-    let after = [part("status", 0), part("status-next", 5)];
-    assert_eq!(split.next(&after), Some(&name("status-next")));
-    let fewer = [part("status", 2)];
-    assert_eq!(split.next(&fewer), Some(&name("status")));
+    let after = [weighted("status", 0), weighted("status-next", 5)];
+    assert_eq!(round_robin.next(&after), Some(&name("status-next")));
+    let fewer = [weighted("status", 2)];
+    assert_eq!(round_robin.next(&fewer), Some(&name("status")));
 }
 
 #[test]
-fn test_codec_reads_what_it_writes() {
-    let split = Target::Split(vec![part("status", 90), part("status-next", 10)]);
-    let written = table(vec![one("/a/"), route("/b/", split)]);
+fn test_codec_round_trips() {
+    let split = Target::Split(vec![weighted("status", 90), weighted("status-next", 10)]);
+    let written = table(vec![status_route("/a/"), route("/b/", split)]);
     let bytes = table::codec::encode(&written).expect("encodes");
     assert_eq!(table::codec::decode(&bytes).expect("decodes"), written);
     assert!(table::codec::decode(&bytes[..bytes.len() - 1]).is_err());
 }
 
 #[test]
-fn test_file_reads_what_it_writes() {
-    let split = Target::Split(vec![part("status", 90), part("status-next", 10)]);
-    let mut written = table(vec![one("/a/"), route("/b/", split)]);
+fn test_file_round_trips() {
+    let split = Target::Split(vec![weighted("status", 90), weighted("status-next", 10)]);
+    let mut written = table(vec![status_route("/a/"), route("/b/", split)]);
     written.services[0].cold = Some(Cold {
         duration: Duration::from_secs(3),
         rate: 5_800,
@@ -255,16 +268,16 @@
     assert_eq!(table::file::read(reader).expect("a table"), written);
 }
 
-/// A table of before what cold instances take could be told.
+/// Tables stored before the rate limit of cold instances existed must stay readable.
 #[test]
-fn test_codec_reads_services_without_a_bound() {
+fn test_codec_reads_services_without_cold_limit() {
     let json = br#"{"name":"status","health":"/health","connections":240}"#;
     let service: Service = serde_json::from_slice(json).expect("a service");
     assert_eq!(service.cold, None);
 }
 
 #[test]
-fn test_file_wants_both_of_what_cold_instances_take() {
+fn test_file_requires_both_settings_of_cold_instances() {
     for (line, missing) in [("cold = 3s", "cold-rate"), ("cold-rate = 5.8/s", "cold")] {
         let text = format!(
             "[table]\nversion = 1\n[service status]\nhealth = /h\nconnections = 9\n{line}\n"
