--- a/crates/hub/src/commands.rs
+++ b/crates/hub/src/commands.rs
@@ -69,7 +69,7 @@
 /// A proposed route table.
 #[derive(Clone, Debug)]
 pub struct TableUpdate {
-    /// It, checked by the desk.
+    /// The table; validated when it is proposed.
     pub table: Table,
     /// The operator's document, returned unchanged on reads.
     pub source: Vec<u8>,
--- a/crates/hub/src/entries.rs
+++ b/crates/hub/src/entries.rs
@@ -45,7 +45,8 @@
 }
 
 impl Entries {
-    /// Records a new watch; returns whether the host has become, or ceased to be, ready.
+    /// Records a new watch. Returns true if the host was unknown or had expired, or if its
+    /// readiness has changed.
     pub fn watch_started(&mut self, now: Moment, watch: &Watch) -> bool {
         let wait = Duration::from_millis(watch.wait_ms.into());
         self.record(now, now + wait + WATCH_GRACE, watch)
@@ -82,7 +83,7 @@
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// The hosts that callers may be sent to; none in the first 500 ms after the first watch.
+    /// The hosts that callers may be sent to; none during the settle delay after the first watch.
     #[must_use]
     pub fn list(&self, now: Moment) -> Vec<EntryHost> {
         let settled = self
--- a/crates/hub/src/server.rs
+++ b/crates/hub/src/server.rs
@@ -46,7 +46,7 @@
 /// Time for which changes of instances are batched for watchers of the digest.
 ///
 /// If the hub that sends a watcher all changes is lost, an announcement that an instance
-/// drains or is gone arrives later by this; it has to take effect everywhere within two seconds.
+/// drains or is gone is delayed by this. It has to take effect everywhere within two seconds.
 const DIGEST_BATCH_DELAY: Duration = Duration::from_millis(600);
 /// Time for which changes of suspects are batched unless a request is refused because of them.
 ///
--- a/crates/table/src/file.rs
+++ b/crates/table/src/file.rs
@@ -140,7 +140,7 @@
     let connections = r.required(section, "connections");
     let cold = read_cold(r, section);
     let Ok(name) = ServiceName::new(name) else {
-        r.fault(section, "", Problem::Form(name.into()), "a service's name");
+        r.fault(section, "", Problem::Form(name.into()), "a service name");
         return None;
     };
     Some(Service {
@@ -186,7 +186,12 @@
         return None;
     };
     if services.is_empty() {
-        r.fault(section, "target", Problem::Missing, "services by commas");
+        r.fault(
+            section,
+            "target",
+            Problem::Missing,
+            "services separated by commas",
+        );
     }
     let (host, prefix) = host_and_prefix.split_at(slash);
     let route = Route {
