--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -22,8 +22,8 @@
 use registry::Digest;
 use slog::Logger;
 use slog::info;
-use table::Split;
 use table::Table;
+use table::WeightedRoundRobin;
 use tokio::sync::watch;
 use wire::hub::EntryHost;
 use wire::hub::Hearing;
@@ -61,7 +61,7 @@
 pub struct State {
     instances: Instances,
     balancers: HashMap<ServiceName, Balancer>,
-    splits: HashMap<Arc<str>, Split>,
+    splits: HashMap<Arc<str>, WeightedRoundRobin>,
     route_stats_by_name: HashMap<Arc<str>, RouteStats>,
     hosts: Vec<EntryHost>,
     entry_count: u32,
@@ -383,7 +383,7 @@
     pub fn next_split_service(
         &self,
         route: &table::Route,
-        parts: &[table::Part],
+        parts: &[table::WeightedService],
     ) -> Option<ServiceName> {
         let mut state = self.state();
         let split = state.splits.entry(Arc::clone(&route.name)).or_default();
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -12,8 +12,8 @@
 use base::prelude::*;
 use http::Uri;
 use registry::Digest;
-use registry::KEEP_GONE;
 use registry::Merged;
+use registry::TOMBSTONE_RETENTION;
 use registry::merge;
 use table::Index;
 use table::Table;
@@ -216,7 +216,7 @@
                 known.removed_at = None;
                 return true;
             }
-            let retained = now.since(*known.removed_at.get_or_insert(now)) < KEEP_GONE;
+            let retained = now.since(*known.removed_at.get_or_insert(now)) < TOMBSTONE_RETENTION;
             if !retained {
                 digest.remove(&known.announced);
             }
--- a/crates/entry/tests/test_progress.rs
+++ b/crates/entry/tests/test_progress.rs
@@ -48,7 +48,7 @@
     /// Applies the log up to `index`.
     fn apply(&mut self, log: &[Instance], index: usize) {
         for entry in &log[self.applied..index] {
-            self.registry.take(NOW, entry.clone());
+            self.registry.apply(NOW, entry.clone());
         }
         self.applied = index;
     }
@@ -72,16 +72,16 @@
             News::None => reply.cursor = cursor,
             _ if !asked.buckets.is_empty() => {
                 reply.whole = pack(registry.differing(&asked.buckets));
-                reply.heard = registry.heard_since(cursor);
+                reply.heard = registry.liveness_changed_since(cursor);
             }
-            News::Digest => reply.heard = registry.heard_since(cursor),
+            News::Digest => reply.heard = registry.liveness_changed_since(cursor),
             News::Changes | News::Unspecified if cursor == 0 => {
-                reply.whole = pack(registry.shown());
+                reply.whole = pack(registry.all_with_liveness());
             }
             News::Changes | News::Unspecified => {
-                let news = registry.news(cursor);
-                reply.instances = news.rows;
-                reply.heard = news.heard;
+                let news = registry.delta_since(cursor);
+                reply.instances = news.instances;
+                reply.heard = news.liveness;
             }
         }
         reply
@@ -144,8 +144,8 @@
         match kind % 10 {
             // A hub receives a heartbeat before the log has the announcement.
             0 => {
-                hub_state.registry.take(NOW, instance(id, 1, Phase::Ready));
-                hub_state.registry.hear(NOW, &instance(id, 1, Phase::Ready));
+                hub_state.registry.apply(NOW, instance(id, 1, Phase::Ready));
+                hub_state.registry.renew_lease(NOW, &instance(id, 1, Phase::Ready));
             }
             1 => self.log.push(instance(id, 1, Phase::Ready)),
             2 => self.log.push(instance(id, 2, Phase::Draining)),
@@ -204,7 +204,7 @@
         let newest = simulation.hubs.iter().map(|hub| hub.applied).max().unwrap_or_default();
         let mut known = Registry::default();
         for entry in &simulation.log[..newest] {
-            known.take(NOW, entry.clone());
+            known.apply(NOW, entry.clone());
         }
         let follows = |expected: &Instance| match phases.get(&expected.id) {
             Some(phase) => *phase >= expected.phase(),
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The announced upstreams: which announcement counts, and what has changed.
+//! The registry of announced instances: ordering of announcements and tracking of changes.
 
 pub mod check;
 pub mod digest;
@@ -6,7 +6,7 @@
 pub mod pack;
 pub mod registry;
 
-pub use check::Unusable;
+pub use check::AnnouncementError;
 pub use check::check;
 pub use digest::Digest;
 pub use merge::Merged;
@@ -16,7 +16,7 @@
 pub use pack::pack_hosts;
 pub use pack::unpack;
 pub use pack::unpack_hosts;
-pub use registry::KEEP_GONE;
-pub use registry::News;
+pub use registry::ApplyOutcome;
+pub use registry::Delta;
 pub use registry::Registry;
-pub use registry::Taken;
+pub use registry::TOMBSTONE_RETENTION;
