--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -282,7 +282,7 @@
             Selection::Send(chosen) => self.send(job, &chosen),
             Selection::Slow(chosen) if patience == 0 => self.send(job, &chosen),
             Selection::Slow(_) | Selection::Wait if patience > 0 => {
-                self.wait_for_capacity(job, patience.min(POLL))
+                self.wait_for_capacity(job, patience.min(POLL));
             }
             _ => {
                 self.jobs[job].done = true;
--- a/crates/entry/tests/test_progress.rs
+++ b/crates/entry/tests/test_progress.rs
@@ -145,7 +145,9 @@
             // A hub receives a heartbeat before the log has the announcement.
             0 => {
                 hub_state.registry.apply(NOW, instance(id, 1, Phase::Ready));
-                hub_state.registry.renew_lease(NOW, &instance(id, 1, Phase::Ready));
+                hub_state
+                    .registry
+                    .renew_lease(NOW, &instance(id, 1, Phase::Ready));
             }
             1 => self.log.push(instance(id, 1, Phase::Ready)),
             2 => self.log.push(instance(id, 2, Phase::Draining)),
