--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -25,8 +25,8 @@
 use route::Need;
 use route::Phase;
 use route::Pick;
+use route::ReportedInstance;
 use route::Ticket;
-use route::Told;
 use tokio::sync::oneshot;
 use wire::hub::Phase as WirePhase;
 
@@ -184,7 +184,7 @@
                 slots: upstream.slots,
                 phase: phase(listed.phase),
             };
-            table.push(Told {
+            table.push(ReportedInstance {
                 instance,
                 cold: upstream.cold,
                 silent: listed.silent,
--- a/crates/route/src/fresh/table.rs
+++ b/crates/route/src/fresh/table.rs
@@ -20,7 +20,7 @@
 use crate::health::State;
 use crate::instance::Phase;
 use crate::instance::Pick;
-use crate::instance::Told;
+use crate::instance::ReportedInstance;
 
 /// Fewest instances of a failure domain that are asked before its others.
 const SUBSET: usize = 8;
@@ -30,7 +30,7 @@
 
 impl Fresh {
     /// Takes the service's instances, whole: one that is lacking has gone.
-    pub fn update(&mut self, now: Moment, table: &[Told]) {
+    pub fn update(&mut self, now: Moment, table: &[ReportedInstance]) {
         let mut held: HashMap<(InstanceId, u64), usize> = HashMap::new();
         for (index, row) in self.rows.iter_mut().enumerate() {
             if row.instance.phase != Phase::Gone {
@@ -91,7 +91,7 @@
         xxh3_64_with_seed(id.as_bytes(), self.seed)
     }
 
-    fn insert(&mut self, now: Moment, told: &Told) {
+    fn insert(&mut self, now: Moment, told: &ReportedInstance) {
         let instance = &told.instance;
         if instance.phase == Phase::Gone {
             return;
--- a/crates/route/src/instance.rs
+++ b/crates/route/src/instance.rs
@@ -41,7 +41,7 @@
 
 /// An instance as a chooser is told of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct ReportedInstance {
     /// It.
     pub instance: Instance,
     /// How long it is still slow after its start.
--- a/crates/route/tests/test_fresh.rs
+++ b/crates/route/tests/test_fresh.rs
@@ -14,7 +14,7 @@
 use route::Need;
 use route::Phase;
 use route::Pick;
-use route::Told;
+use route::ReportedInstance;
 use route::cost;
 use route::cost::Paces;
 use route::cost::Standing;
@@ -31,7 +31,7 @@
     DomainName::new(name).expect("a name")
 }
 
-fn instance(id: &str, place: &str) -> Told {
+fn instance(id: &str, place: &str) -> ReportedInstance {
     let instance = Instance {
         id: InstanceId::new(id).expect("a name"),
         incarnation: 0,
@@ -39,14 +39,14 @@
         slots: 6,
         phase: Phase::Ready,
     };
-    Told {
+    ReportedInstance {
         instance,
         cold: Duration::ZERO,
         silent: false,
     }
 }
 
-fn fresh(rows: &[Told]) -> Fresh {
+fn fresh(rows: &[ReportedInstance]) -> Fresh {
     let mut fresh = Fresh::new(domain("a"), 7);
     fresh.update(at(0), rows);
     fresh
@@ -365,7 +365,7 @@
 /// After a restart of everything nobody has a report, and crashed instances are still told of.
 #[test]
 fn test_fresh_asks_and_sends_to_those_that_were_heard_first() {
-    let silent = |id: &str, place: &str| Told {
+    let silent = |id: &str, place: &str| ReportedInstance {
         silent: true,
         ..instance(id, place)
     };
@@ -395,11 +395,11 @@
 /// The news of who is heard has just begun to come in.
 #[test]
 fn test_fresh_few_that_were_heard_do_not_get_all() {
-    let silent = |id: &str| Told {
+    let silent = |id: &str| ReportedInstance {
         silent: true,
         ..instance(id, "a")
     };
-    let mut rows: Vec<Told> = (0..9).map(|n| silent(&format!("s-{n}"))).collect();
+    let mut rows: Vec<ReportedInstance> = (0..9).map(|n| silent(&format!("s-{n}"))).collect();
     rows.push(instance("i-1", "a"));
     let mut fresh = fresh(&rows);
     let mut names = std::collections::BTreeSet::new();
