--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -18,7 +18,6 @@
 use measure::Allowance;
 use route::Decision;
 use route::Fresh;
-use route::FreshChoice;
 use route::Instance;
 use route::Kind;
 use route::LoadReport;
@@ -26,6 +25,7 @@
 use route::Phase;
 use route::Pick;
 use route::ReportedInstance;
+use route::ScoredChoice;
 use route::Ticket;
 use tokio::sync::oneshot;
 use wire::hub::Phase as WirePhase;
@@ -104,7 +104,7 @@
     /// The instance.
     pub upstream: Arc<Upstream>,
     /// What the choice rests on.
-    pub choice: FreshChoice,
+    pub choice: ScoredChoice,
     /// The dispatcher's, where it chose.
     pub grant: Option<Grant>,
 }
@@ -285,7 +285,7 @@
         }
     }
 
-    fn chosen(&self, choice: FreshChoice) -> Option<Chosen> {
+    fn chosen(&self, choice: ScoredChoice) -> Option<Chosen> {
         let id = self.chooser.id(choice.pick)?;
         let upstream = Arc::clone(self.rows.get(id)?);
         Some(Chosen {
--- a/crates/entry/src/desk/dispatch.rs
+++ b/crates/entry/src/desk/dispatch.rs
@@ -4,12 +4,12 @@
 
 use ::dispatch::Dispatched;
 use base::prelude::*;
-use route::FreshChoice;
 use route::Kind;
 use route::LoadReport;
 use route::Need;
 use route::Pick;
 use route::Reason;
+use route::ScoredChoice;
 use wire::place::Ask;
 use wire::place::Outcome;
 use wire::place::Placed;
@@ -106,7 +106,7 @@
         if let Some(report) = report {
             self.chooser.told(now, pick, report);
         }
-        self.chosen(FreshChoice {
+        self.chosen(ScoredChoice {
             pick,
             reason: Reason::Placed,
             age: (placed.age_us < u32::MAX).then(|| span_of(placed.age_us)),
--- a/crates/entry/src/flow.rs
+++ b/crates/entry/src/flow.rs
@@ -15,8 +15,8 @@
 use http::Response;
 use hyper::body::Body;
 use hyper::body::Incoming;
-use route::FreshChoice;
 use route::Pick;
+use route::ScoredChoice;
 use slog::info;
 use table::Kind;
 use table::Route;
@@ -93,7 +93,7 @@
 /// The newest attempt.
 struct Attempt {
     upstream: Arc<Upstream>,
-    choice: FreshChoice,
+    choice: ScoredChoice,
     sent: Instant,
 }
 
--- a/crates/entry/src/habit.rs
+++ b/crates/entry/src/habit.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use route::FreshChoice;
+use route::ScoredChoice;
 
 use crate::left::Left;
 
@@ -66,7 +66,7 @@
     }
 
     /// Takes an answer that came after `latency` at an instance chosen so.
-    pub fn learn(&mut self, latency: Duration, choice: &FreshChoice, bytes: u64) {
+    pub fn learn(&mut self, latency: Duration, choice: &ScoredChoice, bytes: u64) {
         let slowdown = choice.expected.as_secs_f64() / self.work.max(1e-4);
         let sample = latency.as_secs_f64() / slowdown.max(0.1);
         self.work += (sample.min(self.work * MOST_SAMPLE) - self.work) * WEIGHT;
--- a/crates/entry/src/tail.rs
+++ b/crates/entry/src/tail.rs
@@ -10,7 +10,7 @@
 use std::task::Poll;
 use std::time::Duration;
 
-use route::FreshChoice;
+use route::ScoredChoice;
 use slog::warn;
 use table::Route;
 use tokio::time::Instant;
@@ -52,7 +52,7 @@
     /// The instance.
     pub upstream: Arc<Upstream>,
     /// What the choice of it rested on.
-    pub choice: FreshChoice,
+    pub choice: ScoredChoice,
     /// When the request was sent there.
     pub sent: Instant,
     /// Bytes of the request's body.
--- a/crates/route/src/fresh.rs
+++ b/crates/route/src/fresh.rs
@@ -62,7 +62,7 @@
 
 /// What a choice rests on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FreshChoice {
+pub struct ScoredChoice {
     /// The instance.
     pub pick: Pick,
     /// Why this one.
@@ -83,11 +83,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
     /// Send it.
-    Send(FreshChoice),
+    Send(ScoredChoice),
     /// It has room, and the answer would come late all the same: wait for a better one
     /// while that may still come in time. Work on a slow machine holds its slot for
     /// as much longer, too.
-    Slow(FreshChoice),
+    Slow(ScoredChoice),
     /// Every instance has as much work as it does at once, or nothing is known and this
     /// process has its share at work: wait until one has room.
     Wait,
@@ -300,10 +300,10 @@
         }
     }
 
-    fn chosen(&self, now: Moment, need: &Need, index: usize, reason: Reason) -> FreshChoice {
+    fn chosen(&self, now: Moment, need: &Need, index: usize, reason: Reason) -> ScoredChoice {
         let row = &self.rows[index];
         let standing = row.standing(now, self.usual);
-        FreshChoice {
+        ScoredChoice {
             pick: self.pick(index),
             reason,
             age: row.age(now),
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -29,7 +29,7 @@
 pub use fresh::COLD_WINDOW;
 pub use fresh::Decision;
 pub use fresh::Fresh;
-pub use fresh::FreshChoice;
+pub use fresh::ScoredChoice;
 pub use instance::Instance;
 pub use instance::Phase;
 pub use instance::Pick;
