--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -17,13 +17,13 @@
 use base::prelude::*;
 use measure::Allowance;
 use route::Decision;
-use route::Fresh;
 use route::Instance;
 use route::Kind;
 use route::LoadReport;
 use route::Need;
 use route::Phase;
 use route::Pick;
+use route::ProbingChooser;
 use route::ReportedInstance;
 use route::ScoredChoice;
 use route::Ticket;
@@ -61,7 +61,7 @@
 /// The machines of one service.
 #[derive(Debug)]
 pub struct Desk {
-    chooser: Fresh,
+    chooser: ProbingChooser,
     budget: Budget,
     probes: Allowance,
     shared: Shared,
@@ -124,7 +124,7 @@
     /// A desk without instances.
     #[must_use]
     pub fn new(domain: DomainName, shared: &Shared, seed: u64, now: Moment) -> Self {
-        let mut chooser = Fresh::new(domain, seed);
+        let mut chooser = ProbingChooser::new(domain, seed);
         chooser.set_processes(shared.entries);
         Self {
             chooser,
--- a/crates/route/src/fresh.rs
+++ b/crates/route/src/probing.rs
@@ -1,9 +1,9 @@
 //! Chooses by what instances say at the moment of the choice.
 //!
 //! Where load shifts in milliseconds, a report that came back on an answer is
-//! stale when it is used. So a choice goes in rounds: [`Fresh::plan`] names a few
-//! instances to ask, the answers come in by [`Fresh::probed`], and the next plan
-//! names more only if none that was asked is good. [`Fresh::choose`] then takes
+//! stale when it is used. So a choice goes in rounds: [`ProbingChooser::plan`] names a few
+//! instances to ask, the answers come in by [`ProbingChooser::probed`], and the next plan
+//! names more only if none that was asked is good. [`ProbingChooser::choose`] then takes
 //! the one that costs least by [`crate::cost`]. Those in the gateway's own
 //! failure domain are asked first, as they answer sooner and their bytes are
 //! cheap.
@@ -97,7 +97,7 @@
 
 /// Chooses among one service's instances by fresh reports.
 #[derive(Debug)]
-pub struct Fresh {
+pub struct ProbingChooser {
     /// Failure domains by their numbers, its own first.
     domains: Vec<DomainName>,
     rng: SmallRng,
@@ -113,7 +113,7 @@
     sharing: Option<u64>,
 }
 
-impl Fresh {
+impl ProbingChooser {
     /// A chooser without instances, for a gateway in `domain`.
     #[must_use]
     pub fn new(domain: DomainName, seed: u64) -> Self {
--- a/crates/route/src/fresh/cold.rs
+++ b/crates/route/src/probing/cold.rs
@@ -4,11 +4,11 @@
 
 use crate::instance::Pick;
 
-use super::Fresh;
+use super::ProbingChooser;
 use super::row::Row;
 use super::row::Share;
 
-impl Fresh {
+impl ProbingChooser {
     /// Takes by which list of processes cold instances are shared; none where they aren't.
     pub fn share_cold(&mut self, sharing: Option<u64>) {
         self.sharing = sharing;
--- a/crates/route/src/fresh/results.rs
+++ b/crates/route/src/probing/results.rs
@@ -12,7 +12,7 @@
 use crate::outcome::Kind;
 use crate::outcome::LoadReport;
 
-use super::Fresh;
+use super::ProbingChooser;
 
 /// Weight of one report in the usual load of the service. Where all instances
 /// fill up, one of which nothing is known is full too, and must not draw
@@ -23,7 +23,7 @@
 /// Ramp after an ejection.
 const RAMP: Duration = Duration::from_secs(2);
 
-impl Fresh {
+impl ProbingChooser {
     /// Notes the end of a probe; none where it failed.
     pub fn probed(&mut self, now: Moment, pick: Pick, report: Option<LoadReport>) {
         let Some(row) = self.row(pick) else {
--- a/crates/route/src/fresh/table.rs
+++ b/crates/route/src/probing/table.rs
@@ -11,7 +11,7 @@
 use base::prelude::*;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::Fresh;
+use super::ProbingChooser;
 use super::row::Row;
 use super::row::Share;
 use super::row::Subset;
@@ -28,7 +28,7 @@
 /// where chance spreads them unevenly: with 12 fewer than one in ten thousand has none.
 const COVER: usize = 12;
 
-impl Fresh {
+impl ProbingChooser {
     /// Takes the service's instances, whole: one that is lacking has gone.
     pub fn update(&mut self, now: Moment, table: &[ReportedInstance]) {
         let mut held: HashMap<(InstanceId, u64), usize> = HashMap::new();
--- a/crates/route/tests/test_fresh.rs
+++ b/crates/route/tests/test_probing.rs
@@ -6,7 +6,6 @@
 use quickcheck::TestResult;
 use quickcheck::quickcheck;
 use route::Decision;
-use route::Fresh;
 use route::Home;
 use route::Instance;
 use route::Kind;
@@ -14,6 +13,7 @@
 use route::Need;
 use route::Phase;
 use route::Pick;
+use route::ProbingChooser;
 use route::ReportedInstance;
 use route::cost;
 use route::cost::Paces;
@@ -46,8 +46,8 @@
     }
 }
 
-fn fresh(rows: &[ReportedInstance]) -> Fresh {
-    let mut fresh = Fresh::new(domain("a"), 7);
+fn fresh(rows: &[ReportedInstance]) -> ProbingChooser {
+    let mut fresh = ProbingChooser::new(domain("a"), 7);
     fresh.update(at(0), rows);
     fresh
 }
@@ -78,7 +78,11 @@
 }
 
 /// Asks whom the chooser wants to ask; each answers as `told` says by its id.
-fn ask(fresh: &mut Fresh, now: Moment, told: impl Fn(&str) -> Option<LoadReport>) -> usize {
+fn ask(
+    fresh: &mut ProbingChooser,
+    now: Moment,
+    told: impl Fn(&str) -> Option<LoadReport>,
+) -> usize {
     let mut asked = 0;
     for round in 0.. {
         let picks = fresh.plan(now, &NEED, &[], round, |count| count);
@@ -94,7 +98,7 @@
     asked
 }
 
-fn sent(fresh: &mut Fresh, now: Moment) -> Option<(String, Pick)> {
+fn sent(fresh: &mut ProbingChooser, now: Moment) -> Option<(String, Pick)> {
     match fresh.choose(now, &NEED, &[]) {
         Decision::Send(choice) => {
             let id = fresh.id(choice.pick).expect("known").as_str().to_owned();
