--- a/crates/entry/src/flow/choice.rs
+++ b/crates/entry/src/flow/choice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use route::Home;
+use route::DomainIndex;
 use route::Need;
 use tokio::time::Instant;
 
@@ -120,7 +120,7 @@
             aim,
             crossing: self.core.habit(&self.route, |habit| habit.crossing(price)),
             room: if self.is_late() { LATE_ROOM } else { 1.0 },
-            home: Home::OWN,
+            home: DomainIndex::OWN,
         }
     }
 }
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -25,7 +25,7 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use route::Home;
+use route::DomainIndex;
 use route::Kind;
 use route::LoadReport;
 use route::Need;
@@ -241,7 +241,7 @@
             aim: Duration::from_micros(self.case.aim.saturating_sub(spent).max(self.case.aim / 4)),
             crossing: 0.0,
             room: 1.0,
-            home: Home::OWN,
+            home: DomainIndex::OWN,
         }
     }
 
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -18,7 +18,7 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use route::Home;
+use route::DomainIndex;
 use route::Kind;
 use route::LoadReport;
 use route::Need;
@@ -38,7 +38,7 @@
     aim: Duration::from_millis(150),
     crossing: 0.0,
     room: 1.0,
-    home: Home::OWN,
+    home: DomainIndex::OWN,
 };
 
 fn at(millis: u64) -> Moment {
--- a/crates/route/src/cost.rs
+++ b/crates/route/src/cost.rs
@@ -97,14 +97,14 @@
     /// Part of an instance's slots that may be taken with it.
     pub room: f64,
     /// Where its answer goes.
-    pub home: Home,
+    pub home: DomainIndex,
 }
 
 /// A failure domain as a chooser numbers them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Home(pub(crate) u32);
+pub struct DomainIndex(pub(crate) u32);
 
-impl Home {
+impl DomainIndex {
     /// The chooser's own.
     pub const OWN: Self = Self(0);
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -24,7 +24,7 @@
 pub mod view;
 
 pub use chooser::Chooser;
-pub use cost::Home;
+pub use cost::DomainIndex;
 pub use cost::Need;
 pub use instance::Instance;
 pub use instance::Phase;
--- a/crates/route/src/probing/row.rs
+++ b/crates/route/src/probing/row.rs
@@ -5,7 +5,7 @@
 
 use base::prelude::*;
 
-use crate::cost::Home;
+use crate::cost::DomainIndex;
 use crate::cost::Paces;
 use crate::cost::Standing;
 use crate::health::Health;
@@ -25,7 +25,7 @@
 pub(super) struct Row {
     pub(super) instance: Instance,
     /// Where it runs.
-    pub(super) home: Home,
+    pub(super) home: DomainIndex,
     pub(super) epoch: u32,
     pub(super) health: Health,
     /// Own attempts in flight, by when they began.
--- a/crates/route/src/probing/table.rs
+++ b/crates/route/src/probing/table.rs
@@ -15,7 +15,7 @@
 use super::row::Row;
 use super::row::Share;
 use super::row::Subset;
-use crate::cost::Home;
+use crate::cost::DomainIndex;
 use crate::health::Health;
 use crate::health::State;
 use crate::instance::Phase;
@@ -64,7 +64,7 @@
     /// with the highest weights, which differ between processes and stay as they are when
     /// others come and go.
     pub(super) fn choose_subset(&mut self) {
-        let mut domains: HashMap<Home, Vec<usize>> = HashMap::new();
+        let mut domains: HashMap<DomainIndex, Vec<usize>> = HashMap::new();
         for (index, row) in self.rows.iter_mut().enumerate() {
             row.subset = Subset::Inside;
             if row.is_ready() {
@@ -124,13 +124,13 @@
     }
 
     /// The number of a failure domain, for what a request needs.
-    pub fn home(&mut self, domain: &DomainName) -> Home {
+    pub fn home(&mut self, domain: &DomainName) -> DomainIndex {
         let known = self.domains.iter().position(|known| known == domain);
         let index = known.unwrap_or_else(|| {
             self.domains.push(domain.clone());
             self.domains.len() - 1
         });
-        Home(u32::try_from(index).unwrap_or(u32::MAX))
+        DomainIndex(u32::try_from(index).unwrap_or(u32::MAX))
     }
 
     /// A handle to the instance of this id and incarnation, if it takes work.
--- a/crates/route/tests/test_probing.rs
+++ b/crates/route/tests/test_probing.rs
@@ -6,7 +6,7 @@
 use quickcheck::TestResult;
 use quickcheck::quickcheck;
 use route::Decision;
-use route::Home;
+use route::DomainIndex;
 use route::Instance;
 use route::Kind;
 use route::LoadReport;
@@ -24,7 +24,7 @@
     aim: Duration::from_millis(300),
     crossing: 0.05,
     room: 1.0,
-    home: Home::OWN,
+    home: DomainIndex::OWN,
 };
 
 fn domain(name: &str) -> DomainName {
