--- a/crates/entry/src/desk/dispatch.rs
+++ b/crates/entry/src/desk/dispatch.rs
@@ -56,7 +56,7 @@
             aim: span_of(ask.aim_us),
             crossing: ask.crossing,
             room: ask.room,
-            home: self.chooser.home(domain),
+            domain_index: self.chooser.domain_index(domain),
         }
     }
 
--- a/crates/entry/src/flow/choice.rs
+++ b/crates/entry/src/flow/choice.rs
@@ -120,7 +120,7 @@
             aim,
             crossing: self.core.habit(&self.route, |habit| habit.crossing(price)),
             room: if self.is_late() { LATE_ROOM } else { 1.0 },
-            home: DomainIndex::OWN,
+            domain_index: DomainIndex::OWN,
         }
     }
 }
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -241,7 +241,7 @@
             aim: Duration::from_micros(self.case.aim.saturating_sub(spent).max(self.case.aim / 4)),
             crossing: 0.0,
             room: 1.0,
-            home: DomainIndex::OWN,
+            domain_index: DomainIndex::OWN,
         }
     }
 
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -38,7 +38,7 @@
     aim: Duration::from_millis(150),
     crossing: 0.0,
     room: 1.0,
-    home: DomainIndex::OWN,
+    domain_index: DomainIndex::OWN,
 };
 
 fn at(millis: u64) -> Moment {
--- a/crates/route/src/cost.rs
+++ b/crates/route/src/cost.rs
@@ -97,7 +97,7 @@
     /// Part of an instance's slots that may be taken with it.
     pub room: f64,
     /// Where its answer goes.
-    pub home: DomainIndex,
+    pub domain_index: DomainIndex,
 }
 
 /// A failure domain as a chooser numbers them.
--- a/crates/route/src/probing.rs
+++ b/crates/route/src/probing.rs
@@ -174,7 +174,11 @@
             } else {
                 0.0
             };
-            let far = if row.home == need.home { 0.0 } else { 1.0 };
+            let far = if row.domain_index == need.domain_index {
+                0.0
+            } else {
+                1.0
+            };
             let other = match row.subset {
                 Subset::Inside => 0.0,
                 Subset::Outside => OTHER_RANK,
@@ -343,7 +347,7 @@
     /// What sending there costs.
     fn cost(&self, now: Moment, need: &Need, row: &Row) -> f64 {
         let standing = row.standing(now, self.usual);
-        cost::cost(&standing, need, row.home != need.home)
+        cost::cost(&standing, need, row.domain_index != need.domain_index)
     }
 
     /// Whether it has fallen silent while most of the others are heard.
--- a/crates/route/src/probing/row.rs
+++ b/crates/route/src/probing/row.rs
@@ -25,7 +25,7 @@
 pub(super) struct Row {
     pub(super) instance: Instance,
     /// Where it runs.
-    pub(super) home: DomainIndex,
+    pub(super) domain_index: DomainIndex,
     pub(super) epoch: u32,
     pub(super) health: Health,
     /// Own attempts in flight, by when they began.
--- a/crates/route/src/probing/table.rs
+++ b/crates/route/src/probing/table.rs
@@ -68,7 +68,7 @@
         for (index, row) in self.rows.iter_mut().enumerate() {
             row.subset = Subset::Inside;
             if row.is_ready() {
-                domains.entry(row.home).or_default().push(index);
+                domains.entry(row.domain_index).or_default().push(index);
             }
         }
         let ready: usize = domains.values().map(Vec::len).sum();
@@ -97,7 +97,7 @@
             return;
         }
         let row = Row {
-            home: self.home(&instance.domain),
+            domain_index: self.domain_index(&instance.domain),
             instance: instance.clone(),
             epoch: 0,
             health: Health::new(State::Well),
@@ -124,7 +124,7 @@
     }
 
     /// The number of a failure domain, for what a request needs.
-    pub fn home(&mut self, domain: &DomainName) -> DomainIndex {
+    pub fn domain_index(&mut self, domain: &DomainName) -> DomainIndex {
         let known = self.domains.iter().position(|known| known == domain);
         let index = known.unwrap_or_else(|| {
             self.domains.push(domain.clone());
--- a/crates/route/tests/test_probing.rs
+++ b/crates/route/tests/test_probing.rs
@@ -24,7 +24,7 @@
     aim: Duration::from_millis(300),
     crossing: 0.05,
     room: 1.0,
-    home: DomainIndex::OWN,
+    domain_index: DomainIndex::OWN,
 };
 
 fn domain(name: &str) -> DomainName {
