--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -270,9 +270,9 @@
     }
 
     /// Chooses an instance that has just got room.
-    pub fn choose_this(&mut self, now: Moment, need: &Need, pick: Pick) -> Verdict {
+    pub fn choose_instance(&mut self, now: Moment, need: &Need, pick: Pick) -> Verdict {
         self.share_cold(now);
-        let decision = self.chooser.choose_this(now, need, pick);
+        let decision = self.chooser.choose_instance(now, need, pick);
         self.verdict(decision)
     }
 
--- a/crates/entry/src/search.rs
+++ b/crates/entry/src/search.rs
@@ -93,7 +93,9 @@
     let told = tokio::time::timeout(span, told).await;
     core.counters.waited(service, began.elapsed());
     let pick = told.ok()?.ok()?;
-    match core.desk(service, |desk, now| desk.choose_this(now, &want.need, pick))? {
+    match core.desk(service, |desk, now| {
+        desk.choose_instance(now, &want.need, pick)
+    })? {
         Verdict::Send(chosen) => Some(chosen),
         // The machine is slow now: there is time to wait for another one.
         Verdict::Slow(_) | Verdict::Wait | Verdict::None => None,
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -350,7 +350,7 @@
             let Some(Ok(pick)) = told else { continue };
             self.jobs[job].told = None;
             let (process, need) = (self.jobs[job].process, self.need(job));
-            let verdict = self.desks[process].choose_this(at(self.now), &need, pick);
+            let verdict = self.desks[process].choose_instance(at(self.now), &need, pick);
             match verdict {
                 Verdict::Send(chosen) if !self.jobs[job].settled => self.send(job, &chosen),
                 _ => {}
--- a/crates/route/src/probing.rs
+++ b/crates/route/src/probing.rs
@@ -251,7 +251,7 @@
 
     /// Chooses an instance that has just got room; waits on where it takes no work any
     /// more.
-    pub fn choose_this(&mut self, now: Moment, need: &Need, pick: Pick) -> Decision {
+    pub fn choose_instance(&mut self, now: Moment, need: &Need, pick: Pick) -> Decision {
         let index = pick.index as usize;
         let known = self
             .rows
--- a/crates/route/tests/test_probing.rs
+++ b/crates/route/tests/test_probing.rs
@@ -356,7 +356,7 @@
     fresh.update(at(3), &[row(2), instance("i-2", "a")]);
     // News of the earlier one that come late tell nothing of the later one.
     fresh.probed(at(3), old, None);
-    assert_eq!(fresh.choose_this(at(3), &NEED, old), Decision::Wait);
+    assert_eq!(fresh.choose_instance(at(3), &NEED, old), Decision::Wait);
     let asked = fresh.plan(at(4), &NEED, &[], 0, |count| count);
     let names: Vec<&str> = asked
         .iter()
