--- a/crates/entry/src/desk/cold.rs
+++ b/crates/entry/src/desk/cold.rs
@@ -37,7 +37,7 @@
     }
 
     /// Notes how much longer an instance says that it is cold.
-    pub fn told_cold(&mut self, now: Moment, pick: Pick, left: Duration) {
-        self.chooser.told_cold(now, pick, left);
+    pub fn set_cold_remaining(&mut self, now: Moment, pick: Pick, left: Duration) {
+        self.chooser.set_cold_remaining(now, pick, left);
     }
 }
--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -66,7 +66,9 @@
             let report = match probe.await {
                 Ok(Found::Load(report, cold)) => {
                     if let Some(left) = cold {
-                        core.desk(&service, |desk, now| desk.told_cold(now, pick, left));
+                        core.desk(&service, |desk, now| {
+                            desk.set_cold_remaining(now, pick, left)
+                        });
                     }
                     Some(report)
                 }
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -178,7 +178,7 @@
     let now = at(5 * SECOND);
     assert!(send(&mut desk, now), "warm");
     let pick = desk.picks(&["i-1".into()])[0];
-    desk.told_cold(now, pick, Duration::from_secs(3));
+    desk.set_cold_remaining(now, pick, Duration::from_secs(3));
     assert!(!send(&mut desk, now + Duration::from_secs(1)), "no keeper");
     assert!(send(&mut desk, now + Duration::from_secs(3)), "warm again");
 }
--- a/crates/route/src/probing/results.rs
+++ b/crates/route/src/probing/results.rs
@@ -45,7 +45,7 @@
     }
 
     /// Notes how much longer an instance says that it is cold.
-    pub fn told_cold(&mut self, now: Moment, pick: Pick, left: Duration) {
+    pub fn set_cold_remaining(&mut self, now: Moment, pick: Pick, left: Duration) {
         if let Some(row) = self.row(pick) {
             row.cold_until = now + left;
         }
