--- a/crates/entry/src/desk/cold.rs
+++ b/crates/entry/src/desk/cold.rs
@@ -28,7 +28,7 @@
         if now.since(self.born) < COLD_WINDOW {
             return;
         }
-        for pick in self.chooser.unshared(now) {
+        for pick in self.chooser.cold_without_share(now) {
             let Processes { own, all, .. } = &*self.processes;
             let id = self.chooser.id(pick);
             let starts = id.map_or(0, |id| warmup.share(id, own, all));
--- a/crates/route/src/probing/cold.rs
+++ b/crates/route/src/probing/cold.rs
@@ -16,7 +16,7 @@
 
     /// Cold instances of which this process's share by that list isn't known yet.
     #[must_use]
-    pub fn unshared(&self, now: Moment) -> Vec<Pick> {
+    pub fn cold_without_share(&self, now: Moment) -> Vec<Pick> {
         let Some(mark) = self.sharing else {
             return Vec::new();
         };
