--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -248,7 +248,7 @@
             None => self.end(),
             Some(Err(err)) => {
                 if let Some(tail) = self.tail.take() {
-                    tail.broke_off(err);
+                    tail.response_aborted(err);
                 }
             }
         }
--- a/crates/entry/src/counters.rs
+++ b/crates/entry/src/counters.rs
@@ -46,7 +46,7 @@
     }
 
     /// An answer that broke off after its head was passed on.
-    pub fn broke_off(&self, service: &ServiceName) {
+    pub fn response_aborted(&self, service: &ServiceName) {
         self.client
             .count_with_tags("entry.answers.broken", 1)
             .with_tag("service", service.as_str())
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -253,8 +253,8 @@
     }
 
     /// Notes that an answer of the instance broke off after its head.
-    pub fn broke_off(&mut self, now: Moment, pick: Pick) {
-        self.chooser.broke_off(now, pick);
+    pub fn response_aborted(&mut self, now: Moment, pick: Pick) {
+        self.chooser.response_aborted(now, pick);
     }
 
     /// Notes the end of a probe.
--- a/crates/entry/src/tail.rs
+++ b/crates/entry/src/tail.rs
@@ -119,7 +119,7 @@
     }
 
     /// The answer ended before it was whole.
-    pub fn broke_off(self, err: &BodyError) {
+    pub fn response_aborted(self, err: &BodyError) {
         let asked = &self.asked;
         let service = &asked.upstream.service;
         warn!(asked.core.log, "answer broke off";
@@ -127,11 +127,11 @@
             "service" => %service, "bytes" => self.came,
             "ms" => u64::try_from(asked.sent.elapsed().as_millis()).unwrap_or(u64::MAX),
             "error" => %err);
-        asked.core.counters.broke_off(service);
+        asked.core.counters.response_aborted(service);
         let pick = asked.choice.pick;
         asked
             .core
-            .desk(service, |desk, now| desk.broke_off(now, pick));
+            .desk(service, |desk, now| desk.response_aborted(now, pick));
         let broken = Broken {
             subject: asked.subject.clone(),
             upstream: Arc::clone(&asked.upstream),
--- a/crates/route/src/probing/results.rs
+++ b/crates/route/src/probing/results.rs
@@ -69,7 +69,7 @@
     }
 
     /// Notes that an answer broke off whose attempt has ended already.
-    pub fn broke_off(&mut self, now: Moment, pick: Pick) {
+    pub fn response_aborted(&mut self, now: Moment, pick: Pick) {
         let cause = Cause::Failures;
         let bad = self
             .row(pick)
