--- a/crates/entry/src/desk/dispatch.rs
+++ b/crates/entry/src/desk/dispatch.rs
@@ -104,7 +104,7 @@
         let pick = self.chooser.find(&placed.instance, placed.incarnation)?;
         let report = placed.report.as_ref().map(report);
         if let Some(report) = report {
-            self.chooser.told(now, pick, report);
+            self.chooser.report_relayed(now, pick, report);
         }
         self.chosen(ScoredChoice {
             pick,
--- a/crates/route/src/probing/results.rs
+++ b/crates/route/src/probing/results.rs
@@ -52,7 +52,7 @@
     }
 
     /// Notes what another process was told by the instance, a moment ago.
-    pub fn told(&mut self, now: Moment, pick: Pick, report: LoadReport) {
+    pub fn report_relayed(&mut self, now: Moment, pick: Pick, report: LoadReport) {
         if let Some(row) = self.row(pick) {
             row.report = Some((now, report));
             row.since = 0;
