--- a/crates/demo/examples/policy/run.rs
+++ b/crates/demo/examples/policy/run.rs
@@ -17,7 +17,7 @@
 use route::Instance;
 use route::Kind;
 use route::Pick;
-use route::Probed;
+use route::ProbeResult;
 use tokio::task::LocalSet;
 use tokio::task::spawn_local;
 use tokio::time::timeout;
@@ -138,7 +138,7 @@
     let answer = timeout(PROBE_TIMEOUT * STRETCH, serve).await.ok();
     let answer = answer.filter(|answer| answer.kind == Kind::Ok);
     let report = answer.and_then(|answer| answer.report);
-    let result = report.map_or(Probed::Failed, Probed::Load);
+    let result = report.map_or(ProbeResult::Failed, ProbeResult::Load);
     let chooser = &mut gateway.borrow_mut().chooser;
     chooser.probed(time.now(), pick, result);
 }
--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -19,7 +19,7 @@
 use measure::Denied;
 use measure::Meter;
 use route::Pick;
-use route::Probed;
+use route::ProbeResult;
 use slog::debug;
 use tokio::time::sleep_until;
 use tokio::time::timeout;
@@ -164,7 +164,7 @@
         "instance" => id.as_ref().map(InstanceId::as_str),
         "in_flight" => result.map(|r| r.in_flight),
     );
-    let probed = result.map_or(Probed::Failed, Probed::Load);
+    let probed = result.map_or(ProbeResult::Failed, ProbeResult::Load);
     desk.state().chooser.probed(core.clock.now(), pick, probed);
 }
 
--- a/crates/place/examples/concentration/rig.rs
+++ b/crates/place/examples/concentration/rig.rs
@@ -15,7 +15,7 @@
 use route::Phase;
 use route::Pick;
 use route::Policy;
-use route::Probed;
+use route::ProbeResult;
 use route::Settings;
 use tokio::task::LocalSet;
 use tokio::task::spawn_local;
@@ -183,7 +183,7 @@
         let report = world.fakes[instance].serve(world.shape.probe).await;
         let now = world.time.now();
         let mut gateway = world.gateways[gateway].borrow_mut();
-        gateway.chooser.probed(now, pick, Probed::Load(report));
+        gateway.chooser.probed(now, pick, ProbeResult::Load(report));
     }
 }
 
--- a/crates/route/src/chooser.rs
+++ b/crates/route/src/chooser.rs
@@ -18,7 +18,7 @@
 use crate::instance::Pick;
 use crate::instance::Ticket;
 use crate::outcome::Outcome;
-use crate::outcome::Probed;
+use crate::outcome::ProbeResult;
 use crate::policy::Choice;
 use crate::policy::Policy;
 use crate::policy::Reason;
@@ -350,7 +350,7 @@
     }
 
     /// Notes the end of a probe.
-    pub fn probed(&mut self, now: Moment, pick: Pick, result: Probed) {
+    pub fn probed(&mut self, now: Moment, pick: Pick, result: ProbeResult) {
         let settings = self.settings;
         let Some(entry) = self.entry(pick) else {
             return;
@@ -358,11 +358,11 @@
         entry.probing = false;
         entry.probed = Some(now);
         match result {
-            Probed::Load(report) => {
+            ProbeResult::Load(report) => {
                 entry.report(now, report, &settings);
                 entry.health.probe_answered(now);
             }
-            Probed::Failed => {
+            ProbeResult::Failed => {
                 if entry.health.probe_failed(entry.is_suspect()) {
                     self.eject(now, pick, Cause::Silence);
                 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -34,7 +34,7 @@
 pub use outcome::Kind;
 pub use outcome::LoadReport;
 pub use outcome::Outcome;
-pub use outcome::Probed;
+pub use outcome::ProbeResult;
 pub use outcome::Report;
 pub use policy::Choice;
 pub use policy::Policy;
--- a/crates/route/src/outcome.rs
+++ b/crates/route/src/outcome.rs
@@ -59,7 +59,7 @@
 
 /// The end of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Probed {
+pub enum ProbeResult {
     /// It was answered with a report.
     Load(Report),
     /// It failed or took too long.
--- a/crates/route/tests/common/mod.rs
+++ b/crates/route/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use route::Phase;
 use route::Pick;
 use route::Policy;
-use route::Probed;
+use route::ProbeResult;
 use route::Report;
 use route::Settings;
 use route::Ticket;
@@ -68,7 +68,7 @@
     pub chooser: Chooser,
     now: u64,
     running: Vec<Running>,
-    probing: Vec<(u64, Pick, Probed)>,
+    probing: Vec<(u64, Pick, ProbeResult)>,
 }
 
 impl Drive {
@@ -175,7 +175,7 @@
             return;
         };
         let report = self.report(self.index(pick));
-        let result = report.map_or(Probed::Failed, Probed::Load);
+        let result = report.map_or(ProbeResult::Failed, ProbeResult::Load);
         self.probing.push((self.now + 5, pick, result));
     }
 
--- a/crates/route/tests/test_schedules.rs
+++ b/crates/route/tests/test_schedules.rs
@@ -16,7 +16,7 @@
 use route::Phase;
 use route::Pick;
 use route::Policy;
-use route::Probed;
+use route::ProbeResult;
 use route::Report;
 use route::Settings;
 use route::Ticket;
@@ -155,9 +155,9 @@
             return;
         };
         let result = if answered {
-            Probed::Load(report(7))
+            ProbeResult::Load(report(7))
         } else {
-            Probed::Failed
+            ProbeResult::Failed
         };
         self.chooser.probed(self.now, pick, result);
     }
