--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -233,9 +233,11 @@
     }
 
     /// Ejected instances that a probe may bring back.
-    pub fn ejected(&mut self, now: Moment) -> Vec<(Pick, Arc<Upstream>)> {
+    pub fn plan_ejected(&mut self, now: Moment) -> Vec<(Pick, Arc<Upstream>)> {
         let probes = &mut self.probes;
-        let picks = self.chooser.ejected(now, |count| probes.take(now, count));
+        let picks = self
+            .chooser
+            .plan_ejected(now, |count| probes.take(now, count));
         self.upstreams(picks)
     }
 
--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -44,7 +44,7 @@
     loop {
         tokio::time::sleep(LOOK).await;
         core.desks(Desk::pass_time);
-        for (service, due) in core.desks(Desk::ejected) {
+        for (service, due) in core.desks(Desk::plan_ejected) {
             if !due.is_empty() {
                 ask(&core, &service, due).await;
             }
--- a/crates/route/src/probing.rs
+++ b/crates/route/src/probing.rs
@@ -375,7 +375,7 @@
     /// Ejected instances whose time is over, which a probe may bring back.
     ///
     /// `allow` is told how many are wanted, and says how many may be asked.
-    pub fn ejected(&mut self, now: Moment, allow: impl FnOnce(usize) -> usize) -> Vec<Pick> {
+    pub fn plan_ejected(&mut self, now: Moment, allow: impl FnOnce(usize) -> usize) -> Vec<Pick> {
         let due = |r: &Row| {
             let since = if self.may_be_gone(r) {
                 SILENT_PAUSE
--- a/crates/route/tests/test_probing.rs
+++ b/crates/route/tests/test_probing.rs
@@ -247,7 +247,7 @@
     let (_, pick) = sent(&mut fresh, at(20)).expect("one is left");
     fresh.displaced(pick);
     assert_eq!(fresh.choose(at(20), &NEED, &[]), Decision::None);
-    assert!(fresh.ejected(at(60_000), |count| count).is_empty());
+    assert!(fresh.plan_ejected(at(60_000), |count| count).is_empty());
 }
 
 #[test]
@@ -270,7 +270,7 @@
     // Three failures eject it; from then on it gets a trial now and then.
     assert!((3..=8).contains(&failed), "{failed} requests went there");
     let later = at(60_000);
-    let due = fresh.ejected(later, |count| count);
+    let due = fresh.plan_ejected(later, |count| count);
     assert_eq!(due.len(), 1);
     fresh.probed(later, due[0], Some(report(0, 0, 100)));
     assert_eq!(sent(&mut fresh, later).map(|s| s.0).as_deref(), Some("i-1"));
