--- a/crates/demo/examples/policy/call.rs
+++ b/crates/demo/examples/policy/call.rs
@@ -58,7 +58,7 @@
                         let late = now >= deadline;
                         let outcome = Outcome {
                             kind: [Kind::Cancelled, Kind::Timeout][usize::from(late)],
-                            latency: now.since(ticket.began()),
+                            latency: now.since(ticket.started_at()),
                             report: None,
                         };
                         chooser.finished(now, ticket, outcome);
--- a/crates/gateway/src/track.rs
+++ b/crates/gateway/src/track.rs
@@ -20,7 +20,7 @@
     desk: Arc<Desk>,
     clock: Clock,
     ticket: Option<Ticket>,
-    began: Moment,
+    started_at: Moment,
     latency: Option<Duration>,
     report: Option<Report>,
     kind: Kind,
@@ -39,7 +39,7 @@
         Self {
             desk,
             clock,
-            began: ticket.began(),
+            started_at: ticket.started_at(),
             ticket: Some(ticket),
             latency: None,
             report: None,
@@ -50,7 +50,7 @@
 
     /// Notes the answer's head: its time and the load report on it.
     pub fn head(&mut self, headers: &HeaderMap) {
-        self.latency = Some(self.clock.now().since(self.began));
+        self.latency = Some(self.clock.now().since(self.started_at));
         self.report = headers.get(header::LOAD).and_then(read_report);
     }
 
@@ -68,7 +68,7 @@
         let now = self.clock.now();
         let outcome = Outcome {
             kind: self.kind,
-            latency: self.latency.unwrap_or_else(|| now.since(self.began)),
+            latency: self.latency.unwrap_or_else(|| now.since(self.started_at)),
             report: self.report,
         };
         self.desk.state().chooser.finished(now, ticket, outcome);
--- a/crates/route/examples/bench_choose.rs
+++ b/crates/route/examples/bench_choose.rs
@@ -51,7 +51,7 @@
             running.push_back(chooser.started(now, choice.pick));
             if running.len() > count * IN_FLIGHT {
                 let ticket = running.pop_front().expect("some run");
-                let latency = now.since(ticket.began());
+                let latency = now.since(ticket.started_at());
                 chooser.finished(now, ticket, outcome(latency));
             }
         }
--- a/crates/route/src/chooser.rs
+++ b/crates/route/src/chooser.rs
@@ -268,17 +268,20 @@
         if let Some(entry) = self.entry(pick) {
             entry.start(now);
         }
-        Ticket { pick, began: now }
+        Ticket {
+            pick,
+            started_at: now,
+        }
     }
 
     /// Notes the end of an attempt.
     pub fn finished(&mut self, now: Moment, ticket: Ticket, outcome: Outcome) {
-        let (pick, began) = ticket.close();
+        let (pick, started_at) = ticket.close();
         let (usual, settings) = (self.usual, self.settings);
         let Some(entry) = self.entry(pick) else {
             return;
         };
-        match entry.finish(now, began, outcome, usual, &settings) {
+        match entry.finish(now, started_at, outcome, usual, &settings) {
             Verdict::Worked(work) => self.learn(now, pick, work),
             Verdict::Bad(cause) => self.eject(now, pick, cause),
             Verdict::Nothing => self.check_silence(now, pick),
--- a/crates/route/src/entry.rs
+++ b/crates/route/src/entry.rs
@@ -208,12 +208,12 @@
     pub(crate) fn finish(
         &mut self,
         now: Moment,
-        began: Moment,
+        started_at: Moment,
         outcome: Outcome,
         usual: Usual,
         settings: &Settings,
     ) -> Verdict {
-        if let Some(index) = self.starts.iter().position(|start| *start == began) {
+        if let Some(index) = self.starts.iter().position(|start| *start == started_at) {
             self.starts.remove(index);
         }
         if let Some(report) = outcome.report {
--- a/crates/route/src/instance.rs
+++ b/crates/route/src/instance.rs
@@ -70,7 +70,7 @@
 #[must_use = "an attempt that is never finished counts as in flight for good"]
 pub struct Ticket {
     pub(crate) pick: Pick,
-    pub(crate) began: Moment,
+    pub(crate) started_at: Moment,
 }
 
 impl Ticket {
@@ -82,12 +82,12 @@
 
     /// When the attempt began.
     #[must_use]
-    pub fn began(&self) -> Moment {
-        self.began
+    pub fn started_at(&self) -> Moment {
+        self.started_at
     }
 
     /// Uses the ticket up.
     pub(crate) fn close(self) -> (Pick, Moment) {
-        (self.pick, self.began)
+        (self.pick, self.started_at)
     }
 }
--- a/crates/route/src/probing/results.rs
+++ b/crates/route/src/probing/results.rs
@@ -84,7 +84,10 @@
         if let Some(row) = self.row(pick) {
             row.start(now);
         }
-        Ticket { pick, began: now }
+        Ticket {
+            pick,
+            started_at: now,
+        }
     }
 
     /// Notes the end of an attempt, with the report that came on its answer.
@@ -95,11 +98,11 @@
         kind: Kind,
         report: Option<LoadReport>,
     ) {
-        let (pick, began) = ticket.close();
+        let (pick, started_at) = ticket.close();
         let Some(row) = self.row(pick) else {
             return;
         };
-        if let Some(at) = row.starts.iter().position(|start| *start == began) {
+        if let Some(at) = row.starts.iter().position(|start| *start == started_at) {
             row.starts.remove(at);
         }
         if let Some(report) = report {
--- a/crates/route/tests/test_schedules.rs
+++ b/crates/route/tests/test_schedules.rs
@@ -144,7 +144,7 @@
         ];
         let outcome = Outcome {
             kind: kinds[usize::from(kind) % kinds.len()],
-            latency: self.now.since(ticket.began()),
+            latency: self.now.since(ticket.started_at()),
             report: (kind > 99).then_some(report(kind)),
         };
         self.chooser.finished(self.now, ticket, outcome);
