--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -19,7 +19,7 @@
 
 pub use dispatcher::dispatcher;
 pub use grants::Grants;
-pub use tenure::Dispatched;
+pub use tenure::DispatcherLocation;
 pub use tenure::Tenure;
 pub use trust::Trust;
 pub use warmup::Warmup;
--- a/crates/dispatch/src/tenure.rs
+++ b/crates/dispatch/src/tenure.rs
@@ -12,7 +12,7 @@
 
 /// Who decides for a service, as one process sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Dispatched {
+pub enum DispatcherLocation {
     /// Each process for its own requests.
     #[default]
     Nobody,
@@ -25,7 +25,7 @@
 /// Since when this process decides.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tenure {
-    now: Dispatched,
+    now: DispatcherLocation,
     /// It may spend what all share from then on.
     from: Moment,
 }
@@ -33,11 +33,11 @@
 impl Tenure {
     /// Takes who decides now. Where nobody did before, as after a restart of everything,
     /// there is no one to wait for.
-    pub fn set(&mut self, now: Moment, next: Dispatched) {
+    pub fn set(&mut self, now: Moment, next: DispatcherLocation) {
         if self.now != next {
             self.from = match self.now {
-                Dispatched::Nobody => now,
-                Dispatched::Here | Dispatched::Elsewhere => now + SETTLED,
+                DispatcherLocation::Nobody => now,
+                DispatcherLocation::Here | DispatcherLocation::Elsewhere => now + SETTLED,
             };
         }
         self.now = next;
@@ -45,13 +45,13 @@
 
     /// Who decides.
     #[must_use]
-    pub fn dispatched(&self) -> Dispatched {
+    pub fn dispatched(&self) -> DispatcherLocation {
         self.now
     }
 
     /// Whether this process may spend what all share.
     #[must_use]
     pub fn is_settled(&self, now: Moment) -> bool {
-        self.now == Dispatched::Here && now >= self.from
+        self.now == DispatcherLocation::Here && now >= self.from
     }
 }
--- a/crates/dispatch/tests/test_dispatch.rs
+++ b/crates/dispatch/tests/test_dispatch.rs
@@ -1,7 +1,7 @@
 //! Who dispatches, whether it answers, and what it gave away.
 
 use base::prelude::*;
-use dispatch::Dispatched;
+use dispatch::DispatcherLocation;
 use dispatch::Grants;
 use dispatch::Tenure;
 use dispatch::Trust;
@@ -96,17 +96,17 @@
 #[test]
 fn test_tenure_shared_budget_waits_for_the_one_before() {
     let mut tenure = Tenure::default();
-    tenure.set(at(0), Dispatched::Elsewhere);
-    tenure.set(at(100), Dispatched::Here);
-    tenure.set(at(300), Dispatched::Here);
+    tenure.set(at(0), DispatcherLocation::Elsewhere);
+    tenure.set(at(100), DispatcherLocation::Here);
+    tenure.set(at(300), DispatcherLocation::Here);
     assert!(!tenure.is_settled(at(399)));
     assert!(tenure.is_settled(at(400)));
-    tenure.set(at(500), Dispatched::Elsewhere);
+    tenure.set(at(500), DispatcherLocation::Elsewhere);
     assert!(!tenure.is_settled(at(900)));
-    tenure.set(at(1_000), Dispatched::Here);
+    tenure.set(at(1_000), DispatcherLocation::Here);
     assert!(!tenure.is_settled(at(1_299)));
     // After a restart of everything there was nobody.
     let mut tenure = Tenure::default();
-    tenure.set(at(0), Dispatched::Here);
+    tenure.set(at(0), DispatcherLocation::Here);
     assert!(tenure.is_settled(at(0)));
 }
--- a/crates/entry/src/core/share.rs
+++ b/crates/entry/src/core/share.rs
@@ -1,7 +1,7 @@
 //! Which process decides for a service, and who sends to instances that are cold.
 
 use base::prelude::*;
-use dispatch::Dispatched;
+use dispatch::DispatcherLocation;
 use dispatch::Warmup;
 
 use super::Core;
@@ -52,9 +52,9 @@
         desk.set_dispatched(
             now,
             match (here, elsewhere) {
-                (true, _) => Dispatched::Here,
-                (false, Some(_)) => Dispatched::Elsewhere,
-                (false, None) => Dispatched::Nobody,
+                (true, _) => DispatcherLocation::Here,
+                (false, Some(_)) => DispatcherLocation::Elsewhere,
+                (false, None) => DispatcherLocation::Nobody,
             },
         );
         known
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ::dispatch::Dispatched;
+use ::dispatch::DispatcherLocation;
 use ::dispatch::Grants;
 use ::dispatch::Tenure;
 use ::dispatch::Warmup;
@@ -156,9 +156,11 @@
     fn share_probes(&mut self, now: Moment) {
         let entries = self.shared.entries;
         let (part, processes) = match self.tenure.dispatched() {
-            Dispatched::Nobody => (1.0, entries),
-            Dispatched::Here if self.tenure.is_settled(now) => (DISPATCHER_PROBES, 1),
-            Dispatched::Here | Dispatched::Elsewhere => (1.0 - DISPATCHER_PROBES, entries),
+            DispatcherLocation::Nobody => (1.0, entries),
+            DispatcherLocation::Here if self.tenure.is_settled(now) => (DISPATCHER_PROBES, 1),
+            DispatcherLocation::Here | DispatcherLocation::Elsewhere => {
+                (1.0 - DISPATCHER_PROBES, entries)
+            }
         };
         let budget = (f64::from(self.shared.probes) * SPENT_PROBES * part).floor();
         #[expect(
--- a/crates/entry/src/desk/dispatch.rs
+++ b/crates/entry/src/desk/dispatch.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ::dispatch::Dispatched;
+use ::dispatch::DispatcherLocation;
 use base::prelude::*;
 use route::Kind;
 use route::LoadReport;
@@ -29,7 +29,7 @@
 
 impl Desk {
     /// Takes who decides for the service.
-    pub fn set_dispatched(&mut self, now: Moment, dispatched: Dispatched) {
+    pub fn set_dispatched(&mut self, now: Moment, dispatched: DispatcherLocation) {
         self.tenure.set(now, dispatched);
         self.share_probes(now);
     }
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use dispatch::Dispatched;
+use dispatch::DispatcherLocation;
 use entry::desk::Chosen;
 use entry::desk::Desk;
 use entry::desk::Verdict;
@@ -151,7 +151,7 @@
         });
         desk.update(at(0), listed);
         if dispatched {
-            desk.set_dispatched(at(0), Dispatched::Here);
+            desk.set_dispatched(at(0), DispatcherLocation::Here);
         }
         desk
     };
