--- a/crates/dispatch/src/tenure.rs
+++ b/crates/dispatch/src/tenure.rs
@@ -15,7 +15,7 @@
 pub enum DispatcherLocation {
     /// Each process for its own requests.
     #[default]
-    Nobody,
+    Unassigned,
     /// This process.
     Here,
     /// Another one.
@@ -36,7 +36,7 @@
     pub fn set(&mut self, now: Moment, next: DispatcherLocation) {
         if self.now != next {
             self.from = match self.now {
-                DispatcherLocation::Nobody => now,
+                DispatcherLocation::Unassigned => now,
                 DispatcherLocation::Here | DispatcherLocation::Elsewhere => now + SETTLED,
             };
         }
--- a/crates/entry/src/core/share.rs
+++ b/crates/entry/src/core/share.rs
@@ -54,7 +54,7 @@
             match (here, elsewhere) {
                 (true, _) => DispatcherLocation::Here,
                 (false, Some(_)) => DispatcherLocation::Elsewhere,
-                (false, None) => DispatcherLocation::Nobody,
+                (false, None) => DispatcherLocation::Unassigned,
             },
         );
         known
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -156,7 +156,7 @@
     fn share_probes(&mut self, now: Moment) {
         let entries = self.shared.entries;
         let (part, processes) = match self.tenure.dispatched() {
-            DispatcherLocation::Nobody => (1.0, entries),
+            DispatcherLocation::Unassigned => (1.0, entries),
             DispatcherLocation::Here if self.tenure.is_settled(now) => (DISPATCHER_PROBES, 1),
             DispatcherLocation::Here | DispatcherLocation::Elsewhere => {
                 (1.0 - DISPATCHER_PROBES, entries)
