--- a/crates/dispatch/src/tenure.rs
+++ b/crates/dispatch/src/tenure.rs
@@ -17,7 +17,7 @@
     #[default]
     Unassigned,
     /// This process.
-    Here,
+    Local,
     /// Another one.
     Elsewhere,
 }
@@ -37,7 +37,7 @@
         if self.now != next {
             self.from = match self.now {
                 DispatcherLocation::Unassigned => now,
-                DispatcherLocation::Here | DispatcherLocation::Elsewhere => now + SETTLED,
+                DispatcherLocation::Local | DispatcherLocation::Elsewhere => now + SETTLED,
             };
         }
         self.now = next;
@@ -52,6 +52,6 @@
     /// Whether this process may spend what all share.
     #[must_use]
     pub fn is_settled(&self, now: Moment) -> bool {
-        self.now == DispatcherLocation::Here && now >= self.from
+        self.now == DispatcherLocation::Local && now >= self.from
     }
 }
--- a/crates/entry/src/core/share.rs
+++ b/crates/entry/src/core/share.rs
@@ -52,7 +52,7 @@
         desk.set_dispatched(
             now,
             match (here, elsewhere) {
-                (true, _) => DispatcherLocation::Here,
+                (true, _) => DispatcherLocation::Local,
                 (false, Some(_)) => DispatcherLocation::Elsewhere,
                 (false, None) => DispatcherLocation::Unassigned,
             },
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -157,8 +157,8 @@
         let entries = self.shared.entries;
         let (part, processes) = match self.tenure.dispatched() {
             DispatcherLocation::Unassigned => (1.0, entries),
-            DispatcherLocation::Here if self.tenure.is_settled(now) => (DISPATCHER_PROBES, 1),
-            DispatcherLocation::Here | DispatcherLocation::Elsewhere => {
+            DispatcherLocation::Local if self.tenure.is_settled(now) => (DISPATCHER_PROBES, 1),
+            DispatcherLocation::Local | DispatcherLocation::Elsewhere => {
                 (1.0 - DISPATCHER_PROBES, entries)
             }
         };
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -151,7 +151,7 @@
         });
         desk.update(at(0), listed);
         if dispatched {
-            desk.set_dispatched(at(0), DispatcherLocation::Here);
+            desk.set_dispatched(at(0), DispatcherLocation::Local);
         }
         desk
     };
