--- a/crates/dispatch/src/tenure.rs
+++ b/crates/dispatch/src/tenure.rs
@@ -19,7 +19,7 @@
     /// This process.
     Local,
     /// Another one.
-    Elsewhere,
+    Remote,
 }
 
 /// Since when this process decides.
@@ -37,7 +37,7 @@
         if self.now != next {
             self.from = match self.now {
                 DispatcherLocation::Unassigned => now,
-                DispatcherLocation::Local | DispatcherLocation::Elsewhere => now + SETTLED,
+                DispatcherLocation::Local | DispatcherLocation::Remote => now + SETTLED,
             };
         }
         self.now = next;
--- a/crates/dispatch/tests/test_dispatch.rs
+++ b/crates/dispatch/tests/test_dispatch.rs
@@ -96,12 +96,12 @@
 #[test]
 fn test_tenure_shared_budget_waits_for_the_one_before() {
     let mut tenure = Tenure::default();
-    tenure.set(at(0), DispatcherLocation::Elsewhere);
+    tenure.set(at(0), DispatcherLocation::Remote);
     tenure.set(at(100), DispatcherLocation::Local);
     tenure.set(at(300), DispatcherLocation::Local);
     assert!(!tenure.is_settled(at(399)));
     assert!(tenure.is_settled(at(400)));
-    tenure.set(at(500), DispatcherLocation::Elsewhere);
+    tenure.set(at(500), DispatcherLocation::Remote);
     assert!(!tenure.is_settled(at(900)));
     tenure.set(at(1_000), DispatcherLocation::Local);
     assert!(!tenure.is_settled(at(1_299)));
--- a/crates/entry/src/core/share.rs
+++ b/crates/entry/src/core/share.rs
@@ -53,7 +53,7 @@
             now,
             match (here, elsewhere) {
                 (true, _) => DispatcherLocation::Local,
-                (false, Some(_)) => DispatcherLocation::Elsewhere,
+                (false, Some(_)) => DispatcherLocation::Remote,
                 (false, None) => DispatcherLocation::Unassigned,
             },
         );
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -158,7 +158,7 @@
         let (part, processes) = match self.tenure.dispatched() {
             DispatcherLocation::Unassigned => (1.0, entries),
             DispatcherLocation::Local if self.tenure.is_settled(now) => (DISPATCHER_PROBES, 1),
-            DispatcherLocation::Local | DispatcherLocation::Elsewhere => {
+            DispatcherLocation::Local | DispatcherLocation::Remote => {
                 (1.0 - DISPATCHER_PROBES, entries)
             }
         };
