--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -20,6 +20,6 @@
 pub use dispatcher::dispatcher;
 pub use grants::Grants;
 pub use tenure::DispatcherLocation;
-pub use tenure::Tenure;
+pub use tenure::DispatcherRole;
 pub use trust::Trust;
 pub use warmup::Warmup;
--- a/crates/dispatch/src/tenure.rs
+++ b/crates/dispatch/src/tenure.rs
@@ -24,13 +24,13 @@
 
 /// Since when this process decides.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tenure {
+pub struct DispatcherRole {
     now: DispatcherLocation,
     /// It may spend what all share from then on.
     from: Moment,
 }
 
-impl Tenure {
+impl DispatcherRole {
     /// Takes who decides now. Where nobody did before, as after a restart of everything,
     /// there is no one to wait for.
     pub fn set(&mut self, now: Moment, next: DispatcherLocation) {
--- a/crates/dispatch/tests/test_dispatch.rs
+++ b/crates/dispatch/tests/test_dispatch.rs
@@ -2,8 +2,8 @@
 
 use base::prelude::*;
 use dispatch::DispatcherLocation;
+use dispatch::DispatcherRole;
 use dispatch::Grants;
-use dispatch::Tenure;
 use dispatch::Trust;
 use dispatch::dispatcher;
 use quickcheck::quickcheck;
@@ -95,7 +95,7 @@
 
 #[test]
 fn test_tenure_shared_budget_waits_for_the_one_before() {
-    let mut tenure = Tenure::default();
+    let mut tenure = DispatcherRole::default();
     tenure.set(at(0), DispatcherLocation::Remote);
     tenure.set(at(100), DispatcherLocation::Local);
     tenure.set(at(300), DispatcherLocation::Local);
@@ -106,7 +106,7 @@
     tenure.set(at(1_000), DispatcherLocation::Local);
     assert!(!tenure.is_settled(at(1_299)));
     // After a restart of everything there was nobody.
-    let mut tenure = Tenure::default();
+    let mut tenure = DispatcherRole::default();
     tenure.set(at(0), DispatcherLocation::Local);
     assert!(tenure.is_settled(at(0)));
 }
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use ::dispatch::DispatcherLocation;
+use ::dispatch::DispatcherRole;
 use ::dispatch::Grants;
-use ::dispatch::Tenure;
 use ::dispatch::Warmup;
 use admit::Waiting;
 use attempt::budget::Budget;
@@ -76,7 +76,7 @@
     /// What was granted to other processes.
     grants: Grants<Ticket>,
     /// Whether this process decides for all, or another does.
-    tenure: Tenure,
+    tenure: DispatcherRole,
     /// What cold instances bear; none where nothing bounds it.
     warmup: Option<Warmup>,
     /// Who shares that.
@@ -138,7 +138,7 @@
             refused: 0.0,
             refused_at: now,
             grants: Grants::starting(seed),
-            tenure: Tenure::default(),
+            tenure: DispatcherRole::default(),
             warmup: None,
             processes: Arc::default(),
             born: now,
