--- a/crates/dispatch/tests/test_dispatch.rs
+++ b/crates/dispatch/tests/test_dispatch.rs
@@ -95,18 +95,18 @@
 
 #[test]
 fn test_tenure_shared_budget_waits_for_the_one_before() {
-    let mut tenure = DispatcherRole::default();
-    tenure.set(at(0), DispatcherLocation::Remote);
-    tenure.set(at(100), DispatcherLocation::Local);
-    tenure.set(at(300), DispatcherLocation::Local);
-    assert!(!tenure.is_settled(at(399)));
-    assert!(tenure.is_settled(at(400)));
-    tenure.set(at(500), DispatcherLocation::Remote);
-    assert!(!tenure.is_settled(at(900)));
-    tenure.set(at(1_000), DispatcherLocation::Local);
-    assert!(!tenure.is_settled(at(1_299)));
+    let mut dispatcher_role = DispatcherRole::default();
+    dispatcher_role.set(at(0), DispatcherLocation::Remote);
+    dispatcher_role.set(at(100), DispatcherLocation::Local);
+    dispatcher_role.set(at(300), DispatcherLocation::Local);
+    assert!(!dispatcher_role.is_settled(at(399)));
+    assert!(dispatcher_role.is_settled(at(400)));
+    dispatcher_role.set(at(500), DispatcherLocation::Remote);
+    assert!(!dispatcher_role.is_settled(at(900)));
+    dispatcher_role.set(at(1_000), DispatcherLocation::Local);
+    assert!(!dispatcher_role.is_settled(at(1_299)));
     // After a restart of everything there was nobody.
-    let mut tenure = DispatcherRole::default();
-    tenure.set(at(0), DispatcherLocation::Local);
-    assert!(tenure.is_settled(at(0)));
+    let mut dispatcher_role = DispatcherRole::default();
+    dispatcher_role.set(at(0), DispatcherLocation::Local);
+    assert!(dispatcher_role.is_settled(at(0)));
 }
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -76,7 +76,7 @@
     /// What was granted to other processes.
     grants: Grants<Ticket>,
     /// Whether this process decides for all, or another does.
-    tenure: DispatcherRole,
+    dispatcher_role: DispatcherRole,
     /// What cold instances bear; none where nothing bounds it.
     warmup: Option<Warmup>,
     /// Who shares that.
@@ -138,7 +138,7 @@
             refused: 0.0,
             refused_at: now,
             grants: Grants::starting(seed),
-            tenure: DispatcherRole::default(),
+            dispatcher_role: DispatcherRole::default(),
             warmup: None,
             processes: Arc::default(),
             born: now,
@@ -155,9 +155,11 @@
 
     fn share_probes(&mut self, now: Moment) {
         let entries = self.shared.entries;
-        let (part, processes) = match self.tenure.dispatched() {
+        let (part, processes) = match self.dispatcher_role.dispatched() {
             DispatcherLocation::Unassigned => (1.0, entries),
-            DispatcherLocation::Local if self.tenure.is_settled(now) => (DISPATCHER_PROBES, 1),
+            DispatcherLocation::Local if self.dispatcher_role.is_settled(now) => {
+                (DISPATCHER_PROBES, 1)
+            }
             DispatcherLocation::Local | DispatcherLocation::Remote => {
                 (1.0 - DISPATCHER_PROBES, entries)
             }
--- a/crates/entry/src/desk/dispatch.rs
+++ b/crates/entry/src/desk/dispatch.rs
@@ -30,7 +30,7 @@
 impl Desk {
     /// Takes who decides for the service.
     pub fn set_dispatched(&mut self, now: Moment, dispatched: DispatcherLocation) {
-        self.tenure.set(now, dispatched);
+        self.dispatcher_role.set(now, dispatched);
         self.share_probes(now);
     }
 
