--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -13,13 +13,13 @@
 
 pub mod dispatcher;
 pub mod grants;
-pub mod tenure;
+pub mod role;
 pub mod trust;
 pub mod warmup;
 
 pub use dispatcher::dispatcher;
 pub use grants::Grants;
-pub use tenure::DispatcherLocation;
-pub use tenure::DispatcherRole;
+pub use role::DispatcherLocation;
+pub use role::DispatcherRole;
 pub use trust::Trust;
 pub use warmup::Warmup;
