--- a/crates/dispatch/src/role.rs
+++ b/crates/dispatch/src/role.rs
@@ -45,7 +45,7 @@
 
     /// Who decides.
     #[must_use]
-    pub fn dispatched(&self) -> DispatcherLocation {
+    pub fn location(&self) -> DispatcherLocation {
         self.now
     }
 
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -155,7 +155,7 @@
 
     fn share_probes(&mut self, now: Moment) {
         let entries = self.shared.entries;
-        let (part, processes) = match self.dispatcher_role.dispatched() {
+        let (part, processes) = match self.dispatcher_role.location() {
             DispatcherLocation::Unassigned => (1.0, entries),
             DispatcherLocation::Local if self.dispatcher_role.is_settled(now) => {
                 (DISPATCHER_PROBES, 1)
