--- a/crates/dispatch/src/role.rs
+++ b/crates/dispatch/src/role.rs
@@ -51,7 +51,7 @@
 
     /// Whether this process may spend what all share.
     #[must_use]
-    pub fn is_settled(&self, now: Moment) -> bool {
+    pub fn may_spend_shared(&self, now: Moment) -> bool {
         self.now == DispatcherLocation::Local && now >= self.from
     }
 }
--- a/crates/dispatch/tests/test_dispatch.rs
+++ b/crates/dispatch/tests/test_dispatch.rs
@@ -99,14 +99,14 @@
     dispatcher_role.set(at(0), DispatcherLocation::Remote);
     dispatcher_role.set(at(100), DispatcherLocation::Local);
     dispatcher_role.set(at(300), DispatcherLocation::Local);
-    assert!(!dispatcher_role.is_settled(at(399)));
-    assert!(dispatcher_role.is_settled(at(400)));
+    assert!(!dispatcher_role.may_spend_shared(at(399)));
+    assert!(dispatcher_role.may_spend_shared(at(400)));
     dispatcher_role.set(at(500), DispatcherLocation::Remote);
-    assert!(!dispatcher_role.is_settled(at(900)));
+    assert!(!dispatcher_role.may_spend_shared(at(900)));
     dispatcher_role.set(at(1_000), DispatcherLocation::Local);
-    assert!(!dispatcher_role.is_settled(at(1_299)));
+    assert!(!dispatcher_role.may_spend_shared(at(1_299)));
     // After a restart of everything there was nobody.
     let mut dispatcher_role = DispatcherRole::default();
     dispatcher_role.set(at(0), DispatcherLocation::Local);
-    assert!(dispatcher_role.is_settled(at(0)));
+    assert!(dispatcher_role.may_spend_shared(at(0)));
 }
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -157,7 +157,7 @@
         let entries = self.shared.entries;
         let (part, processes) = match self.dispatcher_role.location() {
             DispatcherLocation::Unassigned => (1.0, entries),
-            DispatcherLocation::Local if self.dispatcher_role.is_settled(now) => {
+            DispatcherLocation::Local if self.dispatcher_role.may_spend_shared(now) => {
                 (DISPATCHER_PROBES, 1)
             }
             DispatcherLocation::Local | DispatcherLocation::Remote => {
