--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -21,5 +21,5 @@
 pub use grants::Grants;
 pub use role::DispatcherLocation;
 pub use role::DispatcherRole;
-pub use trust::Trust;
+pub use trust::CircuitBreaker;
 pub use warmup::Warmup;
--- a/crates/dispatch/src/trust.rs
+++ b/crates/dispatch/src/trust.rs
@@ -14,7 +14,7 @@
 
 /// What the questions to one dispatcher came to.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trust {
+pub struct CircuitBreaker {
     open: u32,
     /// When it last answered, or the first of the open questions went out.
     since: Option<Moment>,
@@ -23,7 +23,7 @@
     lost: bool,
 }
 
-impl Trust {
+impl CircuitBreaker {
     /// Whether it is worth asking now; if so, the question counts as asked.
     pub fn ask(&mut self, now: Moment) -> bool {
         if self.paused.is_some_and(|until| now < until) {
--- a/crates/dispatch/tests/test_dispatch.rs
+++ b/crates/dispatch/tests/test_dispatch.rs
@@ -1,10 +1,10 @@
 //! Who dispatches, whether it answers, and what it gave away.
 
 use base::prelude::*;
+use dispatch::CircuitBreaker;
 use dispatch::DispatcherLocation;
 use dispatch::DispatcherRole;
 use dispatch::Grants;
-use dispatch::Trust;
 use dispatch::dispatcher;
 use quickcheck::quickcheck;
 use std::collections::BTreeSet;
@@ -48,7 +48,7 @@
 
 #[test]
 fn test_trust_silent_dispatcher_is_asked_no_more() {
-    let mut trust = Trust::default();
+    let mut trust = CircuitBreaker::default();
     assert!(trust.ask(at(0)));
     // Others ask while it still may answer, and none after.
     assert!(trust.ask(at(59)));
@@ -66,7 +66,7 @@
 
 #[test]
 fn test_trust_answers_of_any_question_count() {
-    let mut trust = Trust::default();
+    let mut trust = CircuitBreaker::default();
     for step in 0..100 {
         assert!(trust.ask(at(step * 30)), "step {step}");
         if step > 0 {
--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/placing.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use dispatch::Trust;
+use dispatch::CircuitBreaker;
 use slog::Logger;
 use slog::info;
 use tarpc::client::RpcError;
@@ -73,7 +73,7 @@
 /// One dispatcher.
 pub struct Place {
     link: PlaceLink,
-    trust: Mutex<Trust>,
+    trust: Mutex<CircuitBreaker>,
     clock: Clock,
     log: Logger,
 }
@@ -134,7 +134,7 @@
 impl Place {
     /// Asks; none where it doesn't answer in time or isn't worth asking.
     async fn ask(&self, ask: Ask) -> Option<Placed> {
-        if !self.judge(Trust::ask) {
+        if !self.judge(CircuitBreaker::ask) {
             return None;
         }
         let mut question = Question {
@@ -164,7 +164,7 @@
     }
 
     /// Changes what is thought of it; one line where it is lost or regained.
-    fn judge<T>(&self, change: impl FnOnce(&mut Trust, Moment) -> T) -> T {
+    fn judge<T>(&self, change: impl FnOnce(&mut CircuitBreaker, Moment) -> T) -> T {
         let now = self.clock.now();
         let mut trust = self.trust();
         let before = trust.is_lost();
@@ -176,7 +176,7 @@
         result
     }
 
-    fn trust(&self) -> MutexGuard<'_, Trust> {
+    fn trust(&self) -> MutexGuard<'_, CircuitBreaker> {
         self.trust.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
