--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -14,12 +14,12 @@
 pub mod dispatcher;
 pub mod grants;
 pub mod role;
-pub mod trust;
+pub mod breaker;
 pub mod warmup;
 
 pub use dispatcher::dispatcher;
 pub use grants::Grants;
 pub use role::DispatcherLocation;
 pub use role::DispatcherRole;
-pub use trust::CircuitBreaker;
+pub use breaker::CircuitBreaker;
 pub use warmup::Warmup;
--- a/crates/dispatch/tests/test_dispatch.rs
+++ b/crates/dispatch/tests/test_dispatch.rs
@@ -48,34 +48,34 @@
 
 #[test]
 fn test_trust_silent_dispatcher_is_asked_no_more() {
-    let mut trust = CircuitBreaker::default();
-    assert!(trust.ask(at(0)));
+    let mut breaker = CircuitBreaker::default();
+    assert!(breaker.ask(at(0)));
     // Others ask while it still may answer, and none after.
-    assert!(trust.ask(at(59)));
-    assert!(!trust.ask(at(60)));
-    assert!(!trust.ask(at(300)));
-    assert!(trust.is_lost());
-    trust.failed(at(100));
-    trust.failed(at(160));
+    assert!(breaker.ask(at(59)));
+    assert!(!breaker.ask(at(60)));
+    assert!(!breaker.ask(at(300)));
+    assert!(breaker.is_lost());
+    breaker.failed(at(100));
+    breaker.failed(at(160));
     // One asks again after the pause.
-    assert!(!trust.ask(at(409)));
-    assert!(trust.ask(at(410)));
-    trust.answered(at(412));
-    assert!(!trust.is_lost() && trust.ask(at(413)));
+    assert!(!breaker.ask(at(409)));
+    assert!(breaker.ask(at(410)));
+    breaker.answered(at(412));
+    assert!(!breaker.is_lost() && breaker.ask(at(413)));
 }
 
 #[test]
 fn test_trust_answers_of_any_question_count() {
-    let mut trust = CircuitBreaker::default();
+    let mut breaker = CircuitBreaker::default();
     for step in 0..100 {
-        assert!(trust.ask(at(step * 30)), "step {step}");
+        assert!(breaker.ask(at(step * 30)), "step {step}");
         if step > 0 {
-            trust.answered(at(step * 30 + 1));
+            breaker.answered(at(step * 30 + 1));
         }
     }
     // The first was never answered; it was given up by its caller.
-    trust.dropped();
-    assert!(trust.ask(at(60_000)));
+    breaker.dropped();
+    assert!(breaker.ask(at(60_000)));
 }
 
 #[test]
--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/placing.rs
@@ -62,7 +62,7 @@
         Arc::clone(place.or_insert_with(|| {
             Arc::new(Place {
                 link: peer::place(address),
-                trust: Mutex::default(),
+                breaker: Mutex::default(),
                 clock: core.clock,
                 log: core.log.clone(),
             })
@@ -73,7 +73,7 @@
 /// One dispatcher.
 pub struct Place {
     link: PlaceLink,
-    trust: Mutex<CircuitBreaker>,
+    breaker: Mutex<CircuitBreaker>,
     clock: Clock,
     log: Logger,
 }
@@ -144,9 +144,9 @@
         let placed = tokio::time::timeout(TIMEOUT, self.call(ask)).await;
         let placed = placed.ok().flatten();
         question.open = false;
-        self.judge(|trust, now| match &placed {
-            Some(_) => trust.answered(now),
-            None => trust.failed(now),
+        self.judge(|breaker, now| match &placed {
+            Some(_) => breaker.answered(now),
+            None => breaker.failed(now),
         });
         placed
     }
@@ -166,18 +166,18 @@
     /// Changes what is thought of it; one line where it is lost or regained.
     fn judge<T>(&self, change: impl FnOnce(&mut CircuitBreaker, Moment) -> T) -> T {
         let now = self.clock.now();
-        let mut trust = self.trust();
-        let before = trust.is_lost();
-        let result = change(&mut trust, now);
-        if trust.is_lost() != before {
+        let mut breaker = self.breaker();
+        let before = breaker.is_lost();
+        let result = change(&mut breaker, now);
+        if breaker.is_lost() != before {
             let outcome = if before { "regained" } else { "lost" };
             info!(self.log, "dispatcher"; "address" => %self.link.address(), "outcome" => outcome);
         }
         result
     }
 
-    fn trust(&self) -> MutexGuard<'_, CircuitBreaker> {
-        self.trust.lock().unwrap_or_else(PoisonError::into_inner)
+    fn breaker(&self) -> MutexGuard<'_, CircuitBreaker> {
+        self.breaker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -190,7 +190,7 @@
 impl Drop for Question<'_> {
     fn drop(&mut self) {
         if self.open {
-            self.place.trust().dropped();
+            self.place.breaker().dropped();
         }
     }
 }
