--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -11,15 +11,15 @@
 //!
 //! All of it is plain state: the time and what happened go in, decisions come out.
 
+pub mod breaker;
 pub mod dispatcher;
 pub mod grants;
 pub mod role;
-pub mod breaker;
 pub mod warmup;
 
+pub use breaker::CircuitBreaker;
 pub use dispatcher::dispatcher;
 pub use grants::Grants;
 pub use role::DispatcherLocation;
 pub use role::DispatcherRole;
-pub use breaker::CircuitBreaker;
 pub use warmup::Warmup;
