--- a/crates/dispatch/src/breaker.rs
+++ b/crates/dispatch/src/breaker.rs
@@ -62,7 +62,7 @@
 
     /// Whether its last question failed, or it fell silent.
     #[must_use]
-    pub fn is_lost(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         self.lost
     }
 
--- a/crates/dispatch/tests/test_dispatch.rs
+++ b/crates/dispatch/tests/test_dispatch.rs
@@ -54,14 +54,14 @@
     assert!(breaker.ask(at(59)));
     assert!(!breaker.ask(at(60)));
     assert!(!breaker.ask(at(300)));
-    assert!(breaker.is_lost());
+    assert!(breaker.is_open());
     breaker.failed(at(100));
     breaker.failed(at(160));
     // One asks again after the pause.
     assert!(!breaker.ask(at(409)));
     assert!(breaker.ask(at(410)));
     breaker.answered(at(412));
-    assert!(!breaker.is_lost() && breaker.ask(at(413)));
+    assert!(!breaker.is_open() && breaker.ask(at(413)));
 }
 
 #[test]
--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/placing.rs
@@ -167,9 +167,9 @@
     fn judge<T>(&self, change: impl FnOnce(&mut CircuitBreaker, Moment) -> T) -> T {
         let now = self.clock.now();
         let mut breaker = self.breaker();
-        let before = breaker.is_lost();
+        let before = breaker.is_open();
         let result = change(&mut breaker, now);
-        if breaker.is_lost() != before {
+        if breaker.is_open() != before {
             let outcome = if before { "regained" } else { "lost" };
             info!(self.log, "dispatcher"; "address" => %self.link.address(), "outcome" => outcome);
         }
