--- a/crates/dispatch/src/breaker.rs
+++ b/crates/dispatch/src/breaker.rs
@@ -56,7 +56,7 @@
     }
 
     /// Notes a question that was given up by whoever asked.
-    pub fn dropped(&mut self) {
+    pub fn cancelled(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
--- a/crates/dispatch/tests/test_dispatch.rs
+++ b/crates/dispatch/tests/test_dispatch.rs
@@ -74,7 +74,7 @@
         }
     }
     // The first was never answered; it was given up by its caller.
-    breaker.dropped();
+    breaker.cancelled();
     assert!(breaker.ask(at(60_000)));
 }
 
--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/placing.rs
@@ -190,7 +190,7 @@
 impl Drop for Question<'_> {
     fn drop(&mut self) {
         if self.open {
-            self.place.breaker().dropped();
+            self.place.breaker().cancelled();
         }
     }
 }
