--- a/crates/dispatch/src/grants.rs
+++ b/crates/dispatch/src/grants.rs
@@ -16,7 +16,7 @@
     /// Grants from `first` on. Numbers of an earlier life of the process must not be
     /// taken for those of this one.
     #[must_use]
-    pub fn starting(first: u64) -> Self {
+    pub fn with_first_id(first: u64) -> Self {
         Self {
             next: first,
             open: HashMap::new(),
--- a/crates/dispatch/tests/test_dispatch.rs
+++ b/crates/dispatch/tests/test_dispatch.rs
@@ -80,7 +80,7 @@
 
 #[test]
 fn test_grants_of_a_lost_process_end_with_their_time() {
-    let mut grants = Grants::starting(70);
+    let mut grants = Grants::with_first_id(70);
     let one = grants.grant(at(100), "one");
     let two = grants.grant(at(200), "two");
     assert_eq!((one, two, grants.len()), (70, 71, 2));
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -137,7 +137,7 @@
             ends: LEAST_BACK,
             refused: 0.0,
             refused_at: now,
-            grants: Grants::starting(seed),
+            grants: Grants::with_first_id(seed),
             dispatcher_role: DispatcherRole::default(),
             warmup: None,
             processes: Arc::default(),
