--- a/crates/dispatch/tests/test_dispatch.rs
+++ b/crates/dispatch/tests/test_dispatch.rs
@@ -86,8 +86,8 @@
     assert_eq!((one, two, grants.len()), (70, 71, 2));
     assert_eq!(grants.take(two), Some("two"));
     assert_eq!(grants.take(two), None);
-    assert!(grants.over(at(99)).is_empty());
-    assert_eq!(grants.over(at(100)), ["one"]);
+    assert!(grants.take_expired(at(99)).is_empty());
+    assert_eq!(grants.take_expired(at(100)), ["one"]);
     // It comes back late.
     assert_eq!(grants.take(one), None);
     assert!(grants.is_empty());
--- a/crates/entry/src/desk/dispatch.rs
+++ b/crates/entry/src/desk/dispatch.rs
@@ -43,7 +43,7 @@
 
     /// Looks what time has brought: grants that are over, and a share that is due.
     pub fn pass_time(&mut self, now: Moment) {
-        for ticket in self.grants.over(now) {
+        for ticket in self.grants.take_expired(now) {
             self.finished(now, ticket, Kind::Cancelled, None);
         }
         self.share_probes(now);
