--- a/crates/dispatch/src/grants.rs
+++ b/crates/dispatch/src/grants.rs
@@ -37,9 +37,9 @@
     }
 
     /// Takes those that are over.
-    pub fn over(&mut self, now: Moment) -> Vec<T> {
-        let over = self.open.extract_if(|_, (until, _)| *until <= now);
-        over.map(|(_, (_, what))| what).collect()
+    pub fn take_expired(&mut self, now: Moment) -> Vec<T> {
+        let take_expired = self.open.extract_if(|_, (until, _)| *until <= now);
+        take_expired.map(|(_, (_, what))| what).collect()
     }
 
     /// How many are open.
--- a/crates/dispatch/src/warmup.rs
+++ b/crates/dispatch/src/warmup.rs
@@ -25,14 +25,14 @@
 impl Warmup {
     /// Requests that one may get from all processes together in any second.
     #[must_use]
-    pub fn most(self) -> u32 {
+    pub fn max_per_second(self) -> u32 {
         self.rising().saturating_add(self.slack)
     }
 
     /// Requests that all shares of one list of processes add up to at most, a second.
     #[must_use]
     pub fn shared(self) -> u32 {
-        (self.most() / 2).min(self.rising())
+        (self.max_per_second() / 2).min(self.rising())
     }
 
     fn rising(self) -> u32 {
--- a/crates/dispatch/tests/test_warmup.rs
+++ b/crates/dispatch/tests/test_warmup.rs
@@ -30,11 +30,11 @@
 
 #[test]
 fn test_warmup_bound_and_what_is_shared_of_it() {
-    assert_eq!((WARMUP.most(), WARMUP.shared()), (16, 8));
+    assert_eq!((WARMUP.max_per_second(), WARMUP.shared()), (16, 8));
     let strict = Warmup { slack: 0, ..WARMUP };
-    assert_eq!((strict.most(), strict.shared()), (8, 4));
+    assert_eq!((strict.max_per_second(), strict.shared()), (8, 4));
     let none = Warmup { rate: 0, ..strict };
-    assert_eq!((none.most(), none.shared()), (0, 0));
+    assert_eq!((none.max_per_second(), none.shared()), (0, 0));
 }
 
 #[test]
@@ -61,6 +61,6 @@
         let (first, second) = (list(first), list(second));
         let warmup = Warmup { rate: rate.into(), overshoot: 1_500, slack: slack.into() };
         let instance = id(instance);
-        sum(warmup, &instance, &first) + sum(warmup, &instance, &second) <= warmup.most()
+        sum(warmup, &instance, &first) + sum(warmup, &instance, &second) <= warmup.max_per_second()
     }
 }
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -112,12 +112,12 @@
 
 /// Most starts in any second; `starts` are in order.
 fn busiest(starts: &[u64]) -> usize {
-    let mut most = 0;
+    let mut max_per_second = 0;
     for (index, from) in starts.iter().enumerate() {
         let rest = &starts[index..];
-        most = most.max(rest.partition_point(|at| *at < from + SECOND));
+        max_per_second = max_per_second.max(rest.partition_point(|at| *at < from + SECOND));
     }
-    most
+    max_per_second
 }
 
 /// Plays ten seconds of an instance that is cold all the time, while every process has far
@@ -163,8 +163,12 @@
 #[test]
 fn test_cold_instance_gets_its_share_and_no_more() {
     let starts = play(1);
-    let most = usize::try_from(WARMUP.most()).expect("small");
-    assert!(busiest(&starts) <= most, "{} in a second", busiest(&starts));
+    let max_per_second = usize::try_from(WARMUP.max_per_second()).expect("small");
+    assert!(
+        busiest(&starts) <= max_per_second,
+        "{} in a second",
+        busiest(&starts)
+    );
     // At least half of what it takes by itself.
     assert!(starts.len() >= 29, "{} in ten seconds", starts.len());
 }
@@ -197,7 +201,7 @@
 #[test]
 fn prop_cold_bound_holds_in_sum() {
     fn holds(seed: u64) -> bool {
-        busiest(&play(seed)) <= usize::try_from(WARMUP.most()).expect("small")
+        busiest(&play(seed)) <= usize::try_from(WARMUP.max_per_second()).expect("small")
     }
     QuickCheck::new()
         .tests(SEEDS)
