--- a/crates/evacuation/src/domains.rs
+++ b/crates/evacuation/src/domains.rs
@@ -19,7 +19,7 @@
 
 /// Most failure domains that orders may ever have named. A sum of all orders to names that
 /// don't exist must not fill the log's snapshots.
-pub const MOST_DOMAINS: usize = 256;
+pub const MAX_DOMAINS: usize = 256;
 
 quick_error! {
     /// Why a message is no state of evacuations.
@@ -116,7 +116,7 @@
         if held.revision != order.base {
             return Outcome::Overtaken;
         }
-        if self.rows.len() >= MOST_DOMAINS && !self.rows.contains_key(&domain) {
+        if self.rows.len() >= MAX_DOMAINS && !self.rows.contains_key(&domain) {
             return Outcome::Refused;
         }
         self.revision += 1;
--- a/crates/evacuation/tests/test_domains.rs
+++ b/crates/evacuation/tests/test_domains.rs
@@ -3,7 +3,7 @@
 use base::prelude::*;
 use evacuation::Domains;
 use evacuation::Outcome;
-use evacuation::domains::MOST_DOMAINS;
+use evacuation::domains::MAX_DOMAINS;
 use quickcheck::quickcheck;
 use wire::hub::Evacuation;
 
@@ -70,7 +70,7 @@
 #[test]
 fn test_domains_names_are_bounded() {
     let mut held = Domains::default();
-    for index in 0..MOST_DOMAINS {
+    for index in 0..MAX_DOMAINS {
         assert_eq!(
             order(&mut held, &format!("d-{index}"), true),
             Outcome::Taken
