--- a/crates/route/src/cost.rs
+++ b/crates/route/src/cost.rs
@@ -11,41 +11,41 @@
 use std::time::Duration;
 
 /// Usual pace, in hundredths.
-const USUAL_PACE: f64 = 100.0;
+const NOMINAL_PACE: f64 = 100.0;
 /// Pace from which a machine counts as slow, in hundredths.
 const SLOW_PACE: f64 = 200.0;
 /// Mean time for which a pace lasts, in seconds.
-const PACE_LIFE: f64 = 0.3;
+const PACE_TIME_CONSTANT: f64 = 0.3;
 /// Part of the slots above which instances work slower,
 const KNEE: f64 = 0.8;
 /// and by how much. It is settled when the work starts, as the pace is; what runs already
 /// isn't slowed.
-const KNEE_SLOWDOWN: f64 = 1.7;
+const LOADED_SLOWDOWN: f64 = 1.7;
 /// An instance that has just started works so much slower.
 const COLD_SLOWDOWN: f64 = 2.0;
 /// Spread of work times, as the deviation of their logarithm.
-const SPREAD: f64 = 0.3;
+const WORK_TIME_SIGMA: f64 = 0.3;
 /// Makes the logistic curve follow the normal one.
-const LOGISTIC: f64 = 1.7;
+const LOGISTIC_SCALE: f64 = 1.7;
 /// Part of a request's worth that a late answer loses.
 const LATE_LOSS: f64 = 0.9;
 /// Worth of one aim's time, to decide between answers that all come in time.
-const TIME_WORTH: f64 = 0.03;
+const TIME_COST: f64 = 0.03;
 /// Worth that a share of failures costs, as a failed request is lost.
 const FAILURE_LOSS: f64 = 1.0;
 /// Weight of one report in what is usual for a service's machines.
-const USUAL_WEIGHT: f64 = 0.02;
+const SAMPLE_WEIGHT: f64 = 0.02;
 
 /// How often and how much the machines of a service are slow.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Paces {
+pub struct PaceStats {
     /// Share of the reports with a slow pace.
     share: f64,
     /// Slowdown in these.
     slowdown: f64,
 }
 
-impl Default for Paces {
+impl Default for PaceStats {
     /// Where machines are shared: a quarter of the time, four times.
     fn default() -> Self {
         Self {
@@ -55,22 +55,22 @@
     }
 }
 
-impl Paces {
+impl PaceStats {
     /// Takes a pace that an instance told, in hundredths of the usual time.
-    pub fn learn(&mut self, pace: u32) {
+    pub fn observe(&mut self, pace: u32) {
         let pace = f64::from(pace);
         let slow = pace >= SLOW_PACE;
         let sample = if slow { 1.0 } else { 0.0 };
-        self.share += (sample - self.share) * USUAL_WEIGHT;
+        self.share += (sample - self.share) * SAMPLE_WEIGHT;
         if slow {
-            self.slowdown += (pace / USUAL_PACE - self.slowdown) * USUAL_WEIGHT;
+            self.slowdown += (pace / NOMINAL_PACE - self.slowdown) * SAMPLE_WEIGHT;
         }
     }
 }
 
 /// What is known of an instance at the moment of a choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct InstanceState {
     /// Requests that it works on or that wait there, this one not counted.
     pub busy: f64,
     /// Requests that it works on at once.
@@ -78,11 +78,11 @@
     /// Pace that it told, in hundredths of the usual time, and the age of that in seconds.
     pub pace: Option<(f64, f64)>,
     /// What is usual for the machines of its service.
-    pub usual: Paces,
+    pub pace_stats: PaceStats,
     /// It has just started.
     pub cold: bool,
     /// Share of its recent answers that were failures.
-    pub failing: f64,
+    pub failure_share: f64,
 }
 
 /// What a request needs.
@@ -110,64 +110,69 @@
 }
 
 /// One way that it may go: how likely, and how much slower than usual.
-type Way = (f64, f64);
+type Scenario = (f64, f64);
 
-impl Standing {
+impl InstanceState {
     /// The pace that was told, or one of the usual two.
-    fn ways(&self) -> [Way; 3] {
-        let (pace, known) = match self.pace {
-            Some((pace, age)) => ((pace / USUAL_PACE).max(0.1), (-age / PACE_LIFE).exp()),
+    fn scenarios(&self) -> [Scenario; 3] {
+        let (pace, confidence) = match self.pace {
+            Some((pace, age)) => (
+                (pace / NOMINAL_PACE).max(0.1),
+                (-age / PACE_TIME_CONSTANT).exp(),
+            ),
             None => (1.0, 0.0),
         };
-        let unknown = 1.0 - known;
-        let slow = unknown * self.usual.share;
+        let unknown = 1.0 - confidence;
+        let slow = unknown * self.pace_stats.share;
         [
-            (known, pace),
+            (confidence, pace),
             (unknown - slow, 1.0),
-            (slow, self.usual.slowdown),
+            (slow, self.pace_stats.slowdown),
         ]
     }
 
     /// Time until the answer on a machine that is `slowdown` times slower, in seconds.
-    fn time(&self, need: &Need, slowdown: f64) -> f64 {
+    fn response_time(&self, need: &Need, slowdown: f64) -> f64 {
         let cold = if self.cold { COLD_SLOWDOWN } else { 1.0 };
         let work = need.work.as_secs_f64() * cold * slowdown;
-        let after = self.busy + 1.0;
-        let knee = if after > self.slots * KNEE {
-            KNEE_SLOWDOWN
+        let requests = self.busy + 1.0;
+        let load_slowdown = if requests > self.slots * KNEE {
+            LOADED_SLOWDOWN
         } else {
             1.0
         };
-        let queued = (after - self.slots).max(0.0);
-        work * knee + work * KNEE_SLOWDOWN * queued / self.slots
+        let queued = (requests - self.slots).max(0.0);
+        work * load_slowdown + work * LOADED_SLOWDOWN * queued / self.slots
     }
 }
 
 /// When the answer is expected, in seconds.
 #[must_use]
-pub fn expected(standing: &Standing, need: &Need) -> f64 {
-    let ways = standing.ways().into_iter();
-    ways.map(|(weight, slowdown)| weight * standing.time(need, slowdown))
+pub fn expected(state: &InstanceState, need: &Need) -> f64 {
+    let scenarios = state.scenarios().into_iter();
+    scenarios
+        .map(|(weight, slowdown)| weight * state.response_time(need, slowdown))
         .sum()
 }
 
 /// How likely the answer comes late.
 #[must_use]
-pub fn late(standing: &Standing, need: &Need) -> f64 {
+pub fn late_probability(state: &InstanceState, need: &Need) -> f64 {
     let aim = need.aim.as_secs_f64().max(1e-3);
-    let ways = standing.ways().into_iter();
-    ways.map(|(weight, slowdown)| {
-        let ratio = standing.time(need, slowdown) / aim;
-        weight / (1.0 + (-LOGISTIC * ratio.max(1e-6).ln() / SPREAD).exp())
-    })
-    .sum()
+    let scenarios = state.scenarios().into_iter();
+    scenarios
+        .map(|(weight, slowdown)| {
+            let ratio = state.response_time(need, slowdown) / aim;
+            weight / (1.0 + (-LOGISTIC_SCALE * ratio.max(1e-6).ln() / WORK_TIME_SIGMA).exp())
+        })
+        .sum()
 }
 
 /// What the choice costs; `crosses` says that the instance is in another failure domain.
 #[must_use]
-pub fn cost(standing: &Standing, need: &Need, crosses: bool) -> f64 {
-    let ratio = expected(standing, need) / need.aim.as_secs_f64().max(1e-3);
-    let crossing = if crosses { need.crossing } else { 0.0 };
-    let failing = standing.failing * FAILURE_LOSS;
-    late(standing, need) * LATE_LOSS + ratio * TIME_WORTH + crossing + failing
+pub fn cost(state: &InstanceState, need: &Need, cross_domain: bool) -> f64 {
+    let ratio = expected(state, need) / need.aim.as_secs_f64().max(1e-3);
+    let crossing = if cross_domain { need.crossing } else { 0.0 };
+    let failure_cost = state.failure_share * FAILURE_LOSS;
+    late_probability(state, need) * LATE_LOSS + ratio * TIME_COST + crossing + failure_cost
 }
--- a/crates/route/src/fade.rs
+++ b/crates/route/src/decay.rs
@@ -6,13 +6,13 @@
 ///
 /// A rest that never ends would keep an instance without work for ever, since
 /// those beside it differ by little.
-const END: f64 = 12.0;
+const MAX_HALF_LIVES: f64 = 12.0;
 
 /// What is left of a weight after `age`: one half at `half`, nothing in the end.
-pub(crate) fn fade(age: Duration, half: Duration) -> f64 {
-    let halves = age.as_secs_f64() / half.as_secs_f64();
-    if halves >= END {
+pub(crate) fn decay(age: Duration, half_life: Duration) -> f64 {
+    let half_lives = age.as_secs_f64() / half_life.as_secs_f64();
+    if half_lives >= MAX_HALF_LIVES {
         return 0.0;
     }
-    (-halves).exp2()
+    (-half_lives).exp2()
 }
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -10,39 +10,39 @@
 
 use base::prelude::Moment;
 
-use crate::fade::fade;
+use crate::decay::decay;
 
 /// Failures in a row that eject where few results come.
-const STREAK: u32 = 3;
+const FAILURE_STREAK_LIMIT: u32 = 3;
 /// One more is needed for each so many recent results: where a third of the answers are
 /// lost, three in a row come by chance every two seconds at 20 results a second, and
 /// half of the instances were out while requests were refused for want of room.
-const STREAK_RESULTS: u32 = 4;
+const RESULTS_PER_EXTRA_FAILURE: u32 = 4;
 /// What an attempt without any answer counts for in a row.
-const SILENT_STEP: u32 = 2;
+const TIMEOUT_STREAK_STEP: u32 = 2;
 /// Results below which a share of failures tells nothing.
-const FEWEST: f64 = 5.0;
+const MIN_RESULTS: f64 = 5.0;
 /// Share of failures that ejects.
-const SHARE: f64 = 0.4;
+const FAILURE_SHARE_LIMIT: f64 = 0.4;
 /// Results that the share of failures remembers.
-const MEMORY: f64 = 20.0;
+const RESULT_WINDOW: f64 = 20.0;
 /// Age at which results have half of their weight.
-const RESULT_HALF: Duration = Duration::from_secs(1);
+const RESULT_HALF_LIFE: Duration = Duration::from_secs(1);
 /// Failed probes in a row, without an answer between them, that eject.
-const FAILED_PROBES: u32 = 2;
+const FAILED_PROBES_LIMIT: u32 = 2;
 /// First ejection.
-const SHORTEST: Duration = Duration::from_secs(1);
+const MIN_EJECTION: Duration = Duration::from_secs(1);
 /// Doublings at most.
-const MOST_DOUBLINGS: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 /// Time without an ejection after which the next is a first one again.
-const FORGIVEN: Duration = Duration::from_mins(1);
+const BACKOFF_RESET: Duration = Duration::from_mins(1);
 /// Wait for a probe's answer before a trial is made without one, after failures.
-const GRACE: Duration = Duration::from_secs(2);
+const TRIAL_DELAY: Duration = Duration::from_secs(2);
 /// The same after silence, when requests may be lost in the instance.
-const SILENT_GRACE: Duration = Duration::from_secs(30);
+const TRIAL_DELAY_AFTER_SILENCE: Duration = Duration::from_secs(30);
 
 /// Age at which a trial whose end was never told is made again.
-const TRIAL_LIMIT: Duration = Duration::from_secs(30);
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why an instance was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum State {
     /// It gets its share.
-    Well,
+    Healthy,
     /// It gets a share that grows from `since` on.
     Ramping { since: Moment },
     /// It gets nothing; from `until` on a probe or a trial may be made.
@@ -75,10 +75,10 @@
     streak: u32,
     failures: f64,
     results: f64,
-    at: Moment,
+    updated_at: Moment,
     failed_probes: u32,
     doublings: u32,
-    ejected: Option<Moment>,
+    ejected_at: Option<Moment>,
 }
 
 impl Health {
@@ -89,10 +89,10 @@
             streak: 0,
             failures: 0.0,
             results: 0.0,
-            at: Moment::ZERO,
+            updated_at: Moment::ZERO,
             failed_probes: 0,
             doublings: 0,
-            ejected: None,
+            ejected_at: None,
         }
     }
 
@@ -102,13 +102,13 @@
     }
 
     /// Whether it gets ordinary work.
-    pub(crate) fn is_in(&self) -> bool {
-        matches!(self.state, State::Well | State::Ramping { .. })
+    pub(crate) fn takes_traffic(&self) -> bool {
+        matches!(self.state, State::Healthy | State::Ramping { .. })
     }
 
     /// Takes an answer that the instance means.
-    pub(crate) fn succeeded(&mut self, now: Moment) {
-        self.note(now, 0.0);
+    pub(crate) fn record_success(&mut self, now: Moment) {
+        self.record(now, 0.0);
         self.streak = 0;
         self.failed_probes = 0;
         if matches!(self.state, State::Trial { .. }) {
@@ -118,15 +118,17 @@
     }
 
     /// Takes a failure; true when it asks for ejection.
-    pub(crate) fn failed(&mut self, now: Moment, cause: Cause) -> bool {
-        self.note(now, 1.0);
+    pub(crate) fn record_failure(&mut self, now: Moment, cause: Cause) -> bool {
+        self.record(now, 1.0);
         self.streak += match cause {
             Cause::Failures => 1,
-            Cause::Silence => SILENT_STEP,
+            Cause::Silence => TIMEOUT_STREAK_STEP,
         };
-        let often = self.results >= FEWEST && self.share(now) >= SHARE;
+        let failing = self.results >= MIN_RESULTS && self.failure_share(now) >= FAILURE_SHARE_LIMIT;
         match self.state {
-            State::Well | State::Ramping { .. } => self.streak >= self.most_streak(now) || often,
+            State::Healthy | State::Ramping { .. } => {
+                self.streak >= self.streak_limit(now) || failing
+            }
             State::Trial { .. } => true,
             // Attempts from before the ejection tell nothing new.
             State::Ejected { .. } | State::Probed => false,
@@ -134,15 +136,15 @@
     }
 
     /// Failures in a row that eject now.
-    fn most_streak(&self, now: Moment) -> u32 {
-        let kept = fade(now.since(self.at), RESULT_HALF);
+    fn streak_limit(&self, now: Moment) -> u32 {
+        let weight = decay(now.since(self.updated_at), RESULT_HALF_LIFE);
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "a small positive number"
         )]
-        let results = (self.results * kept) as u32;
-        STREAK + results / STREAK_RESULTS
+        let results = (self.results * weight) as u32;
+        FAILURE_STREAK_LIMIT + results / RESULTS_PER_EXTRA_FAILURE
     }
 
     /// Takes a probe's failure; true when it asks for ejection.
@@ -150,7 +152,7 @@
     /// `suspect` says that attempts have waited in vain since the last answer.
     pub(crate) fn probe_failed(&mut self, suspect: bool) -> bool {
         self.failed_probes += 1;
-        suspect || !self.is_in() || self.failed_probes >= FAILED_PROBES
+        suspect || !self.takes_traffic() || self.failed_probes >= FAILED_PROBES_LIMIT
     }
 
     /// Takes a probe's answer.
@@ -163,16 +165,18 @@
 
     /// Ejects it; `jitter` from 0 to 1 spreads the gateways' trials.
     pub(crate) fn eject(&mut self, now: Moment, cause: Cause, jitter: f64) {
-        let soon = self.ejected.is_some_and(|at| now.since(at) < FORGIVEN);
-        self.doublings = if soon {
-            (self.doublings + 1).min(MOST_DOUBLINGS)
+        let recently = self
+            .ejected_at
+            .is_some_and(|at| now.since(at) < BACKOFF_RESET);
+        self.doublings = if recently {
+            (self.doublings + 1).min(MAX_DOUBLINGS)
         } else {
             0
         };
-        let span = SHORTEST * 2_u32.pow(self.doublings);
-        let until = now + span.mul_f64(1.0 + jitter / 2.0);
+        let duration = MIN_EJECTION * 2_u32.pow(self.doublings);
+        let until = now + duration.mul_f64(1.0 + jitter / 2.0);
         self.state = State::Ejected { until, cause };
-        self.ejected = Some(now);
+        self.ejected_at = Some(now);
         self.streak = 0;
     }
 
@@ -180,9 +184,9 @@
     pub(crate) fn wants_trial(&self, now: Moment) -> bool {
         match self.state {
             State::Probed => true,
-            State::Ejected { until, cause } => now >= until + grace(cause),
-            State::Trial { since } => now.since(since) >= TRIAL_LIMIT,
-            State::Well | State::Ramping { .. } => false,
+            State::Ejected { until, cause } => now >= until + trial_delay(cause),
+            State::Trial { since } => now.since(since) >= TRIAL_TIMEOUT,
+            State::Healthy | State::Ramping { .. } => false,
         }
     }
 
@@ -199,44 +203,44 @@
     }
 
     /// Whether a probe could end the ejection, whose time has been over for `since`.
-    pub(crate) fn wants_probe(&self, now: Moment, since: Duration) -> bool {
-        matches!(self.state, State::Ejected { until, .. } if until + since <= now)
+    pub(crate) fn wants_probe(&self, now: Moment, delay: Duration) -> bool {
+        matches!(self.state, State::Ejected { until, .. } if until + delay <= now)
     }
 
     /// Share of failures among recent results, from 0 to 1.
-    pub(crate) fn share(&self, now: Moment) -> f64 {
+    pub(crate) fn failure_share(&self, now: Moment) -> f64 {
         if self.failures == 0.0 {
             return 0.0;
         }
-        let kept = fade(now.since(self.at), RESULT_HALF);
+        let weight = decay(now.since(self.updated_at), RESULT_HALF_LIFE);
         // One success more than was seen, so that a first failure isn't all.
-        self.failures * kept / (self.results * kept + 1.0)
+        self.failures * weight / (self.results * weight + 1.0)
     }
 
     /// How far a ramp of `span` has come, 1 when there is none.
-    pub(crate) fn ramp(&mut self, now: Moment, span: Duration) -> f64 {
+    pub(crate) fn ramp_progress(&mut self, now: Moment, duration: Duration) -> f64 {
         let State::Ramping { since } = self.state else {
             return 1.0;
         };
-        let done = now.since(since).as_secs_f64() / span.as_secs_f64();
-        if done >= 1.0 {
-            self.state = State::Well;
+        let progress = now.since(since).as_secs_f64() / duration.as_secs_f64();
+        if progress >= 1.0 {
+            self.state = State::Healthy;
         }
-        done.min(1.0)
+        progress.min(1.0)
     }
 
-    fn note(&mut self, now: Moment, failure: f64) {
-        let kept = fade(now.since(self.at), RESULT_HALF);
-        let kept = kept * (1.0 - 1.0 / MEMORY);
-        self.failures = self.failures * kept + failure;
-        self.results = self.results * kept + 1.0;
-        self.at = now;
+    fn record(&mut self, now: Moment, failure: f64) {
+        let weight = decay(now.since(self.updated_at), RESULT_HALF_LIFE);
+        let weight = weight * (1.0 - 1.0 / RESULT_WINDOW);
+        self.failures = self.failures * weight + failure;
+        self.results = self.results * weight + 1.0;
+        self.updated_at = now;
     }
 }
 
-fn grace(cause: Cause) -> Duration {
+fn trial_delay(cause: Cause) -> Duration {
     match cause {
-        Cause::Failures => GRACE,
-        Cause::Silence => SILENT_GRACE,
+        Cause::Failures => TRIAL_DELAY,
+        Cause::Silence => TRIAL_DELAY_AFTER_SILENCE,
     }
 }
--- a/crates/route/src/instance.rs
+++ b/crates/route/src/instance.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Pick {
     pub(crate) index: u32,
-    pub(crate) epoch: u32,
+    pub(crate) generation: u32,
 }
 
 /// An attempt in flight, given back to the chooser at its end.
@@ -87,7 +87,7 @@
     }
 
     /// Uses the ticket up.
-    pub(crate) fn close(self) -> (Pick, Moment) {
+    pub(crate) fn into_parts(self) -> (Pick, Moment) {
         (self.pick, self.started_at)
     }
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -12,16 +12,16 @@
 
 pub mod chooser;
 pub mod cost;
+mod decay;
 mod entry;
-mod fade;
+mod external_load;
 mod health;
 pub mod instance;
-mod load;
 pub mod outcome;
 pub mod policy;
 pub mod probing;
-mod speed;
 pub mod view;
+mod work_time;
 
 pub use chooser::Chooser;
 pub use cost::DomainIndex;
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -63,9 +63,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Age at which the reports before have half of their weight.
-    pub report_half: Duration,
+    pub report_half_life: Duration,
     /// Age from which a report isn't used.
-    pub report_limit: Duration,
+    pub max_report_age: Duration,
     /// Age of the newest report from which a probe is worth its cost.
     pub probe_age: Duration,
     /// How long an instance that is new, or back, gets a growing share.
@@ -75,8 +75,8 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            report_half: Duration::from_secs(3),
-            report_limit: Duration::from_secs(10),
+            report_half_life: Duration::from_secs(3),
+            max_report_age: Duration::from_secs(10),
             probe_age: Duration::from_millis(200),
             ramp: Duration::from_secs(2),
         }
--- a/crates/route/src/probing.rs
+++ b/crates/route/src/probing.rs
@@ -11,8 +11,8 @@
 //! It is a plain state machine: the time and what happened go in, decisions come out.
 
 mod cold;
+mod entry;
 mod results;
-mod row;
 mod table;
 
 use std::time::Duration;
@@ -28,37 +28,37 @@
 use crate::outcome::LoadReport;
 use crate::policy::Reason;
 
-pub use self::row::COLD_WINDOW;
-use self::row::FRESH;
-use self::row::Row;
-use self::row::Subset;
-use self::row::Usual;
+pub use self::entry::COLD_WINDOW;
+use self::entry::Entry;
+use self::entry::MAX_FRESH_AGE;
+use self::entry::ServiceAverages;
+use self::entry::Subset;
 
 /// Instances asked in the first round, and in each further one.
-const ROUND: usize = 3;
+const PROBES_PER_ROUND: usize = 3;
 /// Rounds after which the best of those known is taken.
-const ROUNDS: u32 = 3;
+const MAX_ROUNDS: u32 = 3;
 /// A choice that costs so little is taken without asking further.
-const GOOD: f64 = 0.06;
+const GOOD_COST: f64 = 0.06;
 /// A report that is younger than this counts as knowledge; an instance without
 /// one gets work only where no other has room. Half of a pace's usual time.
-const KNOWN: Duration = Duration::from_millis(150);
+const MAX_KNOWN_AGE: Duration = Duration::from_millis(150);
 /// Part of the cost that is random, so that equal ones take turns.
 const JITTER: f64 = 0.01;
 /// Put to the rank of an instance that may be gone, over that of any other, so that it
 /// is asked only when no other is left to ask. After a restart of everything one probe in
 /// three went to an instance that had crashed and was still in the log.
-const SILENT_RANK: f64 = 2.0;
+const SILENT_RANK_PENALTY: f64 = 2.0;
 /// Put to the rank of an instance outside of this process's subset: it is asked after one of
 /// the subset of which nothing is known, and before one that is known to be late.
-const OTHER_RANK: f64 = 0.3;
+const OUTSIDE_RANK_PENALTY: f64 = 0.3;
 /// Put to the cost of sending to one that may be gone and tells nothing: a request lost.
-const SILENT_COST: f64 = 1.0;
+const SILENT_COST_PENALTY: f64 = 1.0;
 /// An ejected one that may be gone is asked so much later whether it is back: it is
 /// heard when it is, unless it is cut off from all hubs.
-const SILENT_PAUSE: Duration = Duration::from_secs(5);
+const SILENT_PROBE_DELAY: Duration = Duration::from_secs(5);
 /// Likelihood of a late answer from which waiting is better than sending.
-const LATE: f64 = 0.5;
+const MAX_LATE_PROBABILITY: f64 = 0.5;
 
 /// What a choice rests on.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -103,14 +103,14 @@
     rng: SmallRng,
     /// Tells this process's subset of the instances from that of others.
     seed: u64,
-    rows: Vec<Row>,
-    usual: Usual,
+    entries: Vec<Entry>,
+    averages: ServiceAverages,
     processes: u32,
     /// Most instances were heard, so that silence tells something. Just after a restart
     /// of everything it would send all requests to the first few that were heard.
-    heard: bool,
+    most_announced: bool,
     /// The list of processes by which cold instances are shared; none where they aren't.
-    sharing: Option<u64>,
+    cold_sharing: Option<u64>,
 }
 
 impl ProbingChooser {
@@ -121,18 +121,18 @@
             domains: vec![domain],
             rng: SmallRng::seed_from_u64(seed),
             seed,
-            rows: Vec::new(),
-            usual: Usual::default(),
+            entries: Vec::new(),
+            averages: ServiceAverages::default(),
             processes: 1,
-            heard: false,
-            sharing: None,
+            most_announced: false,
+            cold_sharing: None,
         }
     }
 
     /// Usual requests a slot of the service, as its instances tell.
     #[must_use]
     pub fn load(&self) -> f64 {
-        self.usual.load
+        self.averages.load
     }
 
     /// Takes over how many processes send to these instances.
@@ -155,33 +155,33 @@
         round: u32,
         allow: impl FnOnce(usize) -> usize,
     ) -> Vec<Pick> {
-        let asked = self.best(now, need, exclude, FRESH);
+        let asked = self.cheapest(now, need, exclude, MAX_FRESH_AGE);
         let enough =
             asked.is_some_and(|(index, cost)| self.is_enough(now, need, index, cost, round));
-        if round >= ROUNDS || enough {
+        if round >= MAX_ROUNDS || enough {
             return Vec::new();
         }
         let mut open: Vec<(usize, f64)> = Vec::new();
-        for index in 0..self.rows.len() {
-            let row = &self.rows[index];
-            if !self.is_usable(now, index, exclude) || row.is_fresh(now) {
+        for index in 0..self.entries.len() {
+            let entry = &self.entries[index];
+            if !self.is_usable(now, index, exclude) || entry.is_fresh(now) {
                 continue;
             }
-            let cost = self.cost(now, need, row);
+            let cost = self.cost(now, need, entry);
             // Those that were heard first, nearer ones, then by what they are likely to cost.
-            let silent = if self.may_be_gone(row) {
-                SILENT_RANK
+            let silent = if self.may_be_gone(entry) {
+                SILENT_RANK_PENALTY
             } else {
                 0.0
             };
-            let far = if row.domain_index == need.domain_index {
+            let far = if entry.domain_index == need.domain_index {
                 0.0
             } else {
                 1.0
             };
-            let other = match row.subset {
+            let other = match entry.subset {
                 Subset::Inside => 0.0,
-                Subset::Outside => OTHER_RANK,
+                Subset::Outside => OUTSIDE_RANK_PENALTY,
             };
             let random: f64 = self.rng.random();
             open.push((
@@ -190,11 +190,11 @@
             ));
         }
         open.sort_by(|a, b| a.1.total_cmp(&b.1));
-        let count = allow(open.len().min(ROUND));
+        let count = allow(open.len().min(PROBES_PER_ROUND));
         let asked = open.into_iter().take(count);
         let picks: Vec<Pick> = asked.map(|(index, _)| self.pick(index)).collect();
         for pick in &picks {
-            self.rows[pick.index as usize].probing += 1;
+            self.entries[pick.index as usize].probes_in_flight += 1;
         }
         picks
     }
@@ -202,49 +202,49 @@
     /// Whether what was asked needs no further round: something good, or, after two
     /// rounds, anything with room.
     fn is_enough(&self, now: Moment, need: &Need, index: usize, cost: f64, round: u32) -> bool {
-        let room = self.rows[index].has_room(now, self.usual, need.room);
-        room && (cost < GOOD || round + 1 >= ROUNDS)
+        let room = self.entries[index].has_room(now, self.averages, need.room);
+        room && (cost < GOOD_COST || round + 1 >= MAX_ROUNDS)
     }
 
     /// Chooses an instance, none of `exclude` if another is left.
     pub fn choose(&mut self, now: Moment, need: &Need, exclude: &[Pick]) -> Decision {
         if let Some(index) = self.trial(now, exclude) {
-            self.rows[index].health.begin_trial(now);
-            return Decision::Send(self.chosen(now, need, index, Reason::Trial));
+            self.entries[index].health.begin_trial(now);
+            return Decision::Send(self.scored(now, need, index, Reason::Trial));
         }
-        let known = self.best(now, need, exclude, KNOWN);
+        let known = self.cheapest(now, need, exclude, MAX_KNOWN_AGE);
         if let Some((index, _)) = known
-            && self.rows[index].has_room(now, self.usual, need.room)
+            && self.entries[index].has_room(now, self.averages, need.room)
         {
-            let fresh = self.rows[index].is_fresh(now);
+            let fresh = self.entries[index].is_fresh(now);
             let reason = if fresh { Reason::Fresh } else { Reason::Stale };
-            return self.decided(now, need, index, reason);
+            return self.decide(now, need, index, reason);
         }
-        let any = self.best(now, need, exclude, Duration::MAX);
+        let any = self.cheapest(now, need, exclude, Duration::MAX);
         match any {
             Some((index, _))
-                if self.may_guess(index)
-                    && self.rows[index].has_room(now, self.usual, need.room) =>
+                if self.may_send_blind(index)
+                    && self.entries[index].has_room(now, self.averages, need.room) =>
             {
-                return self.decided(now, need, index, Reason::Stale);
+                return self.decide(now, need, index, Reason::Stale);
             }
             Some(_) => return Decision::Wait,
             None => {}
         }
-        self.panic(now, need, exclude)
+        self.choose_panic(now, need, exclude)
     }
 
     /// Whether one more may be sent there on an old report, or on none at all. After a
     /// restart of all processes the requests of a second come to each of them at once;
     /// 275 sent blindly within 20 ms filled queues for the next 2 s. So each sends no
     /// more than its share of all slots to instances that it has never heard of.
-    fn may_guess(&self, index: usize) -> bool {
-        if self.rows[index].report.is_some() {
+    fn may_send_blind(&self, index: usize) -> bool {
+        if self.entries[index].report.is_some() {
             return true;
         }
-        let ready = self.rows.iter().filter(|row| row.is_ready());
-        let slots: u32 = ready.map(|row| row.instance.slots).sum();
-        let own: usize = self.rows.iter().map(|row| row.starts.len()).sum();
+        let ready = self.entries.iter().filter(|entry| entry.is_ready());
+        let slots: u32 = ready.map(|entry| entry.instance.slots).sum();
+        let own: usize = self.entries.iter().map(|entry| entry.starts.len()).sum();
         let share = (slots / self.processes).max(1);
         own < usize::try_from(share).unwrap_or(usize::MAX)
     }
@@ -254,11 +254,11 @@
     pub fn choose_instance(&mut self, now: Moment, need: &Need, pick: Pick) -> Decision {
         let index = pick.index as usize;
         let known = self
-            .rows
+            .entries
             .get(index)
-            .is_some_and(|row| row.epoch == pick.epoch);
+            .is_some_and(|entry| entry.generation == pick.generation);
         if known && self.is_usable(now, index, &[]) {
-            self.decided(now, need, index, Reason::Fresh)
+            self.decide(now, need, index, Reason::Fresh)
         } else {
             Decision::Wait
         }
@@ -267,16 +267,18 @@
     /// Whether the instance has room for one more as far as its newest report goes.
     #[must_use]
     pub fn has_room(&self, now: Moment, pick: Pick) -> bool {
-        let row = self.rows.get(pick.index as usize);
-        row.is_some_and(|row| row.epoch == pick.epoch && row.has_room(now, self.usual, 1.0))
+        let entry = self.entries.get(pick.index as usize);
+        entry.is_some_and(|entry| {
+            entry.generation == pick.generation && entry.has_room(now, self.averages, 1.0)
+        })
     }
 
     /// Every instance that is left is ejected: any that is ready, health apart.
-    fn panic(&mut self, now: Moment, need: &Need, exclude: &[Pick]) -> Decision {
-        let ready: Vec<usize> = (0..self.rows.len())
-            .filter(|i| self.rows[*i].is_ready())
+    fn choose_panic(&mut self, now: Moment, need: &Need, exclude: &[Pick]) -> Decision {
+        let ready: Vec<usize> = (0..self.entries.len())
+            .filter(|i| self.entries[*i].is_ready())
             .collect();
-        let open = |i: &usize| self.may_send(now, &self.rows[*i]);
+        let open = |i: &usize| self.may_send(now, &self.entries[*i]);
         let picks: Vec<usize> = ready.iter().copied().filter(open).collect();
         if picks.is_empty() && !ready.is_empty() {
             return Decision::Wait;
@@ -291,75 +293,77 @@
             return Decision::None;
         }
         let index = among[self.rng.random_range(0..among.len())];
-        Decision::Send(self.chosen(now, need, index, Reason::Panic))
+        Decision::Send(self.scored(now, need, index, Reason::Panic))
     }
 
-    fn decided(&self, now: Moment, need: &Need, index: usize, reason: Reason) -> Decision {
-        let late = cost::late(&self.rows[index].standing(now, self.usual), need);
-        let chosen = self.chosen(now, need, index, reason);
-        if late > LATE {
-            Decision::Slow(chosen)
+    fn decide(&self, now: Moment, need: &Need, index: usize, reason: Reason) -> Decision {
+        let late_probability =
+            cost::late_probability(&self.entries[index].state(now, self.averages), need);
+        let scored = self.scored(now, need, index, reason);
+        if late_probability > MAX_LATE_PROBABILITY {
+            Decision::Slow(scored)
         } else {
-            Decision::Send(chosen)
+            Decision::Send(scored)
         }
     }
 
-    fn chosen(&self, now: Moment, need: &Need, index: usize, reason: Reason) -> ScoredChoice {
-        let row = &self.rows[index];
-        let standing = row.standing(now, self.usual);
+    fn scored(&self, now: Moment, need: &Need, index: usize, reason: Reason) -> ScoredChoice {
+        let entry = &self.entries[index];
+        let state = entry.state(now, self.averages);
         ScoredChoice {
             pick: self.pick(index),
             reason,
-            age: row.age(now),
-            report: row.report.map(|(_, report)| report),
-            in_flight: u32::try_from(row.starts.len()).unwrap_or(u32::MAX),
-            expected: Duration::from_secs_f64(cost::expected(&standing, need).clamp(0.0, 3600.0)),
-            cost: self.cost(now, need, row),
+            age: entry.age(now),
+            report: entry.report.map(|(_, report)| report),
+            in_flight: u32::try_from(entry.starts.len()).unwrap_or(u32::MAX),
+            expected: Duration::from_secs_f64(cost::expected(&state, need).clamp(0.0, 3600.0)),
+            cost: self.cost(now, need, entry),
         }
     }
 
-    fn best(
+    fn cheapest(
         &mut self,
         now: Moment,
         need: &Need,
         exclude: &[Pick],
         age: Duration,
     ) -> Option<(usize, f64)> {
-        let mut best: Option<(usize, f64)> = None;
-        for index in 0..self.rows.len() {
-            let row = &self.rows[index];
-            let unknown = age == Duration::MAX && !row.mute;
-            let young = row.age(now).map_or(unknown, |found| found < age);
+        let mut cheapest: Option<(usize, f64)> = None;
+        for index in 0..self.entries.len() {
+            let entry = &self.entries[index];
+            let unknown = age == Duration::MAX && !entry.last_probe_failed;
+            let young = entry.age(now).map_or(unknown, |found| found < age);
             if !self.is_usable(now, index, exclude) || !young {
                 continue;
             }
-            let cost = self.cost(now, need, row);
-            let blind = self.may_be_gone(row) && row.age(now).is_none_or(|age| age >= KNOWN);
-            let cost = cost + if blind { SILENT_COST } else { 0.0 };
+            let cost = self.cost(now, need, entry);
+            let blind =
+                self.may_be_gone(entry) && entry.age(now).is_none_or(|age| age >= MAX_KNOWN_AGE);
+            let cost = cost + if blind { SILENT_COST_PENALTY } else { 0.0 };
             let cost = cost + JITTER * self.rng.random::<f64>();
-            if best.is_none_or(|(_, least)| cost < least) {
-                best = Some((index, cost));
+            if cheapest.is_none_or(|(_, least)| cost < least) {
+                cheapest = Some((index, cost));
             }
         }
-        best
+        cheapest
     }
 
     /// What sending there costs.
-    fn cost(&self, now: Moment, need: &Need, row: &Row) -> f64 {
-        let standing = row.standing(now, self.usual);
-        cost::cost(&standing, need, row.domain_index != need.domain_index)
+    fn cost(&self, now: Moment, need: &Need, entry: &Entry) -> f64 {
+        let state = entry.state(now, self.averages);
+        cost::cost(&state, need, entry.domain_index != need.domain_index)
     }
 
     /// Whether it has fallen silent while most of the others are heard.
-    fn may_be_gone(&self, row: &Row) -> bool {
-        row.silent && self.heard
+    fn may_be_gone(&self, entry: &Entry) -> bool {
+        entry.silent && self.most_announced
     }
 
     fn is_usable(&self, now: Moment, index: usize, exclude: &[Pick]) -> bool {
-        let row = &self.rows[index];
-        row.is_ready()
-            && row.health.is_in()
-            && self.may_send(now, row)
+        let entry = &self.entries[index];
+        entry.is_ready()
+            && entry.health.takes_traffic()
+            && self.may_send(now, entry)
             && !exclude.contains(&self.pick(index))
     }
 
@@ -368,31 +372,31 @@
         if !exclude.is_empty() {
             return None;
         }
-        let wants = |r: &Row| r.is_ready() && self.may_send(now, r) && r.health.wants_trial(now);
-        (0..self.rows.len()).find(|i| wants(&self.rows[*i]))
+        let wants = |r: &Entry| r.is_ready() && self.may_send(now, r) && r.health.wants_trial(now);
+        (0..self.entries.len()).find(|i| wants(&self.entries[*i]))
     }
 
     /// Ejected instances whose time is over, which a probe may bring back.
     ///
     /// `allow` is told how many are wanted, and says how many may be asked.
     pub fn plan_ejected(&mut self, now: Moment, allow: impl FnOnce(usize) -> usize) -> Vec<Pick> {
-        let due = |r: &Row| {
-            let since = if self.may_be_gone(r) {
-                SILENT_PAUSE
+        let due = |r: &Entry| {
+            let delay = if self.may_be_gone(r) {
+                SILENT_PROBE_DELAY
             } else {
                 Duration::ZERO
             };
-            r.is_ready() && r.probing == 0 && r.health.wants_probe(now, since)
+            r.is_ready() && r.probes_in_flight == 0 && r.health.wants_probe(now, delay)
         };
-        let mut due: Vec<usize> = (0..self.rows.len())
-            .filter(|i| due(&self.rows[*i]))
+        let mut due: Vec<usize> = (0..self.entries.len())
+            .filter(|i| due(&self.entries[*i]))
             .collect();
         if due.is_empty() {
             return Vec::new();
         }
         due.truncate(allow(due.len()));
         for index in &due {
-            self.rows[*index].probing += 1;
+            self.entries[*index].probes_in_flight += 1;
         }
         due.into_iter().map(|index| self.pick(index)).collect()
     }
@@ -400,12 +404,12 @@
     fn pick(&self, index: usize) -> Pick {
         Pick {
             index: u32::try_from(index).unwrap_or(u32::MAX),
-            epoch: self.rows[index].epoch,
+            generation: self.entries[index].generation,
         }
     }
 
-    fn row(&mut self, pick: Pick) -> Option<&mut Row> {
-        let row = self.rows.get_mut(pick.index as usize)?;
-        (row.epoch == pick.epoch).then_some(row)
+    fn entry(&mut self, pick: Pick) -> Option<&mut Entry> {
+        let entry = self.entries.get_mut(pick.index as usize)?;
+        (entry.generation == pick.generation).then_some(entry)
     }
 }
--- a/crates/route/src/probing/results.rs
+++ b/crates/route/src/probing/results.rs
@@ -19,52 +19,52 @@
 /// everybody's requests.
 const LOAD_WEIGHT: f64 = 0.1;
 /// At most one instance in so many is ejected.
-const EJECTED_PART: usize = 2;
+const EJECTED_DIVISOR: usize = 2;
 /// Ramp after an ejection.
 const RAMP: Duration = Duration::from_secs(2);
 
 impl ProbingChooser {
     /// Notes the end of a probe; none where it failed.
     pub fn probed(&mut self, now: Moment, pick: Pick, report: Option<LoadReport>) {
-        let Some(row) = self.row(pick) else {
+        let Some(entry) = self.entry(pick) else {
             return;
         };
-        row.probing = row.probing.saturating_sub(1);
+        entry.probes_in_flight = entry.probes_in_flight.saturating_sub(1);
         if let Some(report) = report {
-            row.report = Some((now, report));
-            row.since = 0;
-            row.mute = false;
-            row.health.probe_answered(now);
-            self.learn(report);
+            entry.report = Some((now, report));
+            entry.attempts_since_report = 0;
+            entry.last_probe_failed = false;
+            entry.health.probe_answered(now);
+            self.observe(report);
             return;
         }
-        row.mute = true;
-        if row.health.probe_failed(false) {
+        entry.last_probe_failed = true;
+        if entry.health.probe_failed(false) {
             self.eject(now, pick, Cause::Silence);
         }
     }
 
     /// Notes how much longer an instance says that it is cold.
     pub fn set_cold_remaining(&mut self, now: Moment, pick: Pick, left: Duration) {
-        if let Some(row) = self.row(pick) {
-            row.cold_until = now + left;
+        if let Some(entry) = self.entry(pick) {
+            entry.cold_until = now + left;
         }
     }
 
     /// Notes what another process was told by the instance, a moment ago.
     pub fn report_relayed(&mut self, now: Moment, pick: Pick, report: LoadReport) {
-        if let Some(row) = self.row(pick) {
-            row.report = Some((now, report));
-            row.since = 0;
-            row.mute = false;
+        if let Some(entry) = self.entry(pick) {
+            entry.report = Some((now, report));
+            entry.attempts_since_report = 0;
+            entry.last_probe_failed = false;
         }
     }
 
     /// Notes that another instance has the address: this one gets nothing more, not
     /// even a trial, as its id never comes back there.
     pub fn displaced(&mut self, pick: Pick) {
-        if let Some(row) = self.row(pick) {
-            row.displaced = true;
+        if let Some(entry) = self.entry(pick) {
+            entry.displaced = true;
         }
     }
 
@@ -72,8 +72,8 @@
     pub fn response_aborted(&mut self, now: Moment, pick: Pick) {
         let cause = Cause::Failures;
         let bad = self
-            .row(pick)
-            .is_some_and(|row| row.health.failed(now, cause));
+            .entry(pick)
+            .is_some_and(|entry| entry.health.record_failure(now, cause));
         if bad {
             self.eject(now, pick, cause);
         }
@@ -81,8 +81,8 @@
 
     /// Notes that an attempt begins.
     pub fn started(&mut self, now: Moment, pick: Pick) -> Ticket {
-        if let Some(row) = self.row(pick) {
-            row.start(now);
+        if let Some(entry) = self.entry(pick) {
+            entry.record_start(now);
         }
         Ticket {
             pick,
@@ -98,71 +98,71 @@
         kind: Kind,
         report: Option<LoadReport>,
     ) {
-        let (pick, started_at) = ticket.close();
-        let Some(row) = self.row(pick) else {
+        let (pick, started_at) = ticket.into_parts();
+        let Some(entry) = self.entry(pick) else {
             return;
         };
-        if let Some(at) = row.starts.iter().position(|start| *start == started_at) {
-            row.starts.remove(at);
+        if let Some(at) = entry.starts.iter().position(|start| *start == started_at) {
+            entry.starts.remove(at);
         }
         if let Some(report) = report {
-            row.report = Some((now, report));
-            row.since = 0;
-            row.mute = false;
+            entry.report = Some((now, report));
+            entry.attempts_since_report = 0;
+            entry.last_probe_failed = false;
         } else {
-            row.since = row.since.saturating_sub(1);
+            entry.attempts_since_report = entry.attempts_since_report.saturating_sub(1);
         }
         let bad = match kind {
             Kind::Ok => {
-                row.health.succeeded(now);
-                let _ = row.health.ramp(now, RAMP);
+                entry.health.record_success(now);
+                let _ = entry.health.ramp_progress(now, RAMP);
                 None
             }
-            Kind::Error | Kind::ConnectFailed => row
+            Kind::Error | Kind::ConnectFailed => entry
                 .health
-                .failed(now, Cause::Failures)
+                .record_failure(now, Cause::Failures)
                 .then_some(Cause::Failures),
-            Kind::Timeout => row
+            Kind::Timeout => entry
                 .health
-                .failed(now, Cause::Silence)
+                .record_failure(now, Cause::Silence)
                 .then_some(Cause::Silence),
             Kind::Shed | Kind::Cancelled => {
-                row.health.trial_cancelled();
+                entry.health.trial_cancelled();
                 None
             }
         };
         if let Some(report) = report {
-            self.learn(report);
+            self.observe(report);
         }
         if let Some(cause) = bad {
             self.eject(now, pick, cause);
         }
     }
 
-    fn learn(&mut self, report: LoadReport) {
+    fn observe(&mut self, report: LoadReport) {
         let slots = f64::from(report.slots.max(1));
         let load = f64::from(report.running + report.waiting) / slots;
-        self.usual.load += (load - self.usual.load) * LOAD_WEIGHT;
-        self.usual.paces.learn(report.pace);
+        self.averages.load += (load - self.averages.load) * LOAD_WEIGHT;
+        self.averages.pace_stats.observe(report.pace);
     }
 
     /// Ejects the instance unless too many of the ready ones are out already.
     fn eject(&mut self, now: Moment, pick: Pick, cause: Cause) {
         let ready = self
-            .rows
+            .entries
             .iter()
             .filter(|r| r.instance.phase == Phase::Ready);
         let (mut count, mut out) = (0, 0);
-        for row in ready {
+        for entry in ready {
             count += 1;
-            out += usize::from(!row.health.is_in());
+            out += usize::from(!entry.health.takes_traffic());
         }
         let jitter = self.rng.random();
-        let Some(row) = self.row(pick) else {
+        let Some(entry) = self.entry(pick) else {
             return;
         };
-        if !row.health.is_in() || out < count / EJECTED_PART {
-            row.health.eject(now, cause, jitter);
+        if !entry.health.takes_traffic() || out < count / EJECTED_DIVISOR {
+            entry.health.eject(now, cause, jitter);
         }
     }
 }
--- a/crates/route/src/speed.rs
+++ b/crates/route/src/work_time.rs
@@ -9,43 +9,43 @@
 
 use base::prelude::Moment;
 
-use crate::fade::fade;
+use crate::decay::decay;
 
 /// Most samples that an estimate remembers.
-const MEMORY: f64 = 8.0;
+const MAX_WEIGHT: f64 = 8.0;
 /// Samples that the service's usual work time counts for.
-const PRIOR: f64 = 4.0;
+const PRIOR_WEIGHT: f64 = 4.0;
 /// Age at which an estimate has half of its weight.
-const HALF: Duration = Duration::from_secs(1);
+const HALF_LIFE: Duration = Duration::from_secs(1);
 
 /// The work time of one instance, in seconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Speed {
+pub(crate) struct WorkTime {
     secs: f64,
     weight: f64,
-    at: Moment,
+    updated_at: Moment,
 }
 
-impl Speed {
+impl WorkTime {
     /// Takes a sample of the work time.
     pub(crate) fn observe(&mut self, now: Moment, secs: f64) {
-        self.weight = (self.weight(now) + 1.0).min(MEMORY);
+        self.weight = (self.weight(now) + 1.0).min(MAX_WEIGHT);
         self.secs += (secs - self.secs) / self.weight;
-        self.at = now;
+        self.updated_at = now;
     }
 
     /// The estimate, where `usual` is that of the whole service.
-    pub(crate) fn estimate(&self, now: Moment, usual: f64) -> f64 {
+    pub(crate) fn estimate(&self, now: Moment, average: f64) -> f64 {
         let weight = self.weight(now);
-        (self.secs * weight + usual * PRIOR) / (weight + PRIOR)
+        (self.secs * weight + average * PRIOR_WEIGHT) / (weight + PRIOR_WEIGHT)
     }
 
     fn weight(&self, now: Moment) -> f64 {
-        self.weight * fade(now.since(self.at), HALF)
+        self.weight * decay(now.since(self.updated_at), HALF_LIFE)
     }
 }
 
 /// The work time in a latency, when the instance has `load` requests on `slots`.
-pub(crate) fn work(latency: Duration, load: f64, slots: u32) -> f64 {
+pub(crate) fn from_latency(latency: Duration, load: f64, slots: u32) -> f64 {
     latency.as_secs_f64() / (load / f64::from(slots.max(1))).max(1.0)
 }
--- a/crates/route/tests/test_probing.rs
+++ b/crates/route/tests/test_probing.rs
@@ -16,8 +16,8 @@
 use route::ProbingChooser;
 use route::ReportedInstance;
 use route::cost;
-use route::cost::Paces;
-use route::cost::Standing;
+use route::cost::InstanceState;
+use route::cost::PaceStats;
 
 const NEED: Need = Need {
     work: Duration::from_millis(120),
@@ -294,14 +294,14 @@
     assert!(ask(&mut fresh, at(100), |_| Some(report(0, 0, 100))) > 0);
 }
 
-fn standing(busy: f64, pace: Option<(f64, f64)>) -> Standing {
-    Standing {
+fn state(busy: f64, pace: Option<(f64, f64)>) -> InstanceState {
+    InstanceState {
         busy,
         slots: 6.0,
         pace,
-        usual: Paces::default(),
+        pace_stats: PaceStats::default(),
         cold: false,
-        failing: 0.0,
+        failure_share: 0.0,
     }
 }
 
@@ -313,8 +313,8 @@
             work: Duration::from_millis(work),
             ..NEED
         };
-        let usual = cost::expected(&standing(2.0, Some((100.0, 0.0))), &need);
-        let slow = cost::expected(&standing(2.0, Some((400.0, 0.0))), &need);
+        let usual = cost::expected(&state(2.0, Some((100.0, 0.0))), &need);
+        let slow = cost::expected(&state(2.0, Some((400.0, 0.0))), &need);
         assert!((slow / usual - 4.0).abs() < 0.01, "{work}");
     }
 }
@@ -324,12 +324,12 @@
     fn prop_cost_rises_with_what_is_worse(busy: u8, pace: u16, age: u16) -> TestResult {
         let (busy, age) = (f64::from(busy % 24), f64::from(age) / 1000.0);
         let pace = f64::from(pace.max(50));
-        let here = standing(busy, Some((pace, age)));
-        let of = |standing: &Standing| cost::cost(standing, &NEED, false);
-        let more = Standing { busy: busy + 1.0, ..here };
-        let slower = standing(busy, Some((pace * 2.0, age)));
-        let failing = Standing { failing: 0.2, ..here };
-        let worse = [more, slower, failing];
+        let here = state(busy, Some((pace, age)));
+        let of = |state: &InstanceState| cost::cost(state, &NEED, false);
+        let more = InstanceState { busy: busy + 1.0, ..here };
+        let slower = state(busy, Some((pace * 2.0, age)));
+        let failure_share = InstanceState { failure_share: 0.2, ..here };
+        let worse = [more, slower, failure_share];
         TestResult::from_bool(worse.iter().all(|w| of(w) >= of(&here) - 1e-9))
     }
 }
