--- a/crates/demo/examples/policy/call.rs
+++ b/crates/demo/examples/policy/call.rs
@@ -11,8 +11,8 @@
 use attempt::event::Head;
 use base::prelude::Class;
 use base::prelude::Moment;
-use route::Kind;
 use route::Outcome;
+use route::OutcomeKind;
 use tokio::task::JoinSet;
 
 use crate::gateway::name;
@@ -57,7 +57,7 @@
                     if let Some(ticket) = ticket.take() {
                         let late = now >= deadline;
                         let outcome = Outcome {
-                            kind: [Kind::Cancelled, Kind::Timeout][usize::from(late)],
+                            kind: [OutcomeKind::Cancelled, OutcomeKind::Timeout][usize::from(late)],
                             latency: now.since(ticket.started_at()),
                             report: None,
                         };
@@ -90,17 +90,21 @@
                 if let Some(ticket) = live[usize::from(number) - 1].0.take() {
                     gateway.chooser.finished(now, ticket, outcome);
                 }
-                failed = outcome.kind == Kind::Error;
+                failed = outcome.kind == OutcomeKind::Error;
                 let head = Head {
-                    status: if outcome.kind == Kind::Ok { 200 } else { 503 },
-                    shed: outcome.kind == Kind::Shed,
+                    status: if outcome.kind == OutcomeKind::Ok {
+                        200
+                    } else {
+                        503
+                    },
+                    shed: outcome.kind == OutcomeKind::Shed,
                     ..Head::default()
                 };
                 if head.shed {
                     gateway.admission.shed(&name(), now);
                 }
                 match outcome.kind {
-                    Kind::ConnectFailed => Event::Ended(number, Ending::ConnectFailed),
+                    OutcomeKind::ConnectFailed => Event::Ended(number, Ending::ConnectFailed),
                     _ => Event::Head(number, head),
                 }
             }
--- a/crates/demo/examples/policy/fake.rs
+++ b/crates/demo/examples/policy/fake.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use base::prelude::Moment;
-use route::Kind;
 use route::Outcome;
+use route::OutcomeKind;
 use route::Report;
 use tokio::sync::Semaphore;
 
@@ -57,7 +57,7 @@
         let began = self.time.now();
         self.time.sleep(HOP).await;
         let kind = self.run(work).await;
-        let report = (kind != Kind::ConnectFailed).then(|| self.report());
+        let report = (kind != OutcomeKind::ConnectFailed).then(|| self.report());
         self.time.sleep(HOP).await;
         Outcome {
             kind,
@@ -66,9 +66,9 @@
         }
     }
 
-    async fn run(&self, work: Duration) -> Kind {
+    async fn run(&self, work: Duration) -> OutcomeKind {
         let factor = match self.fault.factor(self.index, self.time.now()) {
-            Err(Kind::Timeout) => std::future::pending().await,
+            Err(OutcomeKind::Timeout) => std::future::pending().await,
             Err(kind) => {
                 self.time.sleep(FAIL_TIME).await;
                 return kind;
@@ -76,14 +76,14 @@
             Ok(factor) => factor,
         };
         let Ok(_place) = self.places.try_acquire() else {
-            return Kind::Shed;
+            return OutcomeKind::Shed;
         };
         self.report();
         let _slot = self.slots.acquire().await;
         let work = work.mul_f64(factor);
         let span = self.noise.span(self.time.now(), work);
         self.time.sleep(span).await;
-        Kind::Ok
+        OutcomeKind::Ok
     }
 
     fn report(&self) -> Report {
--- a/crates/demo/examples/policy/fault.rs
+++ b/crates/demo/examples/policy/fault.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::prelude::Moment;
-use route::Kind;
+use route::OutcomeKind;
 use route::Phase;
 use strum::Display;
 use strum::EnumIter;
@@ -42,14 +42,14 @@
 impl Fault {
     /// How much slower instance `index` works at `now`, or how it fails; one that
     /// never answers has a timeout.
-    pub fn factor(self, index: u32, now: Moment) -> Result<f64, Kind> {
+    pub fn factor(self, index: u32, now: Moment) -> Result<f64, OutcomeKind> {
         let back = ONSET + Duration::from_secs(index.into()) + DRAIN + DOWN;
         let hit = index == 0 && now >= ONSET;
         match (self, self.phase(index, now)) {
             (Self::Slow, _) if hit => Ok(10.0),
-            (Self::FailFast, _) if hit => Err(Kind::Error),
-            (Self::Stalled, _) if hit => Err(Kind::Timeout),
-            (Self::ColdStarts, Phase::Gone) => Err(Kind::ConnectFailed),
+            (Self::FailFast, _) if hit => Err(OutcomeKind::Error),
+            (Self::Stalled, _) if hit => Err(OutcomeKind::Timeout),
+            (Self::ColdStarts, Phase::Gone) => Err(OutcomeKind::ConnectFailed),
             (Self::ColdStarts, _) if now >= back => {
                 let cold = 1.0 - now.since(back).as_secs_f64();
                 Ok(1.0 + (COLD_FACTOR - 1.0) * cold.max(0.0))
--- a/crates/demo/examples/policy/run.rs
+++ b/crates/demo/examples/policy/run.rs
@@ -15,7 +15,7 @@
 use rand::rngs::SmallRng;
 use route::Chooser;
 use route::Instance;
-use route::Kind;
+use route::OutcomeKind;
 use route::Pick;
 use route::ProbeResult;
 use tokio::task::LocalSet;
@@ -136,7 +136,7 @@
     let fake = world.fake(&gateway.borrow().chooser, pick);
     let serve = fake.serve(world.case.probe_work);
     let answer = timeout(PROBE_TIMEOUT * STRETCH, serve).await.ok();
-    let answer = answer.filter(|answer| answer.kind == Kind::Ok);
+    let answer = answer.filter(|answer| answer.kind == OutcomeKind::Ok);
     let report = answer.and_then(|answer| answer.report);
     let result = report.map_or(ProbeResult::Failed, ProbeResult::Load);
     let chooser = &mut gateway.borrow_mut().chooser;
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -18,9 +18,9 @@
 use measure::Allowance;
 use route::Decision;
 use route::Instance;
-use route::Kind;
 use route::LoadReport;
 use route::Need;
+use route::OutcomeKind;
 use route::Phase;
 use route::Pick;
 use route::ProbingChooser;
@@ -343,7 +343,7 @@
         &mut self,
         now: Moment,
         ticket: Ticket,
-        kind: Kind,
+        kind: OutcomeKind,
         report: Option<LoadReport>,
     ) {
         let pick = ticket.pick();
--- a/crates/entry/src/desk/dispatch.rs
+++ b/crates/entry/src/desk/dispatch.rs
@@ -4,9 +4,9 @@
 
 use ::dispatch::DispatcherLocation;
 use base::prelude::*;
-use route::Kind;
 use route::LoadReport;
 use route::Need;
+use route::OutcomeKind;
 use route::Pick;
 use route::Reason;
 use route::ScoredChoice;
@@ -44,7 +44,7 @@
     /// Looks what time has brought: grants that are over, and a share that is due.
     pub fn pass_time(&mut self, now: Moment) {
         for ticket in self.grants.take_expired(now) {
-            self.finished(now, ticket, Kind::Cancelled, None);
+            self.finished(now, ticket, OutcomeKind::Cancelled, None);
         }
         self.share_probes(now);
     }
@@ -92,7 +92,13 @@
     }
 
     /// Takes back what was granted; what is over already changes nothing.
-    pub fn ended(&mut self, now: Moment, grant: u64, kind: Kind, report: Option<LoadReport>) {
+    pub fn ended(
+        &mut self,
+        now: Moment,
+        grant: u64,
+        kind: OutcomeKind,
+        report: Option<LoadReport>,
+    ) {
         if let Some(ticket) = self.grants.take(grant) {
             self.finished(now, ticket, kind, report);
         }
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -16,8 +16,8 @@
 use hyper::body::Body;
 use hyper::body::Incoming;
 use quarantine::Head;
-use route::Kind;
 use route::LoadReport;
+use route::OutcomeKind;
 use route::Ticket;
 use slog::info;
 use strum::IntoStaticStr;
@@ -111,7 +111,7 @@
 }
 
 impl Running {
-    fn end(&mut self, kind: Kind, report: Option<LoadReport>) {
+    fn end(&mut self, kind: OutcomeKind, report: Option<LoadReport>) {
         let Some(ticket) = self.ticket.take() else {
             return;
         };
@@ -128,9 +128,9 @@
 impl Drop for Running {
     fn drop(&mut self) {
         let kind = if self.began.elapsed() < self.silence {
-            Kind::Cancelled
+            OutcomeKind::Cancelled
         } else {
-            Kind::Timeout
+            OutcomeKind::Timeout
         };
         self.end(kind, None);
     }
@@ -155,11 +155,11 @@
     };
     let spool = body.spool();
     let Some((response, connection)) = send(core, upstream, call, body, patience.left).await else {
-        running.end(Kind::ConnectFailed, None);
+        running.end(OutcomeKind::ConnectFailed, None);
         return End::Unsent;
     };
     let Some(response) = response else {
-        running.end(Kind::Error, None);
+        running.end(OutcomeKind::Error, None);
         return End::Unknown;
     };
     let report = load(core, response.headers());
@@ -173,24 +173,31 @@
             End::Refused
         };
         finish(upstream, response, connection, reusable).await;
-        running.end(Kind::Shed, report);
+        running.end(OutcomeKind::Shed, report);
         return end;
     }
     if response.status() == StatusCode::MISDIRECTED_REQUEST {
-        running.end(Kind::Error, None);
+        running.end(OutcomeKind::Error, None);
         return End::Elsewhere;
     }
     // A late or second answer to another request belongs to nobody here.
     if response.headers().get(&core.dialect.request) != Some(&call.id) {
-        running.end(Kind::Error, None);
+        running.end(OutcomeKind::Error, None);
         return End::Unknown;
     }
     let failed = response.status().is_server_error();
     if let Some((parts, answered)) = finish(upstream, response, connection, reusable).await {
-        running.end(if failed { Kind::Error } else { Kind::Ok }, report);
+        running.end(
+            if failed {
+                OutcomeKind::Error
+            } else {
+                OutcomeKind::Ok
+            },
+            report,
+        );
         End::Answer(Box::new(parts), answered)
     } else {
-        running.end(Kind::Error, report);
+        running.end(OutcomeKind::Error, report);
         End::Unknown
     }
 }
--- a/crates/entry/src/placing/convert.rs
+++ b/crates/entry/src/placing/convert.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use route::Kind;
 use route::LoadReport;
+use route::OutcomeKind;
 use wire::place::Kind as WireKind;
 use wire::place::Report;
 
@@ -33,24 +33,24 @@
     }
 }
 
-pub(super) fn kind_to_wire(kind: Kind) -> WireKind {
+pub(super) fn kind_to_wire(kind: OutcomeKind) -> WireKind {
     match kind {
-        Kind::Ok => WireKind::Ok,
-        Kind::Error => WireKind::Error,
-        Kind::Shed => WireKind::Shed,
-        Kind::Timeout => WireKind::Timeout,
-        Kind::ConnectFailed => WireKind::ConnectFailed,
-        Kind::Cancelled => WireKind::Cancelled,
+        OutcomeKind::Ok => WireKind::Ok,
+        OutcomeKind::Error => WireKind::Error,
+        OutcomeKind::Shed => WireKind::Shed,
+        OutcomeKind::Timeout => WireKind::Timeout,
+        OutcomeKind::ConnectFailed => WireKind::ConnectFailed,
+        OutcomeKind::Cancelled => WireKind::Cancelled,
     }
 }
 
-pub(super) fn kind(kind: WireKind) -> Kind {
+pub(super) fn kind(kind: WireKind) -> OutcomeKind {
     match kind {
-        WireKind::Ok => Kind::Ok,
-        WireKind::Error => Kind::Error,
-        WireKind::Shed => Kind::Shed,
-        WireKind::Timeout => Kind::Timeout,
-        WireKind::ConnectFailed => Kind::ConnectFailed,
-        WireKind::Cancelled | WireKind::Unspecified => Kind::Cancelled,
+        WireKind::Ok => OutcomeKind::Ok,
+        WireKind::Error => OutcomeKind::Error,
+        WireKind::Shed => OutcomeKind::Shed,
+        WireKind::Timeout => OutcomeKind::Timeout,
+        WireKind::ConnectFailed => OutcomeKind::ConnectFailed,
+        WireKind::Cancelled | WireKind::Unspecified => OutcomeKind::Cancelled,
     }
 }
--- a/crates/entry/src/placing/grant.rs
+++ b/crates/entry/src/placing/grant.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use route::Kind;
 use route::LoadReport;
+use route::OutcomeKind;
 use tokio::runtime::Handle;
 use wire::link::within;
 use wire::place::Ended;
@@ -25,7 +25,7 @@
     place: Arc<Place>,
     service: ServiceName,
     number: u64,
-    kind: Kind,
+    kind: OutcomeKind,
     report: Option<LoadReport>,
 }
 
@@ -35,13 +35,13 @@
             place: Arc::clone(place),
             service: service.clone(),
             number,
-            kind: Kind::Cancelled,
+            kind: OutcomeKind::Cancelled,
             report: None,
         }
     }
 
     /// Gives it back.
-    pub fn end(mut self, kind: Kind, report: Option<LoadReport>) {
+    pub fn end(mut self, kind: OutcomeKind, report: Option<LoadReport>) {
         self.kind = kind;
         self.report = report;
     }
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -26,9 +26,9 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use route::DomainIndex;
-use route::Kind;
 use route::LoadReport;
 use route::Need;
+use route::OutcomeKind;
 use route::Pick;
 use route::Ticket;
 use tokio::sync::oneshot;
@@ -335,7 +335,7 @@
         self.jobs[job].settled = true;
         let ticket = self.jobs[job].ticket.take().expect("it was sent");
         let report = self.report(instance);
-        self.desks[process].finished(at(self.now), ticket, Kind::Ok, Some(report));
+        self.desks[process].finished(at(self.now), ticket, OutcomeKind::Ok, Some(report));
         self.begin(instance);
         self.hand_on();
     }
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -19,9 +19,9 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use route::DomainIndex;
-use route::Kind;
 use route::LoadReport;
 use route::Need;
+use route::OutcomeKind;
 use wire::hub::Phase;
 
 const PROCESSES: u32 = 117;
@@ -106,7 +106,7 @@
         return false;
     };
     let ticket = desk.started(now, chosen.choice.pick);
-    desk.finished(now, ticket, Kind::Ok, Some(IDLE));
+    desk.finished(now, ticket, OutcomeKind::Ok, Some(IDLE));
     true
 }
 
--- a/crates/gateway/src/call/answers.rs
+++ b/crates/gateway/src/call/answers.rs
@@ -16,7 +16,7 @@
 use http::header::ACCEPT_RANGES;
 use http::header::ETAG;
 use http::header::RANGE;
-use route::Kind;
+use route::OutcomeKind;
 use slog::info;
 
 use crate::call::driver::Driver;
@@ -52,7 +52,7 @@
         };
         track.head(&answer.headers);
         if let Some(ending) = self.refused(&answer) {
-            track.note(Kind::Error);
+            track.note(OutcomeKind::Error);
             drop(track);
             info!(self.log, "answer refused"; "attempt" => number, "ending" => <&str>::from(ending));
             self.step(Event::Ended(number, ending));
@@ -117,14 +117,14 @@
         if let Some(index) = self.waiting.iter().position(|w| w.number == number) {
             let mut waiting = self.waiting.swap_remove(index);
             if late {
-                waiting.track.note(Kind::Timeout);
+                waiting.track.note(OutcomeKind::Timeout);
             }
         }
         self.arrived.retain(|a| a.number != number);
         if self.pumped.as_ref().is_some_and(|p| p.number == number) {
             let pumped = self.pumped.take();
             if let Some(mut pumped) = pumped.filter(|_| late && self.piece.is_none()) {
-                pumped.track.note(Kind::Timeout);
+                pumped.track.note(OutcomeKind::Timeout);
             }
         }
     }
@@ -167,7 +167,7 @@
         let Some(mut pumped) = self.pumped.take() else {
             return;
         };
-        pumped.track.note(Kind::Error);
+        pumped.track.note(OutcomeKind::Error);
         let number = pumped.number;
         drop(pumped);
         info!(self.log, "answer short"; "attempt" => number, "bytes" => self.taken);
--- a/crates/gateway/src/call/driver.rs
+++ b/crates/gateway/src/call/driver.rs
@@ -15,7 +15,7 @@
 use http::HeaderValue;
 use http::header::IF_RANGE;
 use http::header::RANGE;
-use route::Kind;
+use route::OutcomeKind;
 use route::Pick;
 use slog::Logger;
 use slog::info;
@@ -282,7 +282,7 @@
 
 /// The end of an attempt that found no free connection.
 const NOT_SENT: route::Outcome = route::Outcome {
-    kind: Kind::Cancelled,
+    kind: OutcomeKind::Cancelled,
     latency: Duration::ZERO,
     report: None,
 };
--- a/crates/gateway/src/call/judge.rs
+++ b/crates/gateway/src/call/judge.rs
@@ -3,17 +3,17 @@
 use attempt::Ending;
 use http::HeaderMap;
 use http::header::CONTENT_RANGE;
-use route::Kind;
+use route::OutcomeKind;
 
 use crate::lanes::LaneError;
 use crate::refusal::Reason;
 use crate::relay::Answer;
 
-pub(super) fn kind_of(err: &LaneError) -> Kind {
+pub(super) fn kind_of(err: &LaneError) -> OutcomeKind {
     match err {
-        LaneError::Connect(_) => Kind::ConnectFailed,
-        LaneError::NoAnswer(_) => Kind::Error,
-        LaneError::Busy | LaneError::Target => Kind::Cancelled,
+        LaneError::Connect(_) => OutcomeKind::ConnectFailed,
+        LaneError::NoAnswer(_) => OutcomeKind::Error,
+        LaneError::Busy | LaneError::Target => OutcomeKind::Cancelled,
     }
 }
 
@@ -25,13 +25,13 @@
     }
 }
 
-pub(super) fn kind_of_answer(answer: &Answer) -> Kind {
+pub(super) fn kind_of_answer(answer: &Answer) -> OutcomeKind {
     if answer.is_shed() {
-        Kind::Shed
+        OutcomeKind::Shed
     } else if answer.status.is_server_error() {
-        Kind::Error
+        OutcomeKind::Error
     } else {
-        Kind::Ok
+        OutcomeKind::Ok
     }
 }
 
--- a/crates/gateway/src/track.rs
+++ b/crates/gateway/src/track.rs
@@ -6,8 +6,8 @@
 use base::header;
 use base::prelude::*;
 use http::HeaderMap;
-use route::Kind;
 use route::Outcome;
+use route::OutcomeKind;
 use route::Report;
 use route::Ticket;
 use tokio::sync::OwnedSemaphorePermit;
@@ -23,7 +23,7 @@
     started_at: Moment,
     latency: Option<Duration>,
     report: Option<Report>,
-    kind: Kind,
+    kind: OutcomeKind,
     _connection: OwnedSemaphorePermit,
 }
 
@@ -43,7 +43,7 @@
             ticket: Some(ticket),
             latency: None,
             report: None,
-            kind: Kind::Cancelled,
+            kind: OutcomeKind::Cancelled,
             _connection: connection,
         }
     }
@@ -55,7 +55,7 @@
     }
 
     /// Notes how the attempt goes, until a later note.
-    pub fn note(&mut self, kind: Kind) {
+    pub fn note(&mut self, kind: OutcomeKind) {
         self.kind = kind;
     }
 }
--- a/crates/place/examples/concentration/rig.rs
+++ b/crates/place/examples/concentration/rig.rs
@@ -10,8 +10,8 @@
 use rand::rngs::SmallRng;
 use route::Chooser;
 use route::Instance;
-use route::Kind;
 use route::Outcome;
+use route::OutcomeKind;
 use route::Phase;
 use route::Pick;
 use route::Policy;
@@ -156,7 +156,7 @@
     let now = world.time.now();
     let latency = now.since(began);
     let outcome = Outcome {
-        kind: Kind::Ok,
+        kind: OutcomeKind::Ok,
         latency,
         report: Some(report),
     };
--- a/crates/route/examples/bench_choose.rs
+++ b/crates/route/examples/bench_choose.rs
@@ -10,8 +10,8 @@
 use base::prelude::Moment;
 use route::Chooser;
 use route::Instance;
-use route::Kind;
 use route::Outcome;
+use route::OutcomeKind;
 use route::Phase;
 use route::Policy;
 use route::Report;
@@ -81,7 +81,7 @@
 
 fn outcome(latency: Duration) -> Outcome {
     Outcome {
-        kind: Kind::Ok,
+        kind: OutcomeKind::Ok,
         latency,
         report: Some(Report {
             in_flight: 5,
--- a/crates/route/src/entry.rs
+++ b/crates/route/src/entry.rs
@@ -12,8 +12,8 @@
 use crate::instance::Instance;
 use crate::instance::Phase;
 use crate::instance::Pick;
-use crate::outcome::Kind;
 use crate::outcome::Outcome;
+use crate::outcome::OutcomeKind;
 use crate::outcome::Report;
 use crate::policy::Reason;
 use crate::policy::Settings;
@@ -230,18 +230,20 @@
             self.record_report(now, report, settings);
         }
         match outcome.kind {
-            Kind::Ok => self.record_success(now, outcome.latency, averages, settings),
-            Kind::Error | Kind::ConnectFailed => self.record_failure(now, Cause::Failures),
-            Kind::Timeout => {
+            OutcomeKind::Ok => self.record_success(now, outcome.latency, averages, settings),
+            OutcomeKind::Error | OutcomeKind::ConnectFailed => {
+                self.record_failure(now, Cause::Failures)
+            }
+            OutcomeKind::Timeout => {
                 self.record_unanswered(now, outcome.latency, averages);
                 self.record_failure(now, Cause::Silence)
             }
-            Kind::Shed => {
+            OutcomeKind::Shed => {
                 self.record_answer(now);
                 self.health.trial_cancelled();
                 Verdict::Unchanged
             }
-            Kind::Cancelled => {
+            OutcomeKind::Cancelled => {
                 self.record_unanswered(now, outcome.latency, averages);
                 self.health.trial_cancelled();
                 Verdict::Unchanged
--- a/crates/route/src/outcome.rs
+++ b/crates/route/src/outcome.rs
@@ -9,7 +9,7 @@
 /// How an attempt ended, as far as it tells of the instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Kind {
+pub enum OutcomeKind {
     /// An answer that the instance means, a caller's own mistake included.
     Ok,
     /// A failure of the instance: 5xx other than shed, a broken or short answer.
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outcome {
     /// How it ended.
-    pub kind: Kind,
+    pub kind: OutcomeKind,
     /// Time from the start to the answer's head, or to the failure.
     pub latency: Duration,
     /// The load report on the answer, if it had one.
--- a/crates/route/src/probing/results.rs
+++ b/crates/route/src/probing/results.rs
@@ -9,8 +9,8 @@
 use crate::instance::Phase;
 use crate::instance::Pick;
 use crate::instance::Ticket;
-use crate::outcome::Kind;
 use crate::outcome::LoadReport;
+use crate::outcome::OutcomeKind;
 
 use super::ProbingChooser;
 
@@ -95,7 +95,7 @@
         &mut self,
         now: Moment,
         ticket: Ticket,
-        kind: Kind,
+        kind: OutcomeKind,
         report: Option<LoadReport>,
     ) {
         let (pick, started_at) = ticket.into_parts();
@@ -113,20 +113,20 @@
             entry.attempts_since_report = entry.attempts_since_report.saturating_sub(1);
         }
         let bad = match kind {
-            Kind::Ok => {
+            OutcomeKind::Ok => {
                 entry.health.record_success(now);
                 let _ = entry.health.ramp_progress(now, RAMP);
                 None
             }
-            Kind::Error | Kind::ConnectFailed => entry
+            OutcomeKind::Error | OutcomeKind::ConnectFailed => entry
                 .health
                 .record_failure(now, Cause::Failures)
                 .then_some(Cause::Failures),
-            Kind::Timeout => entry
+            OutcomeKind::Timeout => entry
                 .health
                 .record_failure(now, Cause::Silence)
                 .then_some(Cause::Silence),
-            Kind::Shed | Kind::Cancelled => {
+            OutcomeKind::Shed | OutcomeKind::Cancelled => {
                 entry.health.trial_cancelled();
                 None
             }
--- a/crates/route/tests/common/mod.rs
+++ b/crates/route/tests/common/mod.rs
@@ -7,8 +7,8 @@
 use base::prelude::Moment;
 use route::Chooser;
 use route::Instance;
-use route::Kind;
 use route::Outcome;
+use route::OutcomeKind;
 use route::Phase;
 use route::Pick;
 use route::Policy;
@@ -139,16 +139,16 @@
         });
     }
 
-    fn result(&self, index: usize) -> (Kind, u64) {
+    fn result(&self, index: usize) -> (OutcomeKind, u64) {
         let queued = u64::from(self.in_flight(index) / SLOTS);
         match self.acts[index] {
-            Act::Work(work) => (Kind::Ok, (work * (1 + queued)).min(TIMEOUT)),
-            Act::Fail => (Kind::Error, 1),
-            Act::Refuse => (Kind::ConnectFailed, 1),
-            Act::Stall => (Kind::Timeout, TIMEOUT),
-            Act::Shed => (Kind::Shed, 1),
-            Act::Flap(span) if (self.now / span).is_multiple_of(2) => (Kind::Error, 1),
-            Act::Flap(_) | Act::Busy(_) | Act::Lie => (Kind::Ok, WORK),
+            Act::Work(work) => (OutcomeKind::Ok, (work * (1 + queued)).min(TIMEOUT)),
+            Act::Fail => (OutcomeKind::Error, 1),
+            Act::Refuse => (OutcomeKind::ConnectFailed, 1),
+            Act::Stall => (OutcomeKind::Timeout, TIMEOUT),
+            Act::Shed => (OutcomeKind::Shed, 1),
+            Act::Flap(span) if (self.now / span).is_multiple_of(2) => (OutcomeKind::Error, 1),
+            Act::Flap(_) | Act::Busy(_) | Act::Lie => (OutcomeKind::Ok, WORK),
         }
     }
 
--- a/crates/route/tests/test_faults.rs
+++ b/crates/route/tests/test_faults.rs
@@ -7,8 +7,8 @@
 use common::Act;
 use common::Drive;
 use common::WORK;
-use route::Kind;
 use route::Outcome;
+use route::OutcomeKind;
 use route::Phase;
 use route::Pick;
 use route::Policy;
@@ -195,7 +195,7 @@
     drive.announce();
     for ticket in tickets {
         let outcome = Outcome {
-            kind: Kind::Error,
+            kind: OutcomeKind::Error,
             latency: Duration::ZERO,
             report: None,
         };
--- a/crates/route/tests/test_probing.rs
+++ b/crates/route/tests/test_probing.rs
@@ -8,9 +8,9 @@
 use route::Decision;
 use route::DomainIndex;
 use route::Instance;
-use route::Kind;
 use route::LoadReport;
 use route::Need;
+use route::OutcomeKind;
 use route::Phase;
 use route::Pick;
 use route::ProbingChooser;
@@ -218,7 +218,7 @@
     assert_eq!(fresh.choose(at(0), &NEED, &[]), Decision::Wait);
     // One ends, without a word of its load: one more goes.
     let ticket = tickets.pop().expect("three");
-    fresh.finished(at(100), ticket, Kind::Ok, None);
+    fresh.finished(at(100), ticket, OutcomeKind::Ok, None);
     assert!(sent(&mut fresh, at(100)).is_some());
     // What is known to have room is used beyond the share.
     ask(&mut fresh, at(200), |_| Some(report(2, 0, 100)));
@@ -230,7 +230,7 @@
     let (_, pick) = sent(&mut fresh, at(700)).expect("room is likely");
     tickets.push(fresh.started(at(700), pick));
     for ticket in tickets {
-        fresh.finished(at(800), ticket, Kind::Ok, None);
+        fresh.finished(at(800), ticket, OutcomeKind::Ok, None);
     }
 }
 
@@ -263,7 +263,11 @@
             continue;
         };
         let ticket = fresh.started(now, pick);
-        let kind = if id == "i-1" { Kind::Error } else { Kind::Ok };
+        let kind = if id == "i-1" {
+            OutcomeKind::Error
+        } else {
+            OutcomeKind::Ok
+        };
         fresh.finished(now, ticket, kind, Some(report(0, 0, 100)));
         failed += u32::from(id == "i-1");
     }
@@ -350,7 +354,7 @@
         .expect("asked");
     for _ in 0..4 {
         let ticket = fresh.started(at(1), old);
-        fresh.finished(at(1), ticket, Kind::Error, None);
+        fresh.finished(at(1), ticket, OutcomeKind::Error, None);
     }
     fresh.probed(at(2), first[1 - usize::from(first[0] != old)], None);
     fresh.update(at(3), &[row(2), instance("i-2", "a")]);
--- a/crates/route/tests/test_schedules.rs
+++ b/crates/route/tests/test_schedules.rs
@@ -11,8 +11,8 @@
 use route::Choice;
 use route::Chooser;
 use route::Instance;
-use route::Kind;
 use route::Outcome;
+use route::OutcomeKind;
 use route::Phase;
 use route::Pick;
 use route::Policy;
@@ -135,12 +135,12 @@
         let which = usize::from(which) % self.running.len();
         let (ticket, _) = self.running.swap_remove(which);
         let kinds = [
-            Kind::Ok,
-            Kind::Error,
-            Kind::Shed,
-            Kind::Timeout,
-            Kind::ConnectFailed,
-            Kind::Cancelled,
+            OutcomeKind::Ok,
+            OutcomeKind::Error,
+            OutcomeKind::Shed,
+            OutcomeKind::Timeout,
+            OutcomeKind::ConnectFailed,
+            OutcomeKind::Cancelled,
         ];
         let outcome = Outcome {
             kind: kinds[usize::from(kind) % kinds.len()],
