--- a/crates/route/src/chooser.rs
+++ b/crates/route/src/chooser.rs
@@ -1,4 +1,4 @@
-//! The state machine of one service's choices.
+//! Chooses among one service's instances by own attempts and load reports.
 
 use std::time::Duration;
 
@@ -25,34 +25,33 @@
 use crate::policy::Settings;
 use crate::view::View;
 
-/// Work time that is assumed before the first answer, in seconds.
+/// Work time assumed before the first answer, in seconds.
 const INITIAL_WORK_TIME: f64 = 0.01;
-/// Least work time that is believed, in seconds.
+/// Lower bound of the average work time, in seconds.
 const MIN_WORK_TIME: f64 = 1e-5;
-/// Weight of one answer in what is usual for the service.
+/// Weight of one answer in the service's averages.
 const AVERAGE_WEIGHT: f64 = 0.02;
-/// Usual work times that one answer counts for at most.
+/// Upper bound of a sample, relative to the average work time.
 const MAX_SAMPLE_RATIO: f64 = 4.0;
-/// Most that an expectation is shown as, in seconds.
+/// Upper bound of [`Choice::expected`], in seconds.
 const MAX_EXPECTED: f64 = 3600.0;
-/// Part of an expectation that is random, so that equal ones take turns.
+/// Random part of an expectation, so that equal instances take turns.
 const JITTER: f64 = 0.05;
-/// Instances that one choice looks at, at most.
+/// Number of instances that one choice compares.
 const MAX_CANDIDATES: usize = 24;
-/// Choices over which shares are shown.
+/// Number of recent choices that [`View::chosen`] covers.
 const SHARE_WINDOW: u32 = 2048;
-/// Usual work times without an answer that eject.
+/// Time without an answer that ejects an instance, in average work times.
 const SILENCE_WORK_TIMES: f64 = 40.0;
-/// Least time without an answer that ejects.
+/// Lower bound of the time without an answer that ejects an instance.
 const MIN_SILENCE: Duration = Duration::from_millis(100);
-/// At most one instance in so many is ejected.
+/// At most one instance in this many is ejected.
 const EJECTED_DIVISOR: usize = 2;
 
 /// Chooses among one service's instances.
 ///
 /// Invariant: `ready` holds the indexes of exactly the entries whose phase is
-/// ready, so that a choice looks at no other. `ejected` is set while any entry's
-/// health isn't in.
+/// ready. `has_ejected` is set while any entry receives no ordinary requests.
 #[derive(Debug)]
 pub struct Chooser {
     policy: Policy,
@@ -63,6 +62,7 @@
     last_index: usize,
     averages: ServiceAverages,
     choices: u32,
+    /// A table with instances has been applied; instances that appear later ramp.
     has_started: bool,
     has_ejected: bool,
 }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Takes the directory's table, whole: an instance that it lacks has gone.
+    /// Applies the directory's complete table; an instance that it lacks has been removed.
     pub fn update(&mut self, now: Moment, table: &[Instance]) {
         for entry in &mut self.entries {
             if !table.iter().any(|listed| listed.is_same(&entry.instance)) {
@@ -97,7 +97,7 @@
             }
         }
         for row in table {
-            self.take(now, row);
+            self.apply_row(now, row);
         }
         self.has_started |= !table.is_empty();
         self.ready.clear();
@@ -108,7 +108,7 @@
         }
     }
 
-    fn take(&mut self, now: Moment, row: &Instance) {
+    fn apply_row(&mut self, now: Moment, row: &Instance) {
         let mut entries = self.entries.iter_mut();
         if let Some(entry) = entries.find(|e| e.instance.is_same(row)) {
             entry.apply(now, row);
@@ -129,9 +129,9 @@
         }
     }
 
-    /// Chooses an instance for an attempt, none of `exclude` if another is left.
+    /// Chooses an instance for an attempt, outside of `exclude` where possible.
     ///
-    /// `None` means that no instance is ready.
+    /// Returns `None` if no instance is ready.
     pub fn choose(&mut self, now: Moment, exclude: &[Pick]) -> Option<Choice> {
         let (index, reason) = match self.policy {
             Policy::Random => (self.choose_random(exclude, None)?, Reason::Baseline),
@@ -165,7 +165,7 @@
         Some((index, if fresh { Reason::Fresh } else { Reason::Stale }))
     }
 
-    /// An ejected instance that may be tried; not for a retry, which has failed once.
+    /// An ejected instance due for a trial request. Retries are not used as trials.
     fn trial(&mut self, now: Moment, exclude: &[Pick]) -> Option<usize> {
         if !self.has_ejected || !exclude.is_empty() {
             return None;
@@ -177,7 +177,8 @@
         trial
     }
 
-    /// The least expectation among the candidates, or among all if none is left.
+    /// The instance with the least expectation among the candidates, or among all instances if no
+    /// candidate is usable.
     fn least_expected(&mut self, now: Moment, exclude: &[Pick]) -> Option<usize> {
         let count = self.ready.len();
         if count <= MAX_CANDIDATES {
@@ -188,7 +189,7 @@
             .or_else(|| self.least_expected_among(now, exclude, 0, count))
     }
 
-    /// The same among `count` ready instances from the one at `start` on.
+    /// The same among `count` ready instances, starting at position `start`.
     fn least_expected_among(
         &mut self,
         now: Moment,
@@ -227,7 +228,7 @@
         }
     }
 
-    /// A random ready instance, not `other` and none of `exclude` if another is left.
+    /// A random ready instance; not `other` and outside of `exclude` where possible.
     fn choose_random(&mut self, exclude: &[Pick], other: Option<usize>) -> Option<usize> {
         let free = |i: &usize| Some(*i) != other && !self.is_excluded(*i, exclude);
         let count = self.ready.iter().copied().filter(free).count();
@@ -263,7 +264,7 @@
         exclude.contains(&self.entries[index].pick(index))
     }
 
-    /// Notes that an attempt begins.
+    /// Records the start of an attempt.
     pub fn started(&mut self, now: Moment, pick: Pick) -> Ticket {
         if let Some(entry) = self.entry(pick) {
             entry.record_start(now);
@@ -274,7 +275,7 @@
         }
     }
 
-    /// Notes the end of an attempt.
+    /// Records the end of an attempt.
     pub fn finished(&mut self, now: Moment, ticket: Ticket, outcome: Outcome) {
         let (pick, started_at) = ticket.into_parts();
         let (averages, settings) = (self.averages, self.settings);
@@ -314,7 +315,7 @@
         }
     }
 
-    /// Ejects the instance unless too many of the ready ones are out already.
+    /// Ejects the instance unless too many ready instances are ejected already.
     fn eject(&mut self, now: Moment, pick: Pick, cause: Cause) {
         let out = |i: &&usize| !self.entries[**i].health.takes_traffic();
         let count = self.ready.iter().filter(out).count();
@@ -329,11 +330,11 @@
         }
     }
 
-    /// The instance that a probe now tells most about, among those `allowed`.
+    /// The instance that most needs a probe, among those `allowed`.
     ///
-    /// `allowed` is asked in the order of need and takes the probe from the
-    /// instance's measuring budget when it says yes. Every pick is to be given
-    /// back to [`Chooser::probed`].
+    /// `allowed` is called in the order of need; it returns true after charging the probe to
+    /// the instance's probe budget. Every returned pick must be passed to
+    /// [`Chooser::probed`].
     pub fn probe(
         &mut self,
         now: Moment,
@@ -352,7 +353,7 @@
         Some(self.entries[index].pick(index))
     }
 
-    /// Notes the end of a probe.
+    /// Records the end of a probe.
     pub fn probed(&mut self, now: Moment, pick: Pick, result: ProbeResult) {
         let settings = self.settings;
         let Some(entry) = self.entry(pick) else {
@@ -373,14 +374,14 @@
         }
     }
 
-    /// The instance's id, `None` after it has gone.
+    /// The instance's id, `None` once the instance is removed.
     #[must_use]
     pub fn id(&self, pick: Pick) -> Option<&InstanceId> {
         let entry = self.entries.get(pick.index as usize)?;
         (entry.generation == pick.generation).then_some(&entry.instance.id)
     }
 
-    /// Every instance as the chooser sees it.
+    /// The state of each instance.
     #[must_use]
     pub fn views(&self, now: Moment) -> Vec<View> {
         let shown = self.entries.iter().filter(|e| !e.is_gone());
--- a/crates/route/src/cost.rs
+++ b/crates/route/src/cost.rs
@@ -1,39 +1,38 @@
-//! What a choice of an instance costs, in one unit: the worth of a request.
+//! Cost of sending a request to an instance, as a fraction of the request's worth.
 //!
-//! An answer after the aim is worth little, so the largest part is how likely
-//! it comes late. Bytes between failure domains cost too, and are set against
-//! that. Time itself costs a little, which decides between equals.
+//! The largest part is the probability that the answer comes after the target
+//! latency. Traffic between failure domains, the expected response time and the
+//! instance's failure share add to it; response time decides between instances
+//! that would all answer in time.
 //!
-//! The pace of a machine when work starts holds for all of that work. So an instance
-//! that is slow now is to be avoided, and one of which nothing is known is a draw between
-//! both.
+//! A request runs at the pace that the machine had when work started. The pace of
+//! an instance without a recent report is a mixture of normal and slow.
 
 use std::time::Duration;
 
-/// Usual pace, in hundredths.
+/// Nominal pace, in hundredths.
 const NOMINAL_PACE: f64 = 100.0;
 /// Pace from which a machine counts as slow, in hundredths.
 const SLOW_PACE: f64 = 200.0;
-/// Mean time for which a pace lasts, in seconds.
+/// Mean duration of a pace, in seconds.
 const PACE_TIME_CONSTANT: f64 = 0.3;
-/// Part of the slots above which instances work slower,
+/// Utilization above which requests run slower.
 const KNEE: f64 = 0.8;
-/// and by how much. It is settled when the work starts, as the pace is; what runs already
-/// isn't slowed.
+/// Slowdown of requests that start above [`KNEE`]; those already running aren't slowed.
 const LOADED_SLOWDOWN: f64 = 1.7;
-/// An instance that has just started works so much slower.
+/// Slowdown of a cold instance.
 const COLD_SLOWDOWN: f64 = 2.0;
-/// Spread of work times, as the deviation of their logarithm.
+/// Standard deviation of the logarithm of work times.
 const WORK_TIME_SIGMA: f64 = 0.3;
-/// Makes the logistic curve follow the normal one.
+/// Scale at which the logistic function approximates the normal distribution.
 const LOGISTIC_SCALE: f64 = 1.7;
 /// Part of a request's worth that a late answer loses.
 const LATE_LOSS: f64 = 0.9;
-/// Worth of one aim's time, to decide between answers that all come in time.
+/// Cost of a response time equal to the target latency.
 const TIME_COST: f64 = 0.03;
-/// Worth that a share of failures costs, as a failed request is lost.
+/// Cost of a failure share of 1.
 const FAILURE_LOSS: f64 = 1.0;
-/// Weight of one report in what is usual for a service's machines.
+/// Weight of one report in [`PaceStats`].
 const SAMPLE_WEIGHT: f64 = 0.02;
 
 /// How often and how much the machines of a service are slow.
@@ -41,12 +40,12 @@
 pub struct PaceStats {
     /// Share of the reports with a slow pace.
     share: f64,
-    /// Slowdown in these.
+    /// Average slowdown in these reports.
     slowdown: f64,
 }
 
 impl Default for PaceStats {
-    /// Where machines are shared: a quarter of the time, four times.
+    /// Assumed values for shared machines.
     fn default() -> Self {
         Self {
             share: 0.25,
@@ -56,7 +55,7 @@
 }
 
 impl PaceStats {
-    /// Takes a pace that an instance told, in hundredths of the usual time.
+    /// Adds a reported pace, in hundredths of the nominal time.
     pub fn observe(&mut self, pace: u32) {
         let pace = f64::from(pace);
         let slow = pace >= SLOW_PACE;
@@ -68,52 +67,52 @@
     }
 }
 
-/// What is known of an instance at the moment of a choice.
+/// An instance's state at the moment of a choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InstanceState {
-    /// Requests that it works on or that wait there, this one not counted.
+    /// Requests at the instance, running and queued, without the one to be sent.
     pub busy: f64,
-    /// Requests that it works on at once.
+    /// Maximum number of requests processed at once.
     pub slots: f64,
-    /// Pace that it told, in hundredths of the usual time, and the age of that in seconds.
+    /// Reported pace, in hundredths of the nominal time, and the report's age in seconds.
     pub pace: Option<(f64, f64)>,
-    /// What is usual for the machines of its service.
+    /// Pace statistics of the service.
     pub pace_stats: PaceStats,
-    /// It has just started.
+    /// Whether it has just started.
     pub cold: bool,
-    /// Share of its recent answers that were failures.
+    /// Share of failures among its recent answers.
     pub failure_share: f64,
 }
 
-/// What a request needs.
+/// Requirements of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Need {
-    /// Usual time of work.
+    /// Usual work time of the request.
     pub work: Duration,
-    /// Time within which the answer has its full worth, from now.
+    /// Target latency, from now: an answer within this time keeps its full worth.
     pub aim: Duration,
-    /// Cost of its bytes between failure domains, as a part of its worth.
+    /// Cost of its traffic between failure domains, as a fraction of its worth.
     pub crossing: f64,
-    /// Part of an instance's slots that may be taken with it.
+    /// Fraction of an instance's slots that may be in use including this request.
     pub room: f64,
-    /// Where its answer goes.
+    /// Failure domain that the answer is sent to.
     pub domain_index: DomainIndex,
 }
 
-/// A failure domain as a chooser numbers them.
+/// Index of a failure domain in a chooser.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DomainIndex(pub(crate) u32);
 
 impl DomainIndex {
-    /// The chooser's own.
+    /// The chooser's own domain.
     pub const OWN: Self = Self(0);
 }
 
-/// One way that it may go: how likely, and how much slower than usual.
+/// Probability and slowdown of one possible pace.
 type Scenario = (f64, f64);
 
 impl InstanceState {
-    /// The pace that was told, or one of the usual two.
+    /// The reported pace, and the normal and the slow pace in case the report is outdated.
     fn scenarios(&self) -> [Scenario; 3] {
         let (pace, confidence) = match self.pace {
             Some((pace, age)) => (
@@ -131,7 +130,7 @@
         ]
     }
 
-    /// Time until the answer on a machine that is `slowdown` times slower, in seconds.
+    /// Response time on a machine that is `slowdown` times slower, in seconds.
     fn response_time(&self, need: &Need, slowdown: f64) -> f64 {
         let cold = if self.cold { COLD_SLOWDOWN } else { 1.0 };
         let work = need.work.as_secs_f64() * cold * slowdown;
@@ -146,7 +145,7 @@
     }
 }
 
-/// When the answer is expected, in seconds.
+/// Expected response time, in seconds.
 #[must_use]
 pub fn expected(state: &InstanceState, need: &Need) -> f64 {
     let scenarios = state.scenarios().into_iter();
@@ -155,7 +154,7 @@
         .sum()
 }
 
-/// How likely the answer comes late.
+/// Probability that the answer comes after the target latency.
 #[must_use]
 pub fn late_probability(state: &InstanceState, need: &Need) -> f64 {
     let aim = need.aim.as_secs_f64().max(1e-3);
@@ -168,7 +167,7 @@
         .sum()
 }
 
-/// What the choice costs; `crosses` says that the instance is in another failure domain.
+/// Cost of sending the request; `cross_domain` if the instance is in another failure domain.
 #[must_use]
 pub fn cost(state: &InstanceState, need: &Need, cross_domain: bool) -> f64 {
     let ratio = expected(state, need) / need.aim.as_secs_f64().max(1e-3);
--- a/crates/route/src/entry.rs
+++ b/crates/route/src/entry.rs
@@ -1,4 +1,4 @@
-//! What a chooser keeps of one instance.
+//! A chooser's state of one instance.
 
 use std::time::Duration;
 
@@ -22,44 +22,44 @@
 use crate::work_time;
 use crate::work_time::WorkTime;
 
-/// Usual work times after which a wait that ended in vain has half of its weight.
+/// Half-life of the time that timed-out and cancelled attempts waited, in average work times.
 const WAIT_HALF_LIFE: f64 = 20.0;
-/// Most that a ramping instance's expectation is raised by.
+/// Factor added to the expectation at the start of a ramp.
 const RAMP_PENALTY: f64 = 4.0;
-/// Usual work times that a failure costs.
+/// Cost of a failure share of 1, in average work times.
 const FAILURE_PENALTY: f64 = 10.0;
 
-/// How much longer a wait that has lasted so far is expected to last.
+/// Expected total wait of an attempt, relative to the wait so far.
 const WAIT_FACTOR: f64 = 2.0;
-/// Work times that a request waits at an instance with as many requests as slots.
+/// Queueing time at a utilization of 1, in work times.
 const QUEUE_FACTOR: f64 = 2.0;
 
-/// What the chooser knows of the whole service.
+/// Averages over the service's instances.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServiceAverages {
     /// Work time of a request, in seconds.
     pub(crate) work: f64,
-    /// Requests of other gateways at an instance.
+    /// Requests from other gateways at an instance.
     pub(crate) external: f64,
-    /// Whether an answer has told the work time yet.
+    /// Whether `work` comes from at least one answer.
     pub(crate) known: bool,
 }
 
 impl ServiceAverages {
-    /// Age at which a wait that ended in vain has half of its weight.
+    /// Half-life of the time that attempts waited without an answer.
     fn wait_half_life(self) -> Duration {
         Duration::from_secs_f64(self.work * WAIT_HALF_LIFE)
     }
 }
 
-/// What an end of an attempt or a probe says of the instance.
+/// What the end of an attempt says about the instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Verdict {
     /// Work time of an answered request, in seconds.
     Answered(f64),
-    /// It is to be ejected if the bound allows.
+    /// The instance is to be ejected if the ejection limit allows.
     Eject(Cause),
-    /// Nothing to act on.
+    /// Nothing to do.
     Unchanged,
 }
 
@@ -76,7 +76,7 @@
     starts: Vec<Moment>,
     external_load: ExternalLoad,
     work_time: WorkTime,
-    // Time that ended attempts waited in vain since the last answer.
+    // Time that attempts waited without an answer since the last answer.
     unanswered_wait: Duration,
     unanswered_at: Moment,
     last_answer: Moment,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Takes a new row of the table; one that was gone, or began anew, ramps.
+    /// Applies a row of the instance table; an instance that returns or becomes ready ramps.
     pub(crate) fn apply(&mut self, now: Moment, announced: &Instance) {
         if self.is_gone() && announced.phase != Phase::Gone {
             let state = State::Ramping { since: now };
@@ -143,7 +143,7 @@
         self.external_load.mean(now, limit)
     }
 
-    /// When an answer to one more request is expected, in seconds.
+    /// Expected time to the answer of one more request, in seconds.
     pub(crate) fn expected(
         &mut self,
         now: Moment,
@@ -159,7 +159,7 @@
         (work * queueing_factor(utilization) + failures) * ramp
     }
 
-    /// Requests for each slot, one more included.
+    /// Requests per slot, including one more.
     fn utilization(&self, now: Moment, averages: ServiceAverages, settings: &Settings) -> f64 {
         let own = f64::from(self.in_flight());
         let external = self.external_load.mean(now, settings.max_report_age);
@@ -167,13 +167,13 @@
         load / f64::from(self.instance.slots.max(1))
     }
 
-    /// How long the oldest attempt has waited, with those that ended in vain.
+    /// Wait of the oldest attempt in flight, plus that of attempts that ended without an answer.
     fn total_wait(&self, now: Moment, averages: ServiceAverages) -> Duration {
         let running = self.starts.first().map(|start| now.since(*start));
         self.decayed_unanswered_wait(now, averages) + running.unwrap_or_default()
     }
 
-    /// How long attempts have waited since the last answer of any.
+    /// How long attempts have waited since the last answer of any attempt.
     pub(crate) fn silence(&self, now: Moment, averages: ServiceAverages) -> Duration {
         let oldest = self
             .starts
@@ -183,19 +183,19 @@
         self.decayed_unanswered_wait(now, averages) + running.unwrap_or_default()
     }
 
-    /// Whether an attempt has waited in vain since the last answer.
+    /// Whether an attempt has ended without an answer since the last answer.
     pub(crate) fn is_suspect(&self) -> bool {
         !self.unanswered_wait.is_zero()
     }
 
-    /// Whether a probe would tell if it is silent or back.
+    /// Whether a probe would show if the instance is silent or has recovered.
     pub(crate) fn needs_probe(&self, now: Moment) -> bool {
         let asked = self.probed_at.is_some_and(|at| at > self.unanswered_at);
         let suspect = self.is_suspect() && !asked && self.health.takes_traffic();
         suspect || self.health.wants_probe(now, Duration::ZERO)
     }
 
-    /// Whether it gets work and its newest report is as old as `limit`.
+    /// Whether the instance receives requests and its latest report is at least `limit` old.
     pub(crate) fn is_stale(&self, now: Moment, limit: Duration) -> bool {
         self.health.takes_traffic() && self.age(now).is_none_or(|age| age >= limit)
     }
@@ -214,7 +214,7 @@
         self.starts.push(now);
     }
 
-    /// Takes the end of the attempt that `began` then.
+    /// Records the end of the attempt that started at `started_at`.
     pub(crate) fn finish(
         &mut self,
         now: Moment,
@@ -312,9 +312,9 @@
     }
 }
 
-/// How many work times a request takes at an instance that is `full`.
+/// Expected response time at this utilization, in work times.
 ///
-/// Below 1 a slot is free on average but not always, so that it rises there too.
+/// A queue forms below a utilization of 1, too, as a slot is free only on average.
 fn queueing_factor(utilization: f64) -> f64 {
     let square = utilization * utilization;
     1.0 + QUEUE_FACTOR * square * square + (utilization - 1.0).max(0.0)
--- a/crates/route/src/external_load.rs
+++ b/crates/route/src/external_load.rs
@@ -1,9 +1,9 @@
-//! How many requests of other gateways an instance has, from its reports.
+//! Estimates an instance's requests from other gateways, from its load reports.
 //!
-//! A report counts every request at the instance; those of this gateway are
-//! taken off, since their number is known at any moment. Of what is left only
-//! the mean over many reports is used: a single report is stale when it comes,
-//! and choosing by it sends the gateways after each other to the same instance.
+//! A report counts all requests at the instance. This gateway's own are
+//! subtracted, as their number is known at any time. Only the mean over many
+//! reports is used: a single report is stale on arrival, and choosing by it would
+//! make all gateways send to the same instance.
 
 use std::time::Duration;
 
@@ -12,24 +12,24 @@
 use crate::decay::decay;
 use crate::outcome::Report;
 
-/// Weight of one report in the test of reports.
+/// Weight of one report in the share of underreporting reports.
 const ACCURACY_WEIGHT: f64 = 0.2;
-/// Share of reports that lack own requests from which none is believed.
+/// Share of underreporting reports from which an instance's reports are ignored.
 const MAX_UNDERREPORTED: f64 = 0.6;
 
-/// Requests of other gateways at one instance.
+/// Requests from other gateways at one instance.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ExternalLoad {
     mean: f64,
     updated_at: Option<Moment>,
-    // Share of reports that lack own requests, among those that could.
+    // Share of reports with fewer requests than this gateway's own.
     underreported: f64,
 }
 
 impl ExternalLoad {
-    /// Takes a report of which `own` requests are this gateway's.
+    /// Adds a report that includes `own` requests of this gateway.
     ///
-    /// `half` is the age at which what was known before has half of the weight.
+    /// Earlier reports lose half of their weight in `half_life`.
     pub(crate) fn observe(&mut self, now: Moment, report: Report, own: u32, half_life: Duration) {
         let external = f64::from(report.in_flight.saturating_sub(own));
         let weight = match self.updated_at {
@@ -41,16 +41,16 @@
         self.updated_at = Some(now);
     }
 
-    /// The mean, `None` without a report younger than `limit`.
+    /// The mean, `None` unless a report is younger than `limit`.
     pub(crate) fn mean(&self, now: Moment, limit: Duration) -> Option<f64> {
         let age = self.age(now)?;
         (age < limit && self.underreported < MAX_UNDERREPORTED).then_some(self.mean)
     }
 
-    /// Notes whether the report counts this gateway's own requests.
+    /// Records whether the report includes this gateway's own requests.
     ///
-    /// Some may still be on their way, but an instance that leaves them out
-    /// again and again says less than it has.
+    /// Single reports may lack some that have not arrived yet; an instance whose reports
+    /// repeatedly lack them underreports its load.
     fn check_own_requests(&mut self, report: Report, own: u32) {
         if own == 0 {
             return;
@@ -59,7 +59,7 @@
         self.underreported += (underreports - self.underreported) * ACCURACY_WEIGHT;
     }
 
-    /// Age of the newest report.
+    /// Age of the latest report.
     pub(crate) fn age(&self, now: Moment) -> Option<Duration> {
         self.updated_at.map(|at| now.since(at))
     }
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -1,10 +1,11 @@
-//! Whether an instance gets work, judged from results.
+//! Outlier detection for one instance.
 //!
-//! Failures in a row, or too large a share of them, eject an instance; so does
-//! a long wait without any answer. It comes back by a probe that is answered,
-//! one trial request, and a ramp. Each ejection soon after the last one is
-//! twice as long, so that a flapping instance costs less and less. Who may be
-//! ejected is bounded by the chooser, not here.
+//! An instance is ejected after too many consecutive failures, too large a share
+//! of failures, or too long a wait without any answer. It returns after an
+//! answered probe, one trial request and a ramp. The ejection time doubles for
+//! each ejection that follows soon after the previous one, so that a flapping
+//! instance affects fewer and fewer requests. The chooser limits how many
+//! instances may be ejected at once.
 
 use std::time::Duration;
 
@@ -12,63 +13,60 @@
 
 use crate::decay::decay;
 
-/// Failures in a row that eject where few results come.
+/// Consecutive failures that eject an instance with few recent results.
 const FAILURE_STREAK_LIMIT: u32 = 3;
-/// One more is needed for each so many recent results: where a third of the answers are
-/// lost, three in a row come by chance every two seconds at 20 results a second, and
-/// half of the instances were out while requests were refused for want of room.
+/// The streak limit rises by one for each this many recent results: at a high
+/// request rate a moderate failure rate yields short streaks by chance.
 const RESULTS_PER_EXTRA_FAILURE: u32 = 4;
-/// What an attempt without any answer counts for in a row.
+/// Failures that an unanswered attempt adds to the streak.
 const TIMEOUT_STREAK_STEP: u32 = 2;
-/// Results below which a share of failures tells nothing.
+/// Minimum number of results for the failure share to be considered.
 const MIN_RESULTS: f64 = 5.0;
-/// Share of failures that ejects.
+/// Share of failures that ejects an instance.
 const FAILURE_SHARE_LIMIT: f64 = 0.4;
-/// Results that the share of failures remembers.
+/// Number of results over which the failure share is averaged.
 const RESULT_WINDOW: f64 = 20.0;
-/// Age at which results have half of their weight.
+/// Age at which a result has half of its weight.
 const RESULT_HALF_LIFE: Duration = Duration::from_secs(1);
-/// Failed probes in a row, without an answer between them, that eject.
+/// Consecutive failed probes, without an answer in between, that eject an instance.
 const FAILED_PROBES_LIMIT: u32 = 2;
-/// First ejection.
+/// Duration of a first ejection.
 const MIN_EJECTION: Duration = Duration::from_secs(1);
-/// Doublings at most.
 const MAX_DOUBLINGS: u32 = 4;
-/// Time without an ejection after which the next is a first one again.
+/// Time without an ejection after which the ejection time starts from the minimum again.
 const BACKOFF_RESET: Duration = Duration::from_mins(1);
-/// Wait for a probe's answer before a trial is made without one, after failures.
+/// Time after the end of an ejection for failures until a trial request is sent without an
+/// answered probe.
 const TRIAL_DELAY: Duration = Duration::from_secs(2);
-/// The same after silence, when requests may be lost in the instance.
+/// The same for an ejection for silence, where the instance may lose requests.
 const TRIAL_DELAY_AFTER_SILENCE: Duration = Duration::from_secs(30);
 
-/// Age at which a trial whose end was never told is made again.
+/// Time after which a trial without a known outcome is repeated.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why an instance was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Cause {
-    /// It failed.
+    /// Failed attempts.
     Failures,
-    /// It gave no answer.
+    /// No answer.
     Silence,
 }
 
-/// Where an instance stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum State {
-    /// It gets its share.
+    /// Receives its full share of requests.
     Healthy,
-    /// It gets a share that grows from `since` on.
+    /// Receives a share that has grown since `since`.
     Ramping { since: Moment },
-    /// It gets nothing; from `until` on a probe or a trial may be made.
+    /// Receives nothing; a probe or a trial request may be sent from `until` on.
     Ejected { until: Moment, cause: Cause },
-    /// A probe was answered after the ejection: one trial request may be made.
+    /// Answered a probe after its ejection; one trial request may be sent.
     Probed,
-    /// The trial is under way.
+    /// The trial request is in flight.
     Trial { since: Moment },
 }
 
-/// The health of one instance.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Health {
     state: State,
@@ -82,7 +80,6 @@
 }
 
 impl Health {
-    /// An instance about which nothing is known.
     pub(crate) fn new(state: State) -> Self {
         Self {
             state,
@@ -96,17 +93,16 @@
         }
     }
 
-    /// Where it stands.
     pub(crate) fn state(&self) -> State {
         self.state
     }
 
-    /// Whether it gets ordinary work.
+    /// Whether the instance receives ordinary requests.
     pub(crate) fn takes_traffic(&self) -> bool {
         matches!(self.state, State::Healthy | State::Ramping { .. })
     }
 
-    /// Takes an answer that the instance means.
+    /// Records an answer that isn't a failure of the instance.
     pub(crate) fn record_success(&mut self, now: Moment) {
         self.record(now, 0.0);
         self.streak = 0;
@@ -117,7 +113,7 @@
         }
     }
 
-    /// Takes a failure; true when it asks for ejection.
+    /// Records a failure and returns whether the instance should be ejected.
     pub(crate) fn record_failure(&mut self, now: Moment, cause: Cause) -> bool {
         self.record(now, 1.0);
         self.streak += match cause {
@@ -130,12 +126,12 @@
                 self.streak >= self.streak_limit(now) || failing
             }
             State::Trial { .. } => true,
-            // Attempts from before the ejection tell nothing new.
+            // Attempts from before the ejection carry no new information.
             State::Ejected { .. } | State::Probed => false,
         }
     }
 
-    /// Failures in a row that eject now.
+    /// Consecutive failures that eject the instance at its current rate of results.
     fn streak_limit(&self, now: Moment) -> u32 {
         let weight = decay(now.since(self.updated_at), RESULT_HALF_LIFE);
         #[expect(
@@ -147,15 +143,14 @@
         FAILURE_STREAK_LIMIT + results / RESULTS_PER_EXTRA_FAILURE
     }
 
-    /// Takes a probe's failure; true when it asks for ejection.
+    /// Records a failed probe and returns whether the instance should be ejected.
     ///
-    /// `suspect` says that attempts have waited in vain since the last answer.
+    /// `suspect` means that attempts have gone unanswered since the last answer.
     pub(crate) fn probe_failed(&mut self, suspect: bool) -> bool {
         self.failed_probes += 1;
         suspect || !self.takes_traffic() || self.failed_probes >= FAILED_PROBES_LIMIT
     }
 
-    /// Takes a probe's answer.
     pub(crate) fn probe_answered(&mut self, now: Moment) {
         self.failed_probes = 0;
         if matches!(self.state, State::Ejected { until, .. } if until <= now) {
@@ -163,7 +158,7 @@
         }
     }
 
-    /// Ejects it; `jitter` from 0 to 1 spreads the gateways' trials.
+    /// Ejects the instance; `jitter` from 0 to 1 spreads the trials of different gateways.
     pub(crate) fn eject(&mut self, now: Moment, cause: Cause, jitter: f64) {
         let recently = self
             .ejected_at
@@ -180,7 +175,7 @@
         self.streak = 0;
     }
 
-    /// Whether a trial request may be made now.
+    /// Whether a trial request may be sent now.
     pub(crate) fn wants_trial(&self, now: Moment) -> bool {
         match self.state {
             State::Probed => true,
@@ -190,19 +185,18 @@
         }
     }
 
-    /// Notes that the trial is under way.
     pub(crate) fn begin_trial(&mut self, now: Moment) {
         self.state = State::Trial { since: now };
     }
 
-    /// Takes the end of a trial that told nothing.
+    /// Ends a trial that showed neither success nor failure.
     pub(crate) fn trial_cancelled(&mut self) {
         if matches!(self.state, State::Trial { .. }) {
             self.state = State::Probed;
         }
     }
 
-    /// Whether a probe could end the ejection, whose time has been over for `since`.
+    /// Whether the ejection ended at least `delay` ago, so that a probe may end it.
     pub(crate) fn wants_probe(&self, now: Moment, delay: Duration) -> bool {
         matches!(self.state, State::Ejected { until, .. } if until + delay <= now)
     }
@@ -213,11 +207,11 @@
             return 0.0;
         }
         let weight = decay(now.since(self.updated_at), RESULT_HALF_LIFE);
-        // One success more than was seen, so that a first failure isn't all.
+        // Counting one extra success keeps the first failure from being the whole share.
         self.failures * weight / (self.results * weight + 1.0)
     }
 
-    /// How far a ramp of `span` has come, 1 when there is none.
+    /// Progress of a ramp that lasts `duration`, from 0 to 1; 1 without a ramp.
     pub(crate) fn ramp_progress(&mut self, now: Moment, duration: Duration) -> f64 {
         let State::Ramping { since } = self.state else {
             return 1.0;
--- a/crates/route/src/instance.rs
+++ b/crates/route/src/instance.rs
@@ -1,4 +1,4 @@
-//! What the directory says of an instance, and handles to it.
+//! Instances of the directory's table, and handles to them.
 
 use std::time::Duration;
 
@@ -9,17 +9,17 @@
 use strum::EnumString;
 use strum::IntoStaticStr;
 
-/// What an instance announced of itself.
+/// Phase that an instance announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Phase {
-    /// Not yet serving; gets no work.
+    /// Not serving yet; receives no requests.
     Starting,
     /// Serving.
     Ready,
-    /// Leaving; gets no new work.
+    /// Shutting down; receives no new requests.
     Draining,
-    /// Left, or its lease ran out.
+    /// Removed, or its lease expired.
     Gone,
 }
 
@@ -28,65 +28,64 @@
 pub struct Instance {
     /// Unique within the service.
     pub id: InstanceId,
-    /// Rises with each start under the same id; what was known of an earlier one says
-    /// nothing of a later one.
+    /// Rises with each start under the same id; state of an earlier incarnation doesn't apply to
+    /// a later one.
     pub incarnation: u64,
-    /// The failure domain it runs in.
+    /// Its failure domain.
     pub domain: DomainName,
-    /// Requests that it works on at once, at least 1.
+    /// Maximum number of requests processed at once, at least 1.
     pub slots: u32,
-    /// What it announced.
+    /// The phase that it announced.
     pub phase: Phase,
 }
 
-/// An instance as a chooser is told of it.
+/// An instance as reported to a [`ProbingChooser`](crate::ProbingChooser).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportedInstance {
-    /// It.
+    /// The instance.
     pub instance: Instance,
-    /// How long it is still slow after its start.
+    /// Time that it remains cold, i.e. slow after its start.
     pub cold: Duration,
-    /// It hasn't announced itself lately, so it may be gone.
+    /// It hasn't announced itself recently, so it may be gone.
     pub silent: bool,
 }
 
 impl Instance {
-    /// Whether both are the same start of the same instance.
+    /// Whether both are the same incarnation of the same instance.
     #[must_use]
     pub fn is_same(&self, other: &Self) -> bool {
         self.id == other.id && self.incarnation == other.incarnation
     }
 }
 
-/// A handle to an instance of one chooser, valid until the instance has gone.
+/// A handle to an instance of one chooser, valid until the instance is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Pick {
     pub(crate) index: u32,
     pub(crate) generation: u32,
 }
 
-/// An attempt in flight, given back to the chooser at its end.
+/// An attempt in flight, to be returned to the chooser at its end.
 #[derive(Debug)]
-#[must_use = "an attempt that is never finished counts as in flight for good"]
+#[must_use = "an attempt that is never finished counts as in flight forever"]
 pub struct Ticket {
     pub(crate) pick: Pick,
     pub(crate) started_at: Moment,
 }
 
 impl Ticket {
-    /// The instance that the attempt went to.
+    /// The instance that the attempt was sent to.
     #[must_use]
     pub fn pick(&self) -> Pick {
         self.pick
     }
 
-    /// When the attempt began.
+    /// When the attempt started.
     #[must_use]
     pub fn started_at(&self) -> Moment {
         self.started_at
     }
 
-    /// Uses the ticket up.
     pub(crate) fn into_parts(self) -> (Pick, Moment) {
         (self.pick, self.started_at)
     }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,14 +1,14 @@
-//! Chooses the upstream instance that a request goes to.
+//! Chooses the upstream instance that a request is sent to.
 //!
-//! A [`Chooser`] stands for one service at one gateway. It is a plain state
-//! machine: the directory's table, starts and ends of attempts and results of
-//! probes go in with the time, a [`Choice`] comes out. It knows three things
-//! of an instance, each with its age: the gateway's own attempts in flight,
-//! the load reports that come back on answers, and results of probes.
+//! [`Chooser`] is the gateway's load balancing policy for one service,
+//! [`ProbingChooser`] that of an entry process, which probes instances before
+//! each choice. Both are state machines without I/O: the instance table, starts
+//! and ends of attempts and probe results go in together with the current time,
+//! a [`Choice`] or a [`Decision`] comes out.
 //!
-//! The way of an attempt is [`Chooser::choose`], [`Chooser::started`] and, in
-//! every case, [`Chooser::finished`] with the ticket. Probes are asked for
-//! with [`Chooser::probe`]; what they may cost is not decided here.
+//! An attempt takes [`Chooser::choose`], [`Chooser::started`] and, whatever its
+//! outcome, [`Chooser::finished`] with the ticket. [`Chooser::probe`] names the
+//! instance to probe next; the caller enforces the probe budget.
 
 pub mod chooser;
 pub mod cost;
--- a/crates/route/src/outcome.rs
+++ b/crates/route/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of attempts and probes.
+//! Outcomes of attempts and probes.
 
 use std::time::Duration;
 
@@ -6,43 +6,43 @@
 use strum::EnumString;
 use strum::IntoStaticStr;
 
-/// How an attempt ended, as far as it tells of the instance.
+/// How an attempt ended, as far as it concerns the instance's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum OutcomeKind {
-    /// An answer that the instance means, a caller's own mistake included.
+    /// An answer that isn't a failure of the instance; includes errors of the caller.
     Ok,
-    /// A failure of the instance: 5xx other than shed, a broken or short answer.
+    /// A failure of the instance: 5xx other than shed, or a broken or truncated answer.
     Error,
-    /// A refusal before any work.
+    /// Refused before any work.
     Shed,
-    /// No answer within the time of the attempt.
+    /// No answer within the attempt's timeout.
     Timeout,
     /// No connection.
     ConnectFailed,
-    /// Given up by the gateway or the caller; says nothing but how long it took so far.
+    /// Cancelled by the gateway or the caller; only its duration so far counts.
     Cancelled,
 }
 
-/// The load that an instance says it has, the answered request not counted.
+/// Load reported on an answer, without the answered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Requests in flight at the instance, queued ones included.
+    /// Requests in flight at the instance, including queued ones.
     pub in_flight: u32,
-    /// Requests that it works on at once.
+    /// Maximum number of requests processed at once.
     pub slots: u32,
 }
 
-/// What an instance says of its load at one moment, everything counted.
+/// An instance's load at one moment, including all requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that it works on.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests that wait for a slot.
+    /// Requests queued for a slot.
     pub waiting: u32,
-    /// Requests that it works on at once.
+    /// Maximum number of requests processed at once.
     pub slots: u32,
-    /// How long work takes on its machine now, in hundredths of the usual time.
+    /// Current work time on the instance's machine, in hundredths of the nominal time.
     pub pace: u32,
 }
 
@@ -53,15 +53,15 @@
     pub kind: OutcomeKind,
     /// Time from the start to the answer's head, or to the failure.
     pub latency: Duration,
-    /// The load report on the answer, if it had one.
+    /// Load report on the answer, if any.
     pub report: Option<Report>,
 }
 
 /// The end of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// It was answered with a report.
+    /// The reported load.
     Load(Report),
-    /// It failed or took too long.
+    /// The probe failed or timed out.
     Failed,
 }
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -1,4 +1,4 @@
-//! The policies, their settings and the choice that they make.
+//! Load balancing policies, their settings and the choice they make.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 
 use crate::instance::Pick;
 
-/// How an instance is chosen.
+/// Load balancing policy.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Display, EnumIter, EnumString, IntoStaticStr,
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum Policy {
-    /// Any ready instance, evenly.
+    /// A random ready instance.
     Random,
     /// Ready instances in turn.
     RoundRobin,
     /// The one of two random instances with fewer own attempts in flight.
     TwoChoices,
-    /// The instance whose answer is expected first; the product's own.
+    /// The instance with the earliest expected answer.
     #[default]
     LeastWait,
 }
@@ -30,45 +30,45 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Reason {
-    /// A baseline policy's choice.
+    /// Choice of a baseline policy.
     Baseline,
-    /// Least expected wait, from a report that is fresh.
+    /// Least expected wait by a fresh load report.
     Fresh,
-    /// Least expected wait, from own attempts and averages alone.
+    /// Least expected wait without a fresh load report, by own attempts and averages.
     Stale,
-    /// Granted by the process that decides for the service.
+    /// Granted by the service's dispatcher.
     Placed,
-    /// A trial request to an instance that is ejected or was silent.
+    /// Trial request to an ejected instance.
     Trial,
-    /// Every instance is ejected, so that health is left out of account.
+    /// All instances are ejected, so that health is ignored.
     Panic,
 }
 
-/// The choice of an instance with what it rests on.
+/// A chosen instance and the state that it was chosen by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// The instance.
     pub pick: Pick,
-    /// Why this one.
+    /// Why it was chosen.
     pub reason: Reason,
-    /// Age of the newest report of the instance, `None` before the first.
+    /// Age of its latest load report, `None` before the first.
     pub age: Option<Duration>,
     /// Own attempts in flight there.
     pub in_flight: u32,
-    /// When an answer is expected, from now.
+    /// Expected time to the answer.
     pub expected: Duration,
 }
 
 /// Settings of a chooser.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Age at which the reports before have half of their weight.
+    /// Age at which earlier reports have half of their weight.
     pub report_half_life: Duration,
-    /// Age from which a report isn't used.
+    /// Age from which a report is ignored.
     pub max_report_age: Duration,
-    /// Age of the newest report from which a probe is worth its cost.
+    /// Age of the latest report from which the instance is probed.
     pub probe_age: Duration,
-    /// How long an instance that is new, or back, gets a growing share.
+    /// Duration of the ramp of a new or returned instance.
     pub ramp: Duration,
 }
 
--- a/crates/route/src/probing.rs
+++ b/crates/route/src/probing.rs
@@ -1,14 +1,14 @@
-//! Chooses by what instances say at the moment of the choice.
+//! Chooses an instance by load reports that are requested for the choice.
 //!
-//! Where load shifts in milliseconds, a report that came back on an answer is
-//! stale when it is used. So a choice goes in rounds: [`ProbingChooser::plan`] names a few
-//! instances to ask, the answers come in by [`ProbingChooser::probed`], and the next plan
-//! names more only if none that was asked is good. [`ProbingChooser::choose`] then takes
-//! the one that costs least by [`crate::cost`]. Those in the gateway's own
-//! failure domain are asked first, as they answer sooner and their bytes are
-//! cheap.
+//! Where load shifts within milliseconds, a report that came on an earlier answer
+//! is stale when it is used. A choice therefore takes up to three rounds of
+//! probes: [`ProbingChooser::plan`] names a few instances to probe,
+//! [`ProbingChooser::probed`] takes the results, and the next round follows only
+//! if no probed instance is good enough. [`ProbingChooser::choose`] then takes the
+//! instance with the least [`crate::cost`]. Instances in the caller's own failure
+//! domain are probed first, as they answer sooner and their traffic is cheaper.
 //!
-//! It is a plain state machine: the time and what happened go in, decisions come out.
+//! It is a state machine without I/O; the time is an argument.
 
 mod cold;
 mod entry;
@@ -34,48 +34,47 @@
 use self::entry::ServiceAverages;
 use self::entry::Subset;
 
-/// Instances asked in the first round, and in each further one.
+/// Maximum number of instances probed in one round.
 const PROBES_PER_ROUND: usize = 3;
-/// Rounds after which the best of those known is taken.
+/// Rounds after which the best known instance is taken.
 const MAX_ROUNDS: u32 = 3;
-/// A choice that costs so little is taken without asking further.
+/// Cost below which an instance is taken without further probes.
 const GOOD_COST: f64 = 0.06;
-/// A report that is younger than this counts as knowledge; an instance without
-/// one gets work only where no other has room. Half of a pace's usual time.
+/// Age from which a report is ignored while an instance with a younger one has room.
 const MAX_KNOWN_AGE: Duration = Duration::from_millis(150);
-/// Part of the cost that is random, so that equal ones take turns.
+/// Random part of the cost, so that equal instances take turns.
 const JITTER: f64 = 0.01;
-/// Put to the rank of an instance that may be gone, over that of any other, so that it
-/// is asked only when no other is left to ask. After a restart of everything one probe in
-/// three went to an instance that had crashed and was still in the log.
+/// Added to the probe rank of an instance that may be gone. It exceeds all other parts, so
+/// that such an instance is probed only when no other is left.
 const SILENT_RANK_PENALTY: f64 = 2.0;
-/// Put to the rank of an instance outside of this process's subset: it is asked after one of
-/// the subset of which nothing is known, and before one that is known to be late.
+/// Added to the probe rank of an instance outside of the subset. Such an instance ranks after
+/// one of the subset without a report, and before one that is known to be late.
 const OUTSIDE_RANK_PENALTY: f64 = 0.3;
-/// Put to the cost of sending to one that may be gone and tells nothing: a request lost.
+/// Added to the cost of an instance that may be gone and has no recent report: the loss of
+/// the request.
 const SILENT_COST_PENALTY: f64 = 1.0;
-/// An ejected one that may be gone is asked so much later whether it is back: it is
-/// heard when it is, unless it is cut off from all hubs.
+/// Additional time until an ejected instance that may be gone is probed. If it returns, its
+/// announcement usually arrives first.
 const SILENT_PROBE_DELAY: Duration = Duration::from_secs(5);
-/// Likelihood of a late answer from which waiting is better than sending.
+/// Probability of a late answer above which waiting is better than sending.
 const MAX_LATE_PROBABILITY: f64 = 0.5;
 
-/// What a choice rests on.
+/// A chosen instance with its cost and the state that it was chosen by.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScoredChoice {
     /// The instance.
     pub pick: Pick,
-    /// Why this one.
+    /// Why it was chosen.
     pub reason: Reason,
-    /// Age of its newest report, `None` before the first.
+    /// Age of its latest report, `None` before the first.
     pub age: Option<Duration>,
-    /// Its newest report.
+    /// Its latest report.
     pub report: Option<LoadReport>,
     /// Own attempts in flight there.
     pub in_flight: u32,
-    /// When an answer is expected, from now.
+    /// Expected time to the answer.
     pub expected: Duration,
-    /// What it costs, as a part of the request's worth.
+    /// Cost of the choice, as a fraction of the request's worth.
     pub cost: f64,
 }
 
@@ -84,37 +83,36 @@
 pub enum Decision {
     /// Send it.
     Send(ScoredChoice),
-    /// It has room, and the answer would come late all the same: wait for a better one
-    /// while that may still come in time. Work on a slow machine holds its slot for
-    /// as much longer, too.
+    /// The instance has room, but the answer would probably be late: wait for a better one while
+    /// that may still answer in time. Requests on a slow machine also hold their slots longer.
     Slow(ScoredChoice),
-    /// Every instance has as much work as it does at once, or nothing is known and this
-    /// process has its share at work: wait until one has room.
+    /// Wait for room: all instances are at capacity, or there are no reports and this process
+    /// uses its share of the slots.
     Wait,
     /// No instance is ready.
     None,
 }
 
-/// Chooses among one service's instances by fresh reports.
+/// Chooses among one service's instances by fresh load reports.
 #[derive(Debug)]
 pub struct ProbingChooser {
-    /// Failure domains by their numbers, its own first.
+    /// Failure domains by index, the chooser's own first.
     domains: Vec<DomainName>,
     rng: SmallRng,
-    /// Tells this process's subset of the instances from that of others.
+    /// Seed of the rendezvous hashing that selects this process's subset of the instances.
     seed: u64,
     entries: Vec<Entry>,
     averages: ServiceAverages,
     processes: u32,
-    /// Most instances were heard, so that silence tells something. Just after a restart
-    /// of everything it would send all requests to the first few that were heard.
+    /// Whether most instances have announced themselves recently. Otherwise, as after a restart
+    /// of all processes, silence doesn't mean that an instance may be gone.
     most_announced: bool,
-    /// The list of processes by which cold instances are shared; none where they aren't.
+    /// Version of the process list by which cold instances are shared; `None` if they aren't.
     cold_sharing: Option<u64>,
 }
 
 impl ProbingChooser {
-    /// A chooser without instances, for a gateway in `domain`.
+    /// A chooser without instances, for a process in `domain`.
     #[must_use]
     pub fn new(domain: DomainName, seed: u64) -> Self {
         Self {
@@ -129,13 +127,13 @@
         }
     }
 
-    /// Usual requests a slot of the service, as its instances tell.
+    /// Average number of requests per slot, by the reports.
     #[must_use]
     pub fn load(&self) -> f64 {
         self.averages.load
     }
 
-    /// Takes over how many processes send to these instances.
+    /// Sets the number of processes that send to these instances.
     pub fn set_processes(&mut self, processes: u32) {
         let processes = processes.max(1);
         if self.processes != processes {
@@ -144,9 +142,9 @@
         }
     }
 
-    /// Instances to ask before the choice, at the round `round` from 0.
+    /// Instances to probe before the choice; `round` counts from 0.
     ///
-    /// `allow` is told how many are wanted, and says how many may be asked.
+    /// `allow` takes the number of wanted probes and returns how many may be sent.
     pub fn plan(
         &mut self,
         now: Moment,
@@ -155,20 +153,21 @@
         round: u32,
         allow: impl FnOnce(usize) -> usize,
     ) -> Vec<Pick> {
-        let asked = self.cheapest(now, need, exclude, MAX_FRESH_AGE);
+        let cheapest = self.cheapest(now, need, exclude, MAX_FRESH_AGE);
         let enough =
-            asked.is_some_and(|(index, cost)| self.is_enough(now, need, index, cost, round));
+            cheapest.is_some_and(|(index, cost)| self.is_enough(now, need, index, cost, round));
         if round >= MAX_ROUNDS || enough {
             return Vec::new();
         }
-        let mut open: Vec<(usize, f64)> = Vec::new();
+        let mut candidates: Vec<(usize, f64)> = Vec::new();
         for index in 0..self.entries.len() {
             let entry = &self.entries[index];
             if !self.is_usable(now, index, exclude) || entry.is_fresh(now) {
                 continue;
             }
             let cost = self.cost(now, need, entry);
-            // Those that were heard first, nearer ones, then by what they are likely to cost.
+            // Instances that announced themselves come first, then those in the caller's
+            // domain, then those with a low cost.
             let silent = if self.may_be_gone(entry) {
                 SILENT_RANK_PENALTY
             } else {
@@ -184,29 +183,29 @@
                 Subset::Outside => OUTSIDE_RANK_PENALTY,
             };
             let random: f64 = self.rng.random();
-            open.push((
+            candidates.push((
                 index,
                 silent + far + other + cost.min(1.0) * 0.5 + random * 0.25,
             ));
         }
-        open.sort_by(|a, b| a.1.total_cmp(&b.1));
-        let count = allow(open.len().min(PROBES_PER_ROUND));
-        let asked = open.into_iter().take(count);
-        let picks: Vec<Pick> = asked.map(|(index, _)| self.pick(index)).collect();
+        candidates.sort_by(|a, b| a.1.total_cmp(&b.1));
+        let count = allow(candidates.len().min(PROBES_PER_ROUND));
+        let planned = candidates.into_iter().take(count);
+        let picks: Vec<Pick> = planned.map(|(index, _)| self.pick(index)).collect();
         for pick in &picks {
             self.entries[pick.index as usize].probes_in_flight += 1;
         }
         picks
     }
 
-    /// Whether what was asked needs no further round: something good, or, after two
-    /// rounds, anything with room.
+    /// Whether no further round is needed: the instance has room, and its cost is low or this
+    /// would be the last round.
     fn is_enough(&self, now: Moment, need: &Need, index: usize, cost: f64, round: u32) -> bool {
         let room = self.entries[index].has_room(now, self.averages, need.room);
         room && (cost < GOOD_COST || round + 1 >= MAX_ROUNDS)
     }
 
-    /// Chooses an instance, none of `exclude` if another is left.
+    /// Chooses an instance, outside of `exclude` where possible.
     pub fn choose(&mut self, now: Moment, need: &Need, exclude: &[Pick]) -> Decision {
         if let Some(index) = self.trial(now, exclude) {
             self.entries[index].health.begin_trial(now);
@@ -234,10 +233,9 @@
         self.choose_panic(now, need, exclude)
     }
 
-    /// Whether one more may be sent there on an old report, or on none at all. After a
-    /// restart of all processes the requests of a second come to each of them at once;
-    /// 275 sent blindly within 20 ms filled queues for the next 2 s. So each sends no
-    /// more than its share of all slots to instances that it has never heard of.
+    /// Whether a request may be sent on an old report, or on none. To instances that never
+    /// reported, each process sends no more than its share of all slots; otherwise the requests
+    /// that arrive at all processes after a restart would overload them.
     fn may_send_blind(&self, index: usize) -> bool {
         if self.entries[index].report.is_some() {
             return true;
@@ -249,8 +247,7 @@
         own < usize::try_from(share).unwrap_or(usize::MAX)
     }
 
-    /// Chooses an instance that has just got room; waits on where it takes no work any
-    /// more.
+    /// Chooses the given instance, which just got room; waits if it no longer takes requests.
     pub fn choose_instance(&mut self, now: Moment, need: &Need, pick: Pick) -> Decision {
         let index = pick.index as usize;
         let known = self
@@ -264,7 +261,7 @@
         }
     }
 
-    /// Whether the instance has room for one more as far as its newest report goes.
+    /// Whether the instance has room for one more request by its latest report.
     #[must_use]
     pub fn has_room(&self, now: Moment, pick: Pick) -> bool {
         let entry = self.entries.get(pick.index as usize);
@@ -273,26 +270,31 @@
         })
     }
 
-    /// Every instance that is left is ejected: any that is ready, health apart.
+    /// Chooses among all ready instances regardless of their health, as every usable one is
+    /// ejected.
     fn choose_panic(&mut self, now: Moment, need: &Need, exclude: &[Pick]) -> Decision {
         let ready: Vec<usize> = (0..self.entries.len())
             .filter(|i| self.entries[*i].is_ready())
             .collect();
-        let open = |i: &usize| self.may_send(now, &self.entries[*i]);
-        let picks: Vec<usize> = ready.iter().copied().filter(open).collect();
+        let may_send = |i: &usize| self.may_send(now, &self.entries[*i]);
+        let picks: Vec<usize> = ready.iter().copied().filter(may_send).collect();
         if picks.is_empty() && !ready.is_empty() {
             return Decision::Wait;
         }
-        let rest: Vec<usize> = picks
+        let preferred: Vec<usize> = picks
             .iter()
             .copied()
             .filter(|i| !exclude.contains(&self.pick(*i)))
             .collect();
-        let among = if rest.is_empty() { picks } else { rest };
-        if among.is_empty() {
+        let candidates = if preferred.is_empty() {
+            picks
+        } else {
+            preferred
+        };
+        if candidates.is_empty() {
             return Decision::None;
         }
-        let index = among[self.rng.random_range(0..among.len())];
+        let index = candidates[self.rng.random_range(0..candidates.len())];
         Decision::Send(self.scored(now, need, index, Reason::Panic))
     }
 
@@ -348,13 +350,13 @@
         cheapest
     }
 
-    /// What sending there costs.
+    /// Cost of sending the request to this instance.
     fn cost(&self, now: Moment, need: &Need, entry: &Entry) -> f64 {
         let state = entry.state(now, self.averages);
         cost::cost(&state, need, entry.domain_index != need.domain_index)
     }
 
-    /// Whether it has fallen silent while most of the others are heard.
+    /// Whether the instance is silent while most others have announced themselves.
     fn may_be_gone(&self, entry: &Entry) -> bool {
         entry.silent && self.most_announced
     }
@@ -367,26 +369,26 @@
             && !exclude.contains(&self.pick(index))
     }
 
-    /// An ejected instance that may be tried; not for a retry, which has failed once.
+    /// An ejected instance due for a trial request. Retries are not used as trials.
     fn trial(&self, now: Moment, exclude: &[Pick]) -> Option<usize> {
         if !exclude.is_empty() {
             return None;
         }
-        let wants = |r: &Entry| r.is_ready() && self.may_send(now, r) && r.health.wants_trial(now);
+        let wants = |e: &Entry| e.is_ready() && self.may_send(now, e) && e.health.wants_trial(now);
         (0..self.entries.len()).find(|i| wants(&self.entries[*i]))
     }
 
-    /// Ejected instances whose time is over, which a probe may bring back.
+    /// Ejected instances that a probe may return to service.
     ///
-    /// `allow` is told how many are wanted, and says how many may be asked.
+    /// `allow` takes the number of wanted probes and returns how many may be sent.
     pub fn plan_ejected(&mut self, now: Moment, allow: impl FnOnce(usize) -> usize) -> Vec<Pick> {
-        let due = |r: &Entry| {
-            let delay = if self.may_be_gone(r) {
+        let due = |e: &Entry| {
+            let delay = if self.may_be_gone(e) {
                 SILENT_PROBE_DELAY
             } else {
                 Duration::ZERO
             };
-            r.is_ready() && r.probes_in_flight == 0 && r.health.wants_probe(now, delay)
+            e.is_ready() && e.probes_in_flight == 0 && e.health.wants_probe(now, delay)
         };
         let mut due: Vec<usize> = (0..self.entries.len())
             .filter(|i| due(&self.entries[*i]))
--- a/crates/route/src/probing/cold.rs
+++ b/crates/route/src/probing/cold.rs
@@ -1,4 +1,4 @@
-//! Instances that are cold, where the processes share what these take.
+//! Limits on requests to cold instances, which the processes share.
 
 use base::prelude::*;
 
@@ -9,26 +9,27 @@
 use super::entry::Share;
 
 impl ProbingChooser {
-    /// Takes by which list of processes cold instances are shared; none where they aren't.
-    pub fn share_cold(&mut self, cold_sharing: Option<u64>) {
-        self.cold_sharing = cold_sharing;
+    /// Sets the version of the process list by which cold instances are shared; `None` if they
+    /// aren't.
+    pub fn share_cold(&mut self, list_version: Option<u64>) {
+        self.cold_sharing = list_version;
     }
 
-    /// Cold instances of which this process's share by that list isn't known yet.
+    /// Cold instances for which this process's share by the current list isn't set yet.
     #[must_use]
     pub fn cold_without_share(&self, now: Moment) -> Vec<Pick> {
         let Some(list_version) = self.cold_sharing else {
             return Vec::new();
         };
-        let open = |entry: &Entry| {
+        let lacks_share = |entry: &Entry| {
             entry.is_ready() && entry.is_cold(now) && entry.share.list_version != list_version
         };
-        let entries = 0..self.entries.len();
-        let found = entries.filter(|index| open(&self.entries[*index]));
+        let indexes = 0..self.entries.len();
+        let found = indexes.filter(|index| lacks_share(&self.entries[*index]));
         found.map(|index| self.pick(index)).collect()
     }
 
-    /// Takes how many requests this process may start there in a second.
+    /// Sets how many requests this process may start at the instance per second.
     pub fn set_share(&mut self, pick: Pick, starts: u32) {
         let Some(list_version) = self.cold_sharing else {
             return;
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Whether a request may be sent there: anywhere that is warm, and to one that is cold
-    /// while this process has a part of its share left.
+    /// Whether a request may be sent there: the instance is warm, or this process's share of it
+    /// isn't used up.
     pub(super) fn may_send(&self, now: Moment, entry: &Entry) -> bool {
         match self.cold_sharing {
             Some(list_version) if entry.is_cold(now) => entry.has_share(now, list_version),
--- a/crates/route/src/probing/entry.rs
+++ b/crates/route/src/probing/entry.rs
@@ -1,4 +1,4 @@
-//! What the chooser keeps of one instance, and of all of them together.
+//! A chooser's state of one instance, and the service's averages.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,57 +13,55 @@
 use crate::instance::Phase;
 use crate::outcome::LoadReport;
 
-/// A report that is younger than this is as good as a new one: requests of a
-/// service come some 10 ms apart, a pace lasts some 300 ms.
+/// Age below which a report counts as fresh: short beside the duration of a pace, about as
+/// long as the interval between a service's requests.
 pub(super) const MAX_FRESH_AGE: Duration = Duration::from_millis(12);
-/// Age at which a report of requests at an instance says nothing any more, in seconds.
+/// Time constant with which a reported load decays towards the average, in seconds.
 const LOAD_TIME_CONSTANT: f64 = 0.5;
-/// Requests a slot that are assumed before the first report.
+/// Requests per slot assumed before the first report.
 const INITIAL_LOAD: f64 = 0.45;
 
 #[derive(Debug)]
 pub(super) struct Entry {
     pub(super) instance: Instance,
-    /// Where it runs.
     pub(super) domain_index: DomainIndex,
     pub(super) generation: u32,
     pub(super) health: Health,
-    /// Own attempts in flight, by when they began.
+    /// Start times of own attempts in flight.
     pub(super) starts: Vec<Moment>,
     pub(super) report: Option<(Moment, LoadReport)>,
-    /// Own attempts begun since the report.
+    /// Own attempts started since the report.
     pub(super) attempts_since_report: u32,
     pub(super) cold_until: Moment,
-    /// What this process may send there while it is cold.
+    /// This process's share while the instance is cold.
     pub(super) share: Share,
-    /// When this process lately started attempts there.
+    /// Start times of this process's latest attempts there.
     pub(super) recent_starts: VecDeque<Moment>,
     pub(super) probes_in_flight: u32,
-    /// Its last probe failed.
     pub(super) last_probe_failed: bool,
-    /// Another instance has its address.
+    /// Another instance has taken over its address.
     pub(super) displaced: bool,
-    /// It hasn't announced itself lately, so it may be gone.
+    /// It hasn't announced itself recently, so it may be gone.
     pub(super) silent: bool,
     pub(super) subset: Subset,
 }
 
-/// Time in which starts at a cold instance count together: a second, and the longest wait
-/// for a connection between a start and the moment at which the request is sent.
+/// Window in which starts at a cold instance count against the share: a second, plus the
+/// longest wait for a connection between a start and sending the request.
 pub const COLD_WINDOW: Duration = Duration::from_millis(1_250);
-/// Starts of one process that are remembered; no share of a cold instance is as large.
+/// Number of remembered starts; larger than any share of a cold instance.
 const MAX_RECENT_STARTS: usize = 64;
 
-/// A process's share of what a cold instance takes.
+/// A process's share of a cold instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Share {
-    /// Of the list of processes that it goes by.
+    /// Version of the process list that it was computed from.
     pub(super) list_version: u64,
-    /// Starts a second.
+    /// Starts per second.
     pub(super) starts: u32,
 }
 
-/// Whether this process asks an instance before others of its failure domain.
+/// Whether this process prefers an instance to others of its failure domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Subset {
     Inside,
@@ -75,7 +73,7 @@
         self.report.map(|(at, _)| now.since(at))
     }
 
-    /// It takes work and is reached at its address.
+    /// Whether it accepts requests and is reachable at its address.
     pub(super) fn is_ready(&self) -> bool {
         self.instance.phase == Phase::Ready && !self.displaced
     }
@@ -84,7 +82,7 @@
         now < self.cold_until
     }
 
-    /// Whether this process has a part of its share left.
+    /// Whether this process's share isn't used up.
     pub(super) fn has_share(&self, now: Moment, list_version: u64) -> bool {
         let counts = |at: &&Moment| now.since(**at) < COLD_WINDOW;
         let recent = self.recent_starts.iter().rev().take_while(counts).count();
@@ -105,9 +103,8 @@
         self.age(now).is_some_and(|age| age < MAX_FRESH_AGE)
     }
 
-    /// Whether it would begin with one more request at once, if that may take no more
-    /// than a `part` of the slots. One that is slowed down as the last slots are taken
-    /// may still be in time.
+    /// Whether one more request would start at once, using at most `part` of the slots. An
+    /// instance above the knee counts as having room, as it may still answer in time.
     pub(super) fn has_room(&self, now: Moment, averages: ServiceAverages, part: f64) -> bool {
         let state = self.state(now, averages);
         state.busy + 1.0 <= (state.slots * part).max(1.0)
@@ -139,10 +136,10 @@
     }
 }
 
-/// What is usual for the service, as its instances tell.
+/// Averages over the service's instances.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceAverages {
-    /// Requests a slot.
+    /// Requests per slot.
     pub(super) load: f64,
     pub(super) pace_stats: PaceStats,
 }
--- a/crates/route/src/probing/results.rs
+++ b/crates/route/src/probing/results.rs
@@ -1,4 +1,4 @@
-//! What becomes of probes and attempts, and which instances they eject.
+//! Results of probes and attempts, and the ejections that follow from them.
 
 use std::time::Duration;
 
@@ -14,17 +14,17 @@
 
 use super::ProbingChooser;
 
-/// Weight of one report in the usual load of the service. Where all instances
-/// fill up, one of which nothing is known is full too, and must not draw
-/// everybody's requests.
+/// Weight of one report in the service's average load. The average stands in for missing
+/// reports, so that an instance without one doesn't attract all requests while the others
+/// are full.
 const LOAD_WEIGHT: f64 = 0.1;
-/// At most one instance in so many is ejected.
+/// At most one instance in this many is ejected.
 const EJECTED_DIVISOR: usize = 2;
-/// Ramp after an ejection.
+/// Duration of the ramp after an ejection.
 const RAMP: Duration = Duration::from_secs(2);
 
 impl ProbingChooser {
-    /// Notes the end of a probe; none where it failed.
+    /// Records the end of a probe; `None` if it failed.
     pub fn probed(&mut self, now: Moment, pick: Pick, report: Option<LoadReport>) {
         let Some(entry) = self.entry(pick) else {
             return;
@@ -44,14 +44,14 @@
         }
     }
 
-    /// Notes how much longer an instance says that it is cold.
+    /// Records the time that an instance reports to remain cold.
     pub fn set_cold_remaining(&mut self, now: Moment, pick: Pick, left: Duration) {
         if let Some(entry) = self.entry(pick) {
             entry.cold_until = now + left;
         }
     }
 
-    /// Notes what another process was told by the instance, a moment ago.
+    /// Records a report that another process has just received from the instance.
     pub fn report_relayed(&mut self, now: Moment, pick: Pick, report: LoadReport) {
         if let Some(entry) = self.entry(pick) {
             entry.report = Some((now, report));
@@ -60,26 +60,26 @@
         }
     }
 
-    /// Notes that another instance has the address: this one gets nothing more, not
-    /// even a trial, as its id never comes back there.
+    /// Records that another instance has taken over the address. This one receives nothing
+    /// more, not even a trial request, as its id never returns there.
     pub fn displaced(&mut self, pick: Pick) {
         if let Some(entry) = self.entry(pick) {
             entry.displaced = true;
         }
     }
 
-    /// Notes that an answer broke off whose attempt has ended already.
+    /// Records that an answer was aborted after the end of its attempt.
     pub fn response_aborted(&mut self, now: Moment, pick: Pick) {
         let cause = Cause::Failures;
-        let bad = self
+        let should_eject = self
             .entry(pick)
             .is_some_and(|entry| entry.health.record_failure(now, cause));
-        if bad {
+        if should_eject {
             self.eject(now, pick, cause);
         }
     }
 
-    /// Notes that an attempt begins.
+    /// Records the start of an attempt.
     pub fn started(&mut self, now: Moment, pick: Pick) -> Ticket {
         if let Some(entry) = self.entry(pick) {
             entry.record_start(now);
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Notes the end of an attempt, with the report that came on its answer.
+    /// Records the end of an attempt, with the load report on its answer.
     pub fn finished(
         &mut self,
         now: Moment,
@@ -112,7 +112,7 @@
         } else {
             entry.attempts_since_report = entry.attempts_since_report.saturating_sub(1);
         }
-        let bad = match kind {
+        let eject_cause = match kind {
             OutcomeKind::Ok => {
                 entry.health.record_success(now);
                 let _ = entry.health.ramp_progress(now, RAMP);
@@ -134,7 +134,7 @@
         if let Some(report) = report {
             self.observe(report);
         }
-        if let Some(cause) = bad {
+        if let Some(cause) = eject_cause {
             self.eject(now, pick, cause);
         }
     }
@@ -146,12 +146,12 @@
         self.averages.pace_stats.observe(report.pace);
     }
 
-    /// Ejects the instance unless too many of the ready ones are out already.
+    /// Ejects the instance unless too many ready instances are ejected already.
     fn eject(&mut self, now: Moment, pick: Pick, cause: Cause) {
         let ready = self
             .entries
             .iter()
-            .filter(|r| r.instance.phase == Phase::Ready);
+            .filter(|e| e.instance.phase == Phase::Ready);
         let (mut count, mut out) = (0, 0);
         for entry in ready {
             count += 1;
--- a/crates/route/src/probing/table.rs
+++ b/crates/route/src/probing/table.rs
@@ -1,8 +1,8 @@
-//! Which instances there are, handles to them, and which are asked first.
+//! The instance table, handles to instances, and this process's subset.
 //!
-//! Where many processes share many instances, each asks a few of them before all others,
-//! always the same ones: connections to these stay open, and little is spent on those
-//! that one process needs once a minute.
+//! Where many processes share many instances, each process prefers a fixed subset
+//! of them. This keeps connections to the subset open, and avoids the cost of
+//! connections that one process rarely uses.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -22,14 +22,14 @@
 use crate::instance::Pick;
 use crate::instance::ReportedInstance;
 
-/// Fewest instances of a failure domain that are asked before its others.
+/// Minimum subset size in each failure domain.
 const MIN_SUBSET: usize = 8;
-/// Processes that have an instance in their subset, on average, so that each has some even
-/// where chance spreads them unevenly: with 12 fewer than one in ten thousand has none.
+/// Average number of processes that have an instance in their subset; large enough that an
+/// instance without any is improbable.
 const PROCESSES_PER_INSTANCE: usize = 12;
 
 impl ProbingChooser {
-    /// Takes the service's instances, whole: one that is lacking has gone.
+    /// Applies the complete instance table; an instance that it lacks has been removed.
     pub fn update(&mut self, now: Moment, table: &[ReportedInstance]) {
         let mut known: HashMap<(InstanceId, u64), usize> = HashMap::new();
         for (index, entry) in self.entries.iter_mut().enumerate() {
@@ -53,7 +53,7 @@
                 None => new.push(reported),
             }
         }
-        // They may take the places of those that have gone, which are known by now.
+        // New instances may reuse the entries of removed ones, all of which are marked by now.
         for reported in new {
             self.insert(now, reported);
         }
@@ -63,9 +63,8 @@
         self.most_announced = silent.len() < announced.len();
     }
 
-    /// Names the instances of each failure domain that are asked before its others: those
-    /// with the highest weights, which differ between processes and stay as they are when
-    /// others come and go.
+    /// Selects the subset of each failure domain: the instances with the highest rendezvous
+    /// weights. Weights differ between processes and don't change as instances come and go.
     pub(super) fn choose_subset(&mut self) {
         let mut domains: HashMap<DomainIndex, Vec<usize>> = HashMap::new();
         for (index, entry) in self.entries.iter_mut().enumerate() {
@@ -118,8 +117,8 @@
             silent: reported.silent,
             subset: Subset::Inside,
         };
-        let gone = |r: &&mut Entry| r.instance.phase == Phase::Gone && r.starts.is_empty();
-        match self.entries.iter_mut().find(gone) {
+        let removed = |e: &&mut Entry| e.instance.phase == Phase::Gone && e.starts.is_empty();
+        match self.entries.iter_mut().find(removed) {
             Some(free) => {
                 let generation = free.generation + 1;
                 *free = Entry {
@@ -131,7 +130,7 @@
         }
     }
 
-    /// The number of a failure domain, for what a request needs.
+    /// The index of a failure domain, for [`Need::domain_index`](crate::Need::domain_index).
     pub fn domain_index(&mut self, domain: &DomainName) -> DomainIndex {
         let known = self.domains.iter().position(|known| known == domain);
         let index = known.unwrap_or_else(|| {
@@ -141,7 +140,7 @@
         DomainIndex(u32::try_from(index).unwrap_or(u32::MAX))
     }
 
-    /// A handle to the instance of this id and incarnation, if it takes work.
+    /// A handle to the instance with this id and incarnation, if it is ready.
     #[must_use]
     pub fn find(&self, id: &str, incarnation: u64) -> Option<Pick> {
         let here = |entry: &Entry| {
@@ -153,7 +152,7 @@
         Some(self.pick(index))
     }
 
-    /// Handles to the instances of these ids.
+    /// Handles to the instances with these ids.
     #[must_use]
     pub fn picks(&self, ids: &[String]) -> Vec<Pick> {
         let named = |entry: &Entry| ids.iter().any(|id| id == entry.instance.id.as_str());
@@ -161,7 +160,7 @@
         found.map(|index| self.pick(index)).collect()
     }
 
-    /// The instance's id, `None` after it has gone.
+    /// The instance's id, `None` once the instance is removed.
     #[must_use]
     pub fn id(&self, pick: Pick) -> Option<&InstanceId> {
         let entry = self.entries.get(pick.index as usize)?;
--- a/crates/route/src/view.rs
+++ b/crates/route/src/view.rs
@@ -1,4 +1,4 @@
-//! What a chooser knows of an instance, for operators.
+//! A chooser's state for operators.
 
 use std::time::Duration;
 
@@ -10,37 +10,37 @@
 use crate::instance::Phase;
 use crate::policy::Reason;
 
-/// The judgement of an instance's health.
+/// Health of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Health {
-    /// Gets its share.
+    /// Receives its full share of requests.
     Well,
-    /// New or back, gets a growing share.
+    /// New or returned from an ejection; receives a growing share.
     Ramping,
-    /// Gets no work but trials.
+    /// Receives only trial requests.
     Ejected,
-    /// Trials are under way.
+    /// A trial request may be sent or is in flight.
     Trial,
 }
 
-/// One instance as the chooser sees it.
+/// State of one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
     /// The instance.
     pub id: InstanceId,
-    /// What it announced.
+    /// The phase that the instance announced.
     pub phase: Phase,
-    /// The judgement from results.
+    /// Result of outlier detection.
     pub health: Health,
-    /// Own attempts in flight.
+    /// The chooser's own attempts in flight.
     pub in_flight: u32,
-    /// Usual latency of an answer.
+    /// Estimated work time of a request.
     pub latency: Duration,
-    /// Age of the newest report.
+    /// Age of the latest load report.
     pub age: Option<Duration>,
     /// Share of the recent choices, in thousandths.
     pub chosen: u32,
-    /// Why it was chosen last.
+    /// Reason of the latest choice of the instance.
     pub reason: Option<Reason>,
 }
