--- a/crates/route/examples/bench_choose.rs
+++ b/crates/route/examples/bench_choose.rs
@@ -1,4 +1,4 @@
-//! What one choice costs: `cargo run --release -p route --example bench_choose`.
+//! Measures the time of one choice: `cargo run --release -p route --example bench_choose`.
 
 use std::collections::VecDeque;
 use std::hint::black_box;
@@ -18,16 +18,16 @@
 use route::Settings;
 use strum::IntoEnumIterator;
 
-/// Choices that are timed together.
+/// Choices per time measurement.
 const BATCH: u32 = 100;
-/// Batches for each row.
+/// Batches per row of the output.
 const BATCHES: u32 = 2000;
-/// Attempts that stay in flight for each instance.
+/// Attempts in flight per instance.
 const IN_FLIGHT: usize = 2;
 
 fn main() {
     println!("policy instances choose_ns choose_p99_ns whole_ns");
-    // The whole is a choice with its start and an end.
+    // `whole_ns` covers a choice with the start and the end of an attempt.
     for policy in Policy::iter() {
         for count in [10, 30, 100] {
             measure(policy, count);
@@ -35,7 +35,7 @@
     }
 }
 
-/// Times choices while attempts start, and end with reports.
+/// Measures choices while attempts start and end with reports.
 fn measure(policy: Policy, count: usize) {
     let mut chooser = Chooser::new(policy, Settings::default(), 1);
     let table: Vec<Instance> = (0..count).map(instance).collect();
@@ -43,7 +43,7 @@
     let mut running = VecDeque::new();
     let mut now = Moment::ZERO;
     let mut samples = Vec::new();
-    let begun = Instant::now();
+    let started = Instant::now();
     for _ in 0..BATCHES {
         for _ in 0..BATCH {
             now = now + Duration::from_micros(500);
@@ -62,7 +62,7 @@
         samples.push(start.elapsed() / BATCH);
     }
     let average = mean(&samples);
-    let whole = begun.elapsed() / (BATCH * BATCHES);
+    let whole = started.elapsed() / (BATCH * BATCHES);
     let whole = whole.saturating_sub(average);
     samples.sort();
     let p99 = samples[samples.len() * 99 / 100];
--- a/crates/route/tests/common/mod.rs
+++ b/crates/route/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A few instances on plain values, one request a millisecond.
+//! Simulates a few instances that receive one request per millisecond.
 
 use std::time::Duration;
 
@@ -17,33 +17,32 @@
 use route::Settings;
 use route::Ticket;
 
-/// Slots of every instance.
 pub const SLOTS: u32 = 6;
-/// Work time of a healthy instance.
+/// Work time of a healthy instance, in milliseconds.
 pub const WORK: u64 = 5;
-/// An attempt's time.
+/// Attempt timeout, in milliseconds.
 const TIMEOUT: u64 = 100;
-/// Between two probes that the budget allows.
-const PROBE_EVERY: u64 = 50;
+/// Milliseconds between two probes.
+const PROBE_INTERVAL: u64 = 50;
 
-/// What an instance does.
+/// How an instance behaves.
 #[derive(Clone, Copy, Debug)]
-pub enum Act {
-    /// Answers after so many milliseconds, and says its load.
+pub enum Behavior {
+    /// Answers after this many milliseconds and reports its load.
     Work(u64),
-    /// Answers, and says that it has this much from others too.
+    /// Answers; reports this many requests of other gateways in addition to its own.
     Busy(u32),
-    /// Answers, and always says that it is idle.
-    Lie,
-    /// Fails at once, and says that it is idle.
+    /// Answers; always reports that it is idle.
+    Underreport,
+    /// Fails at once; reports that it is idle.
     Fail,
-    /// Takes no connection.
+    /// Refuses connections.
     Refuse,
-    /// Never answers, probes neither.
+    /// Answers neither requests nor probes.
     Stall,
     /// Sheds at once.
     Shed,
-    /// Fails for a while and works for as long.
+    /// Fails and works in turn, for this many milliseconds each.
     Flap(u64),
 }
 
@@ -54,28 +53,28 @@
     outcome: Outcome,
 }
 
-/// A chooser with its instances.
-pub struct Drive {
-    /// What each instance does.
-    pub acts: Vec<Act>,
-    /// What each instance announced.
+/// A chooser and its instances.
+pub struct Simulation {
+    /// Behavior of each instance.
+    pub behaviors: Vec<Behavior>,
+    /// Announced phase of each instance.
     pub phases: Vec<Phase>,
-    /// Choices of each instance since the last look.
+    /// Number of choices of each instance in the latest run.
     pub counts: Vec<u32>,
     /// Whether probes are sent.
     pub probes: bool,
-    /// The chooser.
+    /// The chooser under test.
     pub chooser: Chooser,
     now: u64,
     running: Vec<Running>,
     probing: Vec<(u64, Pick, ProbeResult)>,
 }
 
-impl Drive {
-    /// `count` healthy instances.
+impl Simulation {
+    /// Starts with `count` healthy instances.
     pub fn new(policy: Policy, count: usize) -> Self {
-        let mut drive = Self {
-            acts: vec![Act::Work(WORK); count],
+        let mut simulation = Self {
+            behaviors: vec![Behavior::Work(WORK); count],
             phases: vec![Phase::Ready; count],
             counts: vec![0; count],
             probes: true,
@@ -84,23 +83,23 @@
             running: Vec::new(),
             probing: Vec::new(),
         };
-        drive.announce();
-        drive
+        simulation.announce();
+        simulation
     }
 
-    /// The present moment.
+    /// Current time of the simulation.
     pub fn now(&self) -> Moment {
         Moment::from_millis(self.now)
     }
 
-    /// Passes the table on.
+    /// Passes the instance table to the chooser.
     pub fn announce(&mut self) {
         let rows = self.phases.iter().enumerate();
         let table: Vec<Instance> = rows.map(|(i, phase)| instance(i, *phase)).collect();
         self.chooser.update(self.now(), &table);
     }
 
-    /// Runs for `millis`, one request each, and gives the shares of the choices.
+    /// Runs for `millis` with one request each; returns each instance's share of the choices.
     pub fn run(&mut self, millis: u64) -> Vec<f64> {
         self.counts.fill(0);
         for _ in 0..millis {
@@ -108,7 +107,7 @@
             self.end_attempts();
             self.end_probes();
             self.request();
-            if self.probes && self.now.is_multiple_of(PROBE_EVERY) {
+            if self.probes && self.now.is_multiple_of(PROBE_INTERVAL) {
                 self.probe();
             }
         }
@@ -141,28 +140,32 @@
 
     fn result(&self, index: usize) -> (OutcomeKind, u64) {
         let queued = u64::from(self.in_flight(index) / SLOTS);
-        match self.acts[index] {
-            Act::Work(work) => (OutcomeKind::Ok, (work * (1 + queued)).min(TIMEOUT)),
-            Act::Fail => (OutcomeKind::Error, 1),
-            Act::Refuse => (OutcomeKind::ConnectFailed, 1),
-            Act::Stall => (OutcomeKind::Timeout, TIMEOUT),
-            Act::Shed => (OutcomeKind::Shed, 1),
-            Act::Flap(span) if (self.now / span).is_multiple_of(2) => (OutcomeKind::Error, 1),
-            Act::Flap(_) | Act::Busy(_) | Act::Lie => (OutcomeKind::Ok, WORK),
+        match self.behaviors[index] {
+            Behavior::Work(work) => (OutcomeKind::Ok, (work * (1 + queued)).min(TIMEOUT)),
+            Behavior::Fail => (OutcomeKind::Error, 1),
+            Behavior::Refuse => (OutcomeKind::ConnectFailed, 1),
+            Behavior::Stall => (OutcomeKind::Timeout, TIMEOUT),
+            Behavior::Shed => (OutcomeKind::Shed, 1),
+            Behavior::Flap(millis) if (self.now / millis).is_multiple_of(2) => {
+                (OutcomeKind::Error, 1)
+            }
+            Behavior::Flap(_) | Behavior::Busy(_) | Behavior::Underreport => {
+                (OutcomeKind::Ok, WORK)
+            }
         }
     }
 
     fn end_attempts(&mut self) {
         let now = self.now;
-        let (over, running) = self.running.drain(..).partition(|r| r.end <= now);
+        let (ended, running) = self.running.drain(..).partition(|r| r.end <= now);
         self.running = running;
-        let over: Vec<Running> = over;
+        let ended: Vec<Running> = ended;
         for Running {
             index,
             ticket,
             mut outcome,
             ..
-        } in over
+        } in ended
         {
             outcome.report = self.report(index);
             self.chooser.finished(self.now(), ticket, outcome);
@@ -190,12 +193,12 @@
     }
 
     fn report(&self, index: usize) -> Option<Report> {
-        let in_flight = match self.acts[index] {
-            Act::Stall | Act::Refuse => return None,
-            Act::Lie | Act::Fail => 0,
-            Act::Shed => 2 * SLOTS,
-            Act::Busy(others) => self.in_flight(index) + others,
-            Act::Work(_) | Act::Flap(_) => self.in_flight(index),
+        let in_flight = match self.behaviors[index] {
+            Behavior::Stall | Behavior::Refuse => return None,
+            Behavior::Underreport | Behavior::Fail => 0,
+            Behavior::Shed => 2 * SLOTS,
+            Behavior::Busy(others) => self.in_flight(index) + others,
+            Behavior::Work(_) | Behavior::Flap(_) => self.in_flight(index),
         };
         Some(Report {
             in_flight,
@@ -214,7 +217,7 @@
     }
 }
 
-/// The row of instance `index`.
+/// The table row of instance `index`.
 pub fn instance(index: usize, phase: Phase) -> Instance {
     Instance {
         id: InstanceId::new(&index.to_string()).expect("digits are a name"),
--- a/crates/route/tests/test_schedules.rs
+++ b/crates/route/tests/test_schedules.rs
@@ -1,4 +1,4 @@
-//! Whatever happens in whatever order, a chooser's promises hold.
+//! The chooser's invariants hold for random schedules of events.
 
 use std::time::Duration;
 
@@ -22,9 +22,9 @@
 use route::Ticket;
 use strum::IntoEnumIterator;
 
-/// Instances that may be in the table.
-const COUNT: u8 = 5;
-/// Schedules that are tried.
+/// Maximum number of instances in the table.
+const INSTANCES: u8 = 5;
+/// Number of random schedules.
 const SCHEDULES: u64 = 1000;
 
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
     fn arbitrary(g: &mut Gen) -> Self {
         match u8::arbitrary(g) % 8 {
             0 => Self::Wait(u16::arbitrary(g)),
-            1 => Self::Phases((0..COUNT).map(|_| u8::arbitrary(g)).collect()),
+            1 => Self::Phases((0..INSTANCES).map(|_| u8::arbitrary(g)).collect()),
             2 => Self::Probe,
             3 => Self::ProbeEnd(bool::arbitrary(g)),
             4 | 5 => Self::End(u8::arbitrary(g), u8::arbitrary(g)),
@@ -50,7 +50,7 @@
     }
 }
 
-/// The machine and what is known to be true of it.
+/// The chooser, and the state that it is expected to have.
 struct Model {
     chooser: Chooser,
     now: Moment,
@@ -65,7 +65,7 @@
         Self {
             chooser: Chooser::new(policy, Settings::default(), 3),
             now: Moment::ZERO,
-            phases: vec![Phase::Gone; usize::from(COUNT)],
+            phases: vec![Phase::Gone; usize::from(INSTANCES)],
             running: Vec::new(),
             probes: Vec::new(),
             choices: Vec::new(),
@@ -77,7 +77,7 @@
             Step::Wait(millis) => self.now = self.now + Duration::from_millis((*millis).into()),
             Step::Phases(phases) => self.announce(phases),
             Step::Request => self.request(),
-            Step::End(which, kind) => self.end(*which, *kind),
+            Step::End(index, kind) => self.end(*index, *kind),
             Step::Probe => {
                 let pick = self.chooser.probe(self.now, |_| true);
                 self.probes.extend(pick);
@@ -98,8 +98,8 @@
         let table: Vec<Instance> = rows.map(|(i, phase)| instance(i, *phase)).collect();
         self.chooser.update(self.now, &table);
         let phases = &self.phases;
-        let is_here = |id: &InstanceId| phases[index(id)] != Phase::Gone;
-        self.running.retain(|(_, id)| is_here(id));
+        let is_listed = |id: &InstanceId| phases[index(id)] != Phase::Gone;
+        self.running.retain(|(_, id)| is_listed(id));
     }
 
     fn request(&mut self) {
@@ -128,12 +128,12 @@
         self.choices.push(choice);
     }
 
-    fn end(&mut self, which: u8, kind: u8) {
+    fn end(&mut self, index: u8, kind: u8) {
         if self.running.is_empty() {
             return;
         }
-        let which = usize::from(which) % self.running.len();
-        let (ticket, _) = self.running.swap_remove(which);
+        let index = usize::from(index) % self.running.len();
+        let (ticket, _) = self.running.swap_remove(index);
         let kinds = [
             OutcomeKind::Ok,
             OutcomeKind::Error,
