--- a/crates/dispatch/src/breaker.rs
+++ b/crates/dispatch/src/breaker.rs
@@ -25,7 +25,7 @@
 
 impl CircuitBreaker {
     /// Whether it is worth asking now; if so, the question counts as asked.
-    pub fn ask(&mut self, now: Moment) -> bool {
+    pub fn allow_request(&mut self, now: Moment) -> bool {
         if self.paused.is_some_and(|until| now < until) {
             return false;
         }
--- a/crates/dispatch/tests/test_dispatch.rs
+++ b/crates/dispatch/tests/test_dispatch.rs
@@ -49,33 +49,33 @@
 #[test]
 fn test_trust_silent_dispatcher_is_asked_no_more() {
     let mut breaker = CircuitBreaker::default();
-    assert!(breaker.ask(at(0)));
+    assert!(breaker.allow_request(at(0)));
     // Others ask while it still may answer, and none after.
-    assert!(breaker.ask(at(59)));
-    assert!(!breaker.ask(at(60)));
-    assert!(!breaker.ask(at(300)));
+    assert!(breaker.allow_request(at(59)));
+    assert!(!breaker.allow_request(at(60)));
+    assert!(!breaker.allow_request(at(300)));
     assert!(breaker.is_open());
     breaker.failed(at(100));
     breaker.failed(at(160));
     // One asks again after the pause.
-    assert!(!breaker.ask(at(409)));
-    assert!(breaker.ask(at(410)));
+    assert!(!breaker.allow_request(at(409)));
+    assert!(breaker.allow_request(at(410)));
     breaker.answered(at(412));
-    assert!(!breaker.is_open() && breaker.ask(at(413)));
+    assert!(!breaker.is_open() && breaker.allow_request(at(413)));
 }
 
 #[test]
 fn test_trust_answers_of_any_question_count() {
     let mut breaker = CircuitBreaker::default();
     for step in 0..100 {
-        assert!(breaker.ask(at(step * 30)), "step {step}");
+        assert!(breaker.allow_request(at(step * 30)), "step {step}");
         if step > 0 {
             breaker.answered(at(step * 30 + 1));
         }
     }
     // The first was never answered; it was given up by its caller.
     breaker.cancelled();
-    assert!(breaker.ask(at(60_000)));
+    assert!(breaker.allow_request(at(60_000)));
 }
 
 #[test]
--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/placing.rs
@@ -134,7 +134,7 @@
 impl Place {
     /// Asks; none where it doesn't answer in time or isn't worth asking.
     async fn ask(&self, ask: Ask) -> Option<Placed> {
-        if !self.judge(CircuitBreaker::ask) {
+        if !self.judge(CircuitBreaker::allow_request) {
             return None;
         }
         let mut question = Question {
