--- a/crates/dispatch/src/breaker.rs
+++ b/crates/dispatch/src/breaker.rs
@@ -1,73 +1,71 @@
-//! Whether a dispatcher still answers.
+//! Circuit breaker for requests to a dispatcher.
 
 use std::time::Duration;
 
 use base::prelude::*;
 
-/// After so long without any answer while questions are open, it isn't asked: it holds
-/// one for 30 ms at most and answers within a few more, and callers' aims are some 150 ms.
-const SILENCE: Duration = Duration::from_millis(60);
-/// For so long it isn't asked after a question that failed: about the time in which a
-/// lost packet is sent again. A host that was lost is off the list of entry hosts within
-/// a second, and costs each other one some questions until then.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Time without any answer, with requests in flight, that opens the breaker. It exceeds the
+/// 30 ms for which a dispatcher holds a request, and is short beside target latencies.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(60);
+/// Time that the breaker stays open; about the retransmission time of a lost packet.
+const OPEN_DURATION: Duration = Duration::from_millis(250);
 
-/// What the questions to one dispatcher came to.
+/// Circuit breaker for one dispatcher.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CircuitBreaker {
-    open: u32,
-    /// When it last answered, or the first of the open questions went out.
-    since: Option<Moment>,
-    /// It isn't asked before.
-    paused: Option<Moment>,
-    lost: bool,
+    in_flight: u32,
+    /// Time of the last answer, or of the first request in flight if that is later.
+    waiting_since: Option<Moment>,
+    /// No request is allowed before.
+    open_until: Option<Moment>,
+    open: bool,
 }
 
 impl CircuitBreaker {
-    /// Whether it is worth asking now; if so, the question counts as asked.
+    /// Whether a request may be sent now; if so, it counts as in flight.
     pub fn allow_request(&mut self, now: Moment) -> bool {
-        if self.paused.is_some_and(|until| now < until) {
+        if self.open_until.is_some_and(|until| now < until) {
             return false;
         }
-        let silent = |since| now.since(since) >= SILENCE;
-        if self.open > 0 && self.since.is_some_and(silent) {
-            self.lose(now);
+        let silent = |since| now.since(since) >= SILENCE_TIMEOUT;
+        if self.in_flight > 0 && self.waiting_since.is_some_and(silent) {
+            self.trip(now);
             return false;
         }
-        if self.open == 0 {
-            self.since = Some(now);
+        if self.in_flight == 0 {
+            self.waiting_since = Some(now);
         }
-        self.open += 1;
+        self.in_flight += 1;
         true
     }
 
-    /// Notes an answer.
+    /// Records an answer.
     pub fn answered(&mut self, now: Moment) {
-        self.open = self.open.saturating_sub(1);
-        self.since = Some(now);
-        self.paused = None;
-        self.lost = false;
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.waiting_since = Some(now);
+        self.open_until = None;
+        self.open = false;
     }
 
-    /// Notes a question without an answer.
+    /// Records a request that failed.
     pub fn failed(&mut self, now: Moment) {
-        self.open = self.open.saturating_sub(1);
-        self.lose(now);
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.trip(now);
     }
 
-    /// Notes a question that was given up by whoever asked.
+    /// Records a request that was cancelled by its caller.
     pub fn cancelled(&mut self) {
-        self.open = self.open.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Whether its last question failed, or it fell silent.
+    /// Whether the latest request failed or the dispatcher stopped answering.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        self.lost
+        self.open
     }
 
-    fn lose(&mut self, now: Moment) {
-        self.paused = Some(now + PAUSE);
-        self.lost = true;
+    fn trip(&mut self, now: Moment) {
+        self.open_until = Some(now + OPEN_DURATION);
+        self.open = true;
     }
 }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,10 +1,9 @@
-//! Which process decides for a service.
+//! Selects a service's dispatcher.
 
 use base::prelude::*;
 
-/// The one of `processes` that decides for `service`, by rendezvous hashing: all that know
-/// the same processes name the same one, and one that comes or goes moves no service
-/// but its own.
+/// The one of `processes` that dispatches `service`, by rendezvous hashing: processes with the
+/// same list agree, and a process that joins or leaves moves only its own services.
 pub fn dispatcher<'a>(
     service: &ServiceName,
     processes: impl Iterator<Item = &'a str>,
--- a/crates/dispatch/src/grants.rs
+++ b/crates/dispatch/src/grants.rs
@@ -1,54 +1,53 @@
-//! What a dispatcher gave away and hasn't got back.
+//! A dispatcher's outstanding grants.
 
 use std::collections::HashMap;
 
 use base::prelude::*;
 
-/// Grants by number, each with the time after which it is over whatever becomes of it:
-/// a process that is lost returns nothing.
+/// Outstanding grants by id, each with its expiry: a process that fails returns nothing.
 #[derive(Debug)]
 pub struct Grants<T> {
-    next: u64,
+    next_id: u64,
     open: HashMap<u64, (Moment, T)>,
 }
 
 impl<T> Grants<T> {
-    /// Grants from `first` on. Numbers of an earlier life of the process must not be
-    /// taken for those of this one.
+    /// Starts without grants; ids count from `first_id`, which must not repeat ids of an earlier
+    /// run of the process.
     #[must_use]
-    pub fn with_first_id(first: u64) -> Self {
+    pub fn with_first_id(first_id: u64) -> Self {
         Self {
-            next: first,
+            next_id: first_id,
             open: HashMap::new(),
         }
     }
 
-    /// Keeps one that is over at `until`; gives its number.
-    pub fn grant(&mut self, until: Moment, what: T) -> u64 {
-        let number = self.next;
-        self.next = self.next.wrapping_add(1);
-        self.open.insert(number, (until, what));
-        number
+    /// Stores a grant that expires at `until` and returns its id.
+    pub fn grant(&mut self, until: Moment, value: T) -> u64 {
+        let id = self.next_id;
+        self.next_id = self.next_id.wrapping_add(1);
+        self.open.insert(id, (until, value));
+        id
     }
 
-    /// Takes one that came back; none where it is over, or isn't one of these.
-    pub fn take(&mut self, number: u64) -> Option<T> {
-        self.open.remove(&number).map(|(_, what)| what)
+    /// Removes a returned grant; `None` if it expired or is unknown.
+    pub fn take(&mut self, id: u64) -> Option<T> {
+        self.open.remove(&id).map(|(_, value)| value)
     }
 
-    /// Takes those that are over.
+    /// Removes the expired grants.
     pub fn take_expired(&mut self, now: Moment) -> Vec<T> {
-        let take_expired = self.open.extract_if(|_, (until, _)| *until <= now);
-        take_expired.map(|(_, (_, what))| what).collect()
+        let expired = self.open.extract_if(|_, (until, _)| *until <= now);
+        expired.map(|(_, (_, value))| value).collect()
     }
 
-    /// How many are open.
+    /// Number of outstanding grants.
     #[must_use]
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether none is open.
+    /// Whether there are no outstanding grants.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,15 +1,16 @@
-//! One process among many that decides for a service.
+//! One process chooses instances for all requests of a service.
 //!
-//! Where load shifts in milliseconds, a process that sees a fifteenth of a service's
-//! requests knows little of its instances: it can't tell what the others have just sent,
-//! and a slot that frees up for another's request is seen by nobody. So one process, the
-//! service's dispatcher, grants slots to all. [`dispatcher`] names it without talk,
-//! [`Trust`] tells whether it still answers, [`Grants`] keeps what it gave away, and
-//! [`Tenure`] when it may spend what all share. A grant is placement only: whoever got it
-//! checks itself what may be sent where, and decides alone while the dispatcher is silent.
-//! [`Warmup`] names the few processes that send to an instance which is cold.
+//! Where load shifts within milliseconds, a process that receives a fifteenth of a
+//! service's requests knows little of its instances: it neither sees what other
+//! processes have just sent, nor that a slot of theirs became free. The service's
+//! dispatcher therefore grants slots to all processes. [`dispatcher`] selects it
+//! without communication, [`CircuitBreaker`] tracks whether it answers, [`Grants`]
+//! stores its outstanding grants, and [`DispatcherRole`] decides when it may spend
+//! the shared budget. A grant only names an instance: the process that receives it
+//! still applies its own limits, and chooses by itself while the dispatcher
+//! doesn't answer. [`Warmup`] selects the few processes that send to a cold instance.
 //!
-//! All of it is plain state: the time and what happened go in, decisions come out.
+//! All types are state machines without I/O; the time is an argument.
 
 pub mod breaker;
 pub mod dispatcher;
--- a/crates/dispatch/src/role.rs
+++ b/crates/dispatch/src/role.rs
@@ -1,57 +1,56 @@
-//! Who decides for a service, and when a process may spend what all share.
+//! Which process dispatches a service, and when it may spend the shared budget.
 
 use std::time::Duration;
 
 use base::prelude::*;
 
-/// A process spends what all share only after it has taken over for so long. Lists of
-/// entry hosts reach all within some 600 ms, so the one before and this one may both spend
-/// for 300 ms: that is a third of a second's share of the dispatcher's part, less than
-/// what is left unspent on purpose.
-const SETTLED: Duration = Duration::from_millis(300);
+/// Time after a takeover until the new dispatcher spends the shared budget. The list of entry
+/// hosts reaches all processes within about 600 ms, so that both dispatchers may spend for
+/// 300 ms; the unspent reserve of the budget covers this.
+const TAKEOVER_DELAY: Duration = Duration::from_millis(300);
 
-/// Who decides for a service, as one process sees it.
+/// Which process dispatches a service, from the view of one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DispatcherLocation {
-    /// Each process for its own requests.
+    /// None; each process chooses for its own requests.
     #[default]
     Unassigned,
     /// This process.
     Local,
-    /// Another one.
+    /// Another process.
     Remote,
 }
 
-/// Since when this process decides.
+/// Whether this process dispatches a service, and since when.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DispatcherRole {
-    now: DispatcherLocation,
-    /// It may spend what all share from then on.
-    from: Moment,
+    location: DispatcherLocation,
+    /// Time from which it may spend the shared budget.
+    may_spend_from: Moment,
 }
 
 impl DispatcherRole {
-    /// Takes who decides now. Where nobody did before, as after a restart of everything,
-    /// there is no one to wait for.
+    /// Sets which process dispatches. Without a previous dispatcher, as after a restart of all
+    /// processes, the shared budget may be spent at once.
     pub fn set(&mut self, now: Moment, next: DispatcherLocation) {
-        if self.now != next {
-            self.from = match self.now {
+        if self.location != next {
+            self.may_spend_from = match self.location {
                 DispatcherLocation::Unassigned => now,
-                DispatcherLocation::Local | DispatcherLocation::Remote => now + SETTLED,
+                DispatcherLocation::Local | DispatcherLocation::Remote => now + TAKEOVER_DELAY,
             };
         }
-        self.now = next;
+        self.location = next;
     }
 
-    /// Who decides.
+    /// Which process dispatches.
     #[must_use]
     pub fn location(&self) -> DispatcherLocation {
-        self.now
+        self.location
     }
 
-    /// Whether this process may spend what all share.
+    /// Whether this process may spend the shared budget.
     #[must_use]
     pub fn may_spend_shared(&self, now: Moment) -> bool {
-        self.now == DispatcherLocation::Local && now >= self.from
+        self.location == DispatcherLocation::Local && now >= self.may_spend_from
     }
 }
--- a/crates/dispatch/src/warmup.rs
+++ b/crates/dispatch/src/warmup.rs
@@ -1,47 +1,48 @@
-//! How many requests each process may start at an instance that is cold.
+//! Limits the requests that each process may start at a cold instance.
 //!
-//! A cold instance crashes when it gets many more requests a second than it can take, and
-//! no process sees what the others send. So a few processes, its keepers, have a share of
-//! its rate each, and the others send it nothing until it is warm. All that know the same
-//! processes name the same keepers. While lists of processes differ, two sets of keepers may
-//! send at once, so the shares add up to half of what the instance bears at most.
+//! A cold instance crashes when it receives many more requests per second than it
+//! can process, and no process sees what the others send. Therefore only a few
+//! processes, its senders, each have a share of its rate; the others send nothing
+//! until it is warm. Processes with the same process list select the same senders.
+//! While lists differ, two sets of senders may be active, so the shares add up to
+//! at most half of the limit.
 
 use base::prelude::*;
 
 /// Thousandths of a unit.
 const MILLI: u64 = 1_000;
 
-/// What cold instances of one service bear.
+/// Limits of a service's cold instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Warmup {
-    /// Requests that one takes, in a thousand seconds.
+    /// Requests that an instance can process in 1000 seconds.
     pub rate: u32,
-    /// How much more it bears, in thousandths of that.
+    /// Tolerated rate, in thousandths of `rate`.
     pub overshoot: u32,
-    /// Requests that it bears in a second beyond that.
+    /// Requests per second tolerated on top of that.
     pub slack: u32,
 }
 
 impl Warmup {
-    /// Requests that one may get from all processes together in any second.
+    /// Maximum number of requests to an instance in any second, from all processes together.
     #[must_use]
     pub fn max_per_second(self) -> u32 {
-        self.rising().saturating_add(self.slack)
+        self.without_slack().saturating_add(self.slack)
     }
 
-    /// Requests that all shares of one list of processes add up to at most, a second.
+    /// Sum of the shares of one process list, in requests per second.
     #[must_use]
-    pub fn shared(self) -> u32 {
-        (self.max_per_second() / 2).min(self.rising())
+    pub fn shared_per_second(self) -> u32 {
+        (self.max_per_second() / 2).min(self.without_slack())
     }
 
-    fn rising(self) -> u32 {
+    fn without_slack(self) -> u32 {
         let millionths = u64::from(self.rate) * u64::from(self.overshoot);
         u32::try_from(millionths / (MILLI * MILLI)).unwrap_or(u32::MAX)
     }
 
-    /// Requests that the process `own` may start at `instance` in a second, where
-    /// `processes` send to it.
+    /// Requests per second that the process `own` may start at `instance`, which `processes` send
+    /// to.
     #[must_use]
     pub fn share<T: AsRef<str>>(self, instance: &InstanceId, own: &str, processes: &[T]) -> u32 {
         let score = |process: &str| (place::score(instance.as_str(), process), process.to_owned());
@@ -50,11 +51,11 @@
             return 0;
         }
         let count = u32::try_from(processes().count()).unwrap_or(u32::MAX);
-        let keepers = self.shared().min(count);
+        let senders = self.shared_per_second().min(count);
         let higher = processes().filter(|process| score(process) > score(own));
         let rank = u32::try_from(higher.count()).unwrap_or(u32::MAX);
-        if rank < keepers {
-            self.shared() / keepers
+        if rank < senders {
+            self.shared_per_second() / senders
         } else {
             0
         }
--- a/crates/dispatch/tests/test_warmup.rs
+++ b/crates/dispatch/tests/test_warmup.rs
@@ -1,10 +1,10 @@
-//! Shares of what a cold instance bears.
+//! Shares of cold instances.
 
 use base::prelude::*;
 use dispatch::Warmup;
 use quickcheck::quickcheck;
 
-/// 5.8 requests a second, half as much again, and 8 more.
+/// 5.8 requests per second, half as many again, and 8 more.
 const WARMUP: Warmup = Warmup {
     rate: 5_800,
     overshoot: 1_500,
@@ -29,22 +29,28 @@
 }
 
 #[test]
-fn test_warmup_bound_and_what_is_shared_of_it() {
-    assert_eq!((WARMUP.max_per_second(), WARMUP.shared()), (16, 8));
+fn test_warmup_limit_and_shares() {
+    assert_eq!(
+        (WARMUP.max_per_second(), WARMUP.shared_per_second()),
+        (16, 8)
+    );
     let strict = Warmup { slack: 0, ..WARMUP };
-    assert_eq!((strict.max_per_second(), strict.shared()), (8, 4));
+    assert_eq!(
+        (strict.max_per_second(), strict.shared_per_second()),
+        (8, 4)
+    );
     let none = Warmup { rate: 0, ..strict };
-    assert_eq!((none.max_per_second(), none.shared()), (0, 0));
+    assert_eq!((none.max_per_second(), none.shared_per_second()), (0, 0));
 }
 
 #[test]
-fn test_warmup_all_of_it_is_shared_out_among_a_few() {
+fn test_warmup_few_senders_get_all_shares() {
     let processes = names(0..117);
     for number in 0..50 {
-        let keepers = processes
+        let senders = processes
             .iter()
             .filter(|own| WARMUP.share(&id(number), own, &processes) > 0);
-        assert_eq!(keepers.count(), 8);
+        assert_eq!(senders.count(), 8);
         assert_eq!(sum(WARMUP, &id(number), &processes), 8);
     }
     assert_eq!(sum(WARMUP, &id(1), &names(0..1)), 8);
@@ -53,7 +59,7 @@
 }
 
 quickcheck! {
-    /// Any two lists of processes, of which each process holds either.
+    /// Guards against overload while processes hold either of two different process lists.
     fn prop_warmup_two_lists_stay_within_the_bound(
         instance: u32, first: (u8, u8), second: (u8, u8), rate: u16, slack: u8
     ) -> bool {
