--- a/crates/control/src/input.rs
+++ b/crates/control/src/input.rs
@@ -7,7 +7,7 @@
 use consensus::Config;
 use consensus::Message;
 use consensus::ReplicaId;
-use evacuation::Domains;
+use evacuation::EvacuationState;
 use quick_error::quick_error;
 use registry::Registry;
 use tokio::sync::mpsc;
@@ -37,7 +37,7 @@
     /// The announced upstreams.
     pub registry: Arc<Registry>,
     /// The failure domains to which nothing is sent.
-    pub evacuations: Arc<Domains>,
+    pub evacuations: Arc<EvacuationState>,
     /// The log's index up to which the announcements are applied.
     pub announced: u64,
     /// Snapshots that were installed: each numbers the changes of the registry anew.
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use catalogue::State as Book;
 use catalogue::state::RestoreError as BookError;
-use evacuation::Domains;
+use evacuation::EvacuationState;
 use evacuation::StateError;
 use ledger::Bounds;
 use ledger::Ledger;
@@ -102,7 +102,7 @@
     ledger: Ledger,
     table: Arc<Table>,
     registry: Arc<Registry>,
-    evacuations: Arc<Domains>,
+    evacuations: Arc<EvacuationState>,
 }
 
 impl Default for Machine {
@@ -136,7 +136,7 @@
             ledger: Ledger::restore(Bounds::default(), &ledger)?,
             table: Arc::new(state.table.unwrap_or_default()),
             registry: Arc::new(restored(state.instances)),
-            evacuations: Arc::new(Domains::from_wire(&evacuations)?),
+            evacuations: Arc::new(EvacuationState::from_wire(&evacuations)?),
         })
     }
 
@@ -215,7 +215,7 @@
 
     /// The failure domains to which nothing is sent.
     #[must_use]
-    pub fn evacuations(&self) -> &Arc<Domains> {
+    pub fn evacuations(&self) -> &Arc<EvacuationState> {
         &self.evacuations
     }
 
--- a/crates/control/src/table.rs
+++ b/crates/control/src/table.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use evacuation::Domains;
+use evacuation::EvacuationState;
 use evacuation::Outcome;
 use registry::Registry;
 use tokio::sync::watch;
@@ -83,7 +83,7 @@
 
     /// The evacuations, confirmed by a majority after the call began; none when that
     /// takes longer than `limit`.
-    pub async fn evacuations(&self, limit: Duration) -> Option<Arc<Domains>> {
+    pub async fn evacuations(&self, limit: Duration) -> Option<Arc<EvacuationState>> {
         let confirmed = self.driver.confirm(Instant::now() + limit).await;
         confirmed.then(|| Arc::clone(&self.views.borrow().evacuations))
     }
@@ -109,7 +109,7 @@
 
     /// The evacuations as applied by this replica, which others may have overtaken.
     #[must_use]
-    pub fn evacuated(&self) -> Arc<Domains> {
+    pub fn evacuated(&self) -> Arc<EvacuationState> {
         Arc::clone(&self.views.borrow().evacuations)
     }
 
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use evacuation::Domains;
+use evacuation::EvacuationState;
 use http::Uri;
 use quarantine::Quarantine;
 use registry::Digest;
@@ -66,7 +66,7 @@
     hosts: Vec<EntryHost>,
     entries: u32,
     /// The failure domains to which nothing is sent.
-    evacuations: Domains,
+    evacuations: EvacuationState,
     /// Where others decide for a service.
     dispatchers: HashMap<ServiceName, SocketAddr>,
     /// Who shares what cold instances take.
--- a/crates/entry/src/core/evacuate.rs
+++ b/crates/entry/src/core/evacuate.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use base::prelude::*;
-use evacuation::Domains;
+use evacuation::EvacuationState;
 use slog::info;
 use slog::warn;
 use wire::hub::Evacuations;
@@ -19,7 +19,7 @@
         if told.revision <= known.evacuations.revision() {
             return;
         }
-        let next = match Domains::from_wire(told) {
+        let next = match EvacuationState::from_wire(told) {
             Ok(next) => next,
             Err(err) => {
                 warn!(self.log, "bad evacuations"; "hub" => %hub, "revision" => told.revision,
@@ -45,7 +45,7 @@
 
 /// The instance as this process may use it: one in an evacuated failure domain gets no
 /// more than one that leaves.
-pub(super) fn shun<'a>(evacuations: &Domains, listed: Listed<'a>) -> Listed<'a> {
+pub(super) fn shun<'a>(evacuations: &EvacuationState, listed: Listed<'a>) -> Listed<'a> {
     let phase = match listed.phase {
         Phase::Ready if evacuations.is_evacuated(&listed.upstream.domain) => Phase::Draining,
         phase => phase,
--- a/crates/entry/tests/test_evacuation.rs
+++ b/crates/entry/tests/test_evacuation.rs
@@ -4,7 +4,7 @@
 
 use base::prelude::*;
 use entry::Entry;
-use evacuation::Domains;
+use evacuation::EvacuationState;
 use fakes::HUB;
 use fakes::ONCE;
 use fakes::bare;
@@ -41,7 +41,7 @@
 }
 
 /// Takes an order as a hub would tell it.
-fn order(entry: &Entry, held: &mut Domains, name: &str, evacuated: bool) {
+fn order(entry: &Entry, held: &mut EvacuationState, name: &str, evacuated: bool) {
     let order = held.order(&domain(name), evacuated);
     held.apply(&order);
     entry.core().take_evacuations(HUB, &held.to_wire());
@@ -59,7 +59,7 @@
 #[tokio::test]
 async fn test_evacuation_domain_gets_nothing_until_it_is_taken_back() {
     let (entry, [one, two]) = two().await;
-    let mut held = Domains::default();
+    let mut held = EvacuationState::default();
     order(&entry, &mut held, "a", true);
     assert_eq!(calls(&entry, 20).await, [200; 20]);
     assert_eq!((one.arrivals().len(), two.arrivals().len()), (0, 20));
@@ -76,7 +76,7 @@
 #[tokio::test]
 async fn test_evacuation_holds_for_instances_that_come_later() {
     let (entry, [one, two]) = two().await;
-    let mut held = Domains::default();
+    let mut held = EvacuationState::default();
     order(&entry, &mut held, "a", true);
     let late = Upstream::start("i-3", Manner::Answer).await;
     let row = instance(&late, "status");
@@ -110,7 +110,7 @@
         granted.flatten().is_some()
     };
     assert!(usable("i-1") && usable("i-2"));
-    order(&entry, &mut Domains::default(), "a", true);
+    order(&entry, &mut EvacuationState::default(), "a", true);
     assert!(!usable("i-1") && usable("i-2"));
 }
 
@@ -118,7 +118,7 @@
 #[tokio::test]
 async fn test_evacuation_of_all_domains_refuses_at_once() {
     let (entry, upstreams) = two().await;
-    let mut held = Domains::default();
+    let mut held = EvacuationState::default();
     order(&entry, &mut held, "a", true);
     order(&entry, &mut held, "b", true);
     let answer = call(entry.front(), "GET", ONCE, "r-1").await;
--- a/crates/evacuation/src/domains.rs
+++ b/crates/evacuation/src/domains.rs
@@ -46,12 +46,12 @@
 ///
 /// Invariant: `revision` is the highest of all rows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Domains {
+pub struct EvacuationState {
     rows: BTreeMap<DomainName, Row>,
     revision: u64,
 }
 
-impl Domains {
+impl EvacuationState {
     /// Reads what [`Domains::to_wire`] gave.
     ///
     /// # Errors
--- a/crates/evacuation/src/lib.rs
+++ b/crates/evacuation/src/lib.rs
@@ -5,6 +5,6 @@
 
 pub mod domains;
 
-pub use domains::Domains;
+pub use domains::EvacuationState;
 pub use domains::Outcome;
 pub use domains::StateError;
--- a/crates/evacuation/tests/test_domains.rs
+++ b/crates/evacuation/tests/test_domains.rs
@@ -1,7 +1,7 @@
 //! Orders on failure domains, in every order in which a log may take them.
 
 use base::prelude::*;
-use evacuation::Domains;
+use evacuation::EvacuationState;
 use evacuation::Outcome;
 use evacuation::domains::MAX_DOMAINS;
 use quickcheck::quickcheck;
@@ -12,18 +12,18 @@
 }
 
 /// Makes an order and applies it at once.
-fn order(held: &mut Domains, name: &str, evacuated: bool) -> Outcome {
+fn order(held: &mut EvacuationState, name: &str, evacuated: bool) -> Outcome {
     let order = held.order(&domain(name), evacuated);
     held.apply(&order)
 }
 
-fn evacuated(held: &Domains) -> Vec<&str> {
+fn evacuated(held: &EvacuationState) -> Vec<&str> {
     held.evacuated().map(DomainName::as_str).collect()
 }
 
 #[test]
 fn test_domains_order_is_in_force_until_it_is_taken_back() {
-    let mut held = Domains::default();
+    let mut held = EvacuationState::default();
     assert_eq!(order(&mut held, "a", true), Outcome::Taken);
     assert_eq!(order(&mut held, "a", true), Outcome::Held);
     assert_eq!(order(&mut held, "b", true), Outcome::Taken);
@@ -38,7 +38,7 @@
 /// by way of another hub, and took it back. What comes out of the queue then is late.
 #[test]
 fn test_domains_order_that_was_overtaken_changes_nothing() {
-    let mut held = Domains::default();
+    let mut held = EvacuationState::default();
     let late = held.order(&domain("a"), true);
     assert_eq!(order(&mut held, "a", true), Outcome::Taken);
     assert_eq!(order(&mut held, "a", false), Outcome::Taken);
@@ -56,7 +56,7 @@
 /// Orders on other domains overtake nothing.
 #[test]
 fn test_domains_orders_at_once_are_independent() {
-    let mut held = Domains::default();
+    let mut held = EvacuationState::default();
     let orders: Vec<Evacuation> = ["a", "b", "c", "d", "e", "f", "g", "h"]
         .iter()
         .map(|name| held.order(&domain(name), true))
@@ -69,7 +69,7 @@
 
 #[test]
 fn test_domains_names_are_bounded() {
-    let mut held = Domains::default();
+    let mut held = EvacuationState::default();
     for index in 0..MAX_DOMAINS {
         assert_eq!(
             order(&mut held, &format!("d-{index}"), true),
@@ -91,7 +91,7 @@
     /// force at that moment, revisions rise with each change and only then, and the state
     /// comes back from its message as it was.
     fn prop_domains_answered_orders_were_in_force(steps: Vec<(u8, bool, bool)>) -> bool {
-        let mut held = Domains::default();
+        let mut held = EvacuationState::default();
         let mut queued = Vec::new();
         for (which, evacuated, at_once) in steps {
             let name = domain(["a", "b", "c"][usize::from(which % 3)]);
@@ -110,6 +110,6 @@
                 return false;
             }
         }
-        Domains::from_wire(&held.to_wire()) == Ok(held)
+        EvacuationState::from_wire(&held.to_wire()) == Ok(held)
     }
 }
--- a/crates/hub/src/desk.rs
+++ b/crates/hub/src/desk.rs
@@ -5,7 +5,7 @@
 
 use base::prelude::*;
 use conf::ConfError;
-use evacuation::Domains;
+use evacuation::EvacuationState;
 use evacuation::Outcome;
 use quick_error::quick_error;
 use registry::Taken;
@@ -203,7 +203,7 @@
     /// # Errors
     ///
     /// Fails when no majority answers in time.
-    pub async fn evacuations(&self) -> Result<Arc<Domains>, DeskError> {
+    pub async fn evacuations(&self) -> Result<Arc<EvacuationState>, DeskError> {
         let found = self.state.tables.evacuations(READ_TIMEOUT).await;
         found.ok_or(DeskError::NoMajority)
     }
