--- a/crates/evacuation/src/lib.rs
+++ b/crates/evacuation/src/lib.rs
@@ -3,8 +3,8 @@
 //! The replicated log applies orders, so that all hubs agree on their effect; entry
 //! processes hold the newest state that any hub told.
 
-pub mod domains;
+pub mod state;
 
-pub use domains::EvacuationState;
-pub use domains::Outcome;
-pub use domains::StateError;
+pub use state::EvacuationState;
+pub use state::Outcome;
+pub use state::StateError;
--- a/crates/evacuation/tests/test_domains.rs
+++ b/crates/evacuation/tests/test_domains.rs
@@ -3,7 +3,7 @@
 use base::prelude::*;
 use evacuation::EvacuationState;
 use evacuation::Outcome;
-use evacuation::domains::MAX_DOMAINS;
+use evacuation::state::MAX_DOMAINS;
 use quickcheck::quickcheck;
 use wire::hub::Evacuation;
 
--- a/crates/hub/src/desk.rs
+++ b/crates/hub/src/desk.rs
@@ -41,7 +41,7 @@
         /// The failure domain can't be evacuated.
         Domain(domain: DomainName) {
             display("failure domain {domain}: orders have named {} others, as many as are kept",
-                evacuation::domains::MAX_DOMAINS)
+                evacuation::state::MAX_DOMAINS)
         }
         /// There is no table yet.
         NoTable {
