--- a/crates/evacuation/src/lib.rs
+++ b/crates/evacuation/src/lib.rs
@@ -1,7 +1,7 @@
-//! Failure domains to whose upstreams an operator wants nothing sent.
+//! Failure domains whose upstreams receive nothing, by an operator's order.
 //!
-//! The replicated log applies orders, so that all hubs agree on their effect; entry
-//! processes hold the newest state that any hub told.
+//! The replicated log applies orders, so that all hubs agree on their effect;
+//! entry processes use the latest state that any hub sent.
 
 pub mod state;
 
--- a/crates/evacuation/src/state.rs
+++ b/crates/evacuation/src/state.rs
@@ -1,8 +1,8 @@
-//! Which failure domains are evacuated, and what an order changes.
+//! The evacuated failure domains, and the effect of orders on them.
 //!
-//! An order carries no id of its own, and a hub that gave up on one may still have it in
-//! the log's queue. So an order names the revision of its domain that was in force when it
-//! arrived: one that a later order has overtaken changes nothing.
+//! An order has no id, and may still be in the log's queue after the hub that sent
+//! it gave up. It therefore carries the revision of its domain at the time that
+//! the hub received it, and has no effect if a later order was applied first.
 
 use std::collections::BTreeMap;
 
@@ -14,72 +14,72 @@
 use wire::hub::EvacuationRow;
 use wire::hub::Evacuations;
 
-/// What became of an order.
+/// Effect of an order.
 pub type Outcome = EvacuationOutcome;
 
-/// Most failure domains that orders may ever have named. A sum of all orders to names that
-/// don't exist must not fill the log's snapshots.
+/// Maximum number of failure domains that orders may have named over time, so that orders
+/// with wrong names can't fill the log's snapshots.
 pub const MAX_DOMAINS: usize = 256;
 
 quick_error! {
-    /// Why a message is no state of evacuations.
+    /// Why a message isn't a valid state.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum StateError {
-        /// A name isn't one.
+        /// The name of a failure domain is invalid.
         Name(err: NameError) {
             from()
             source(err)
-            display("evacuated domain: {err}")
+            display("invalid name of an evacuated domain: {err}")
         }
     }
 }
 
-/// One failure domain.
+/// State of one failure domain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Row {
+struct DomainState {
     evacuated: bool,
-    /// Of the order that it was last changed by.
+    /// Revision of the latest change.
     revision: u64,
 }
 
-/// The state that orders lead to.
+/// The state that results from all orders.
 ///
-/// Invariant: `revision` is the highest of all rows.
+/// Invariant: `revision` is the highest revision of all domains.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EvacuationState {
-    rows: BTreeMap<DomainName, Row>,
+    domains: BTreeMap<DomainName, DomainState>,
     revision: u64,
 }
 
 impl EvacuationState {
-    /// Reads what [`Domains::to_wire`] gave.
+    /// Decodes the result of [`EvacuationState::to_wire`].
     ///
     /// # Errors
     ///
-    /// Fails on a name that isn't one.
+    /// Fails on an invalid name.
     pub fn from_wire(state: &Evacuations) -> Result<Self, StateError> {
-        let mut rows = BTreeMap::new();
+        let mut domains = BTreeMap::new();
         for row in &state.rows {
-            let held = Row {
+            let domain_state = DomainState {
                 evacuated: row.evacuated,
                 revision: row.revision,
             };
-            rows.insert(DomainName::new(&row.domain)?, held);
+            domains.insert(DomainName::new(&row.domain)?, domain_state);
         }
-        let revision = rows.values().map(|row| row.revision).max();
+        let revision = domains.values().map(|state| state.revision).max();
         Ok(Self {
-            rows,
+            domains,
             revision: revision.unwrap_or_default(),
         })
     }
 
-    /// The state as it is told and stored; equal states give equal messages.
+    /// The state as a message; equal states give equal messages.
     #[must_use]
     pub fn to_wire(&self) -> Evacuations {
-        let rows = self.rows.iter().map(|(domain, row)| EvacuationRow {
+        let rows = self.domains.iter().map(|(domain, state)| EvacuationRow {
             domain: domain.to_string(),
-            evacuated: row.evacuated,
-            revision: row.revision,
+            evacuated: state.evacuated,
+            revision: state.revision,
         });
         Evacuations {
             revision: self.revision,
@@ -87,56 +87,58 @@
         }
     }
 
-    /// Rises with each change.
+    /// Revision of the state; rises with each change.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// An order as it goes to the log, made from what is in force now.
+    /// Creates an order for the log, based on the domain's current revision.
     #[must_use]
     pub fn order(&self, domain: &DomainName, evacuated: bool) -> Evacuation {
-        let row = self.rows.get(domain).copied().unwrap_or_default();
+        let state = self.domains.get(domain).copied().unwrap_or_default();
         Evacuation {
             domain: domain.to_string(),
             evacuated,
-            base: row.revision,
+            base: state.revision,
         }
     }
 
-    /// Applies an order of the log.
+    /// Applies an order from the log.
     pub fn apply(&mut self, order: &Evacuation) -> Outcome {
         let Ok(domain) = DomainName::new(&order.domain) else {
             return Outcome::Refused;
         };
-        let held = self.rows.get(&domain).copied().unwrap_or_default();
-        if held.evacuated == order.evacuated {
+        let current = self.domains.get(&domain).copied().unwrap_or_default();
+        if current.evacuated == order.evacuated {
             return Outcome::Held;
         }
-        if held.revision != order.base {
+        if current.revision != order.base {
             return Outcome::Overtaken;
         }
-        if self.rows.len() >= MAX_DOMAINS && !self.rows.contains_key(&domain) {
+        if self.domains.len() >= MAX_DOMAINS && !self.domains.contains_key(&domain) {
             return Outcome::Refused;
         }
         self.revision += 1;
-        let row = Row {
+        let state = DomainState {
             evacuated: order.evacuated,
             revision: self.revision,
         };
-        self.rows.insert(domain, row);
+        self.domains.insert(domain, state);
         Outcome::Taken
     }
 
-    /// Whether nothing is to be sent to the upstreams of `domain`.
+    /// Whether upstreams in `domain` must receive nothing.
     #[must_use]
     pub fn is_evacuated(&self, domain: &DomainName) -> bool {
-        self.rows.get(domain).is_some_and(|row| row.evacuated)
+        self.domains
+            .get(domain)
+            .is_some_and(|state| state.evacuated)
     }
 
     /// The evacuated domains, sorted.
     pub fn evacuated(&self) -> impl Iterator<Item = &DomainName> {
-        let rows = self.rows.iter().filter(|(_, row)| row.evacuated);
-        rows.map(|(domain, _)| domain)
+        let evacuated = self.domains.iter().filter(|(_, state)| state.evacuated);
+        evacuated.map(|(domain, _)| domain)
     }
 }
