--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -3,7 +3,7 @@
 //! Where load shifts within milliseconds, a process that receives a fifteenth of a
 //! service's requests knows little of its instances: it neither sees what other
 //! processes have just sent, nor that a slot of theirs became free. The service's
-//! dispatcher therefore grants slots to all processes. [`dispatcher`] selects it
+//! dispatcher therefore grants slots to all processes. [`dispatcher()`] selects it
 //! without communication, [`CircuitBreaker`] tracks whether it answers, [`Grants`]
 //! stores its outstanding grants, and [`DispatcherRole`] decides when it may spend
 //! the shared budget. A grant only names an instance: the process that receives it
--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -67,7 +67,7 @@
                 Ok(Found::Load(report, cold)) => {
                     if let Some(left) = cold {
                         core.desk(&service, |desk, now| {
-                            desk.set_cold_remaining(now, pick, left)
+                            desk.set_cold_remaining(now, pick, left);
                         });
                     }
                     Some(report)
