--- a/crates/dispatch/tests/test_dispatch.rs
+++ b/crates/dispatch/tests/test_dispatch.rs
@@ -1,10 +1,10 @@
-//! Who dispatches, whether it answers, and what it gave away.
+//! Selection of dispatchers, the circuit breaker, grants and the dispatcher's role.
 
 use base::prelude::*;
-use dispatch::Dispatched;
+use dispatch::CircuitBreaker;
+use dispatch::DispatcherLocation;
+use dispatch::DispatcherRole;
 use dispatch::Grants;
-use dispatch::Tenure;
-use dispatch::Trust;
 use dispatch::dispatcher;
 use quickcheck::quickcheck;
 use std::collections::BTreeSet;
@@ -21,92 +21,92 @@
     (0..count).map(|n| format!("10.0.0.{n}:7013")).collect()
 }
 
-fn named(number: u32, hosts: &[String]) -> Option<&str> {
+fn dispatcher_of(number: u32, hosts: &[String]) -> Option<&str> {
     dispatcher(&service(number), hosts.iter().map(String::as_str))
 }
 
 #[test]
 fn test_dispatcher_services_spread_over_the_hosts() {
     let hosts = hosts(17);
-    let used: BTreeSet<&str> = (0..100).filter_map(|n| named(n, &hosts)).collect();
+    let used: BTreeSet<&str> = (0..100).filter_map(|n| dispatcher_of(n, &hosts)).collect();
     assert!(used.len() >= 15, "{} of 17", used.len());
-    assert_eq!(named(1, &[]), None);
+    assert_eq!(dispatcher_of(1, &[]), None);
 }
 
 quickcheck! {
-    /// In whatever order the hosts are told, and whoever else leaves.
+    /// The order of the hosts and the removal of others don't matter.
     fn prop_dispatcher_moves_only_when_it_leaves(number: u32, leaver: u8) -> bool {
         let all = hosts(17);
-        let first = named(number, &all);
-        let mut left = all.clone();
-        let leaver = left.remove(usize::from(leaver) % 17);
-        left.reverse();
-        let second = named(number, &left);
+        let first = dispatcher_of(number, &all);
+        let mut remaining = all.clone();
+        let leaver = remaining.remove(usize::from(leaver) % 17);
+        remaining.reverse();
+        let second = dispatcher_of(number, &remaining);
         first == Some(leaver.as_str()) || first == second
     }
 }
 
 #[test]
-fn test_trust_silent_dispatcher_is_asked_no_more() {
-    let mut trust = Trust::default();
-    assert!(trust.ask(at(0)));
-    // Others ask while it still may answer, and none after.
-    assert!(trust.ask(at(59)));
-    assert!(!trust.ask(at(60)));
-    assert!(!trust.ask(at(300)));
-    assert!(trust.is_lost());
-    trust.failed(at(100));
-    trust.failed(at(160));
-    // One asks again after the pause.
-    assert!(!trust.ask(at(409)));
-    assert!(trust.ask(at(410)));
-    trust.answered(at(412));
-    assert!(!trust.is_lost() && trust.ask(at(413)));
+fn test_breaker_opens_without_answers() {
+    let mut breaker = CircuitBreaker::default();
+    assert!(breaker.allow_request(at(0)));
+    // Requests are allowed until the timeout since the first one.
+    assert!(breaker.allow_request(at(59)));
+    assert!(!breaker.allow_request(at(60)));
+    assert!(!breaker.allow_request(at(300)));
+    assert!(breaker.is_open());
+    breaker.failed(at(100));
+    breaker.failed(at(160));
+    // Requests are allowed again 250 ms after the last failure.
+    assert!(!breaker.allow_request(at(409)));
+    assert!(breaker.allow_request(at(410)));
+    breaker.answered(at(412));
+    assert!(!breaker.is_open() && breaker.allow_request(at(413)));
 }
 
 #[test]
-fn test_trust_answers_of_any_question_count() {
-    let mut trust = Trust::default();
+fn test_breaker_any_answer_keeps_it_closed() {
+    let mut breaker = CircuitBreaker::default();
     for step in 0..100 {
-        assert!(trust.ask(at(step * 30)), "step {step}");
+        assert!(breaker.allow_request(at(step * 30)), "step {step}");
         if step > 0 {
-            trust.answered(at(step * 30 + 1));
+            breaker.answered(at(step * 30 + 1));
         }
     }
-    // The first was never answered; it was given up by its caller.
-    trust.dropped();
-    assert!(trust.ask(at(60_000)));
+    // The first request was never answered and is cancelled by its caller.
+    breaker.cancelled();
+    assert!(breaker.allow_request(at(60_000)));
 }
 
 #[test]
-fn test_grants_of_a_lost_process_end_with_their_time() {
-    let mut grants = Grants::starting(70);
+fn test_grants_expire() {
+    let mut grants = Grants::with_first_id(70);
     let one = grants.grant(at(100), "one");
     let two = grants.grant(at(200), "two");
     assert_eq!((one, two, grants.len()), (70, 71, 2));
     assert_eq!(grants.take(two), Some("two"));
     assert_eq!(grants.take(two), None);
-    assert!(grants.over(at(99)).is_empty());
-    assert_eq!(grants.over(at(100)), ["one"]);
-    // It comes back late.
+    assert!(grants.take_expired(at(99)).is_empty());
+    assert_eq!(grants.take_expired(at(100)), ["one"]);
+    // A grant that is returned after its expiry is ignored.
     assert_eq!(grants.take(one), None);
     assert!(grants.is_empty());
 }
 
 #[test]
-fn test_tenure_shared_budget_waits_for_the_one_before() {
-    let mut tenure = Tenure::default();
-    tenure.set(at(0), Dispatched::Elsewhere);
-    tenure.set(at(100), Dispatched::Here);
-    tenure.set(at(300), Dispatched::Here);
-    assert!(!tenure.is_settled(at(399)));
-    assert!(tenure.is_settled(at(400)));
-    tenure.set(at(500), Dispatched::Elsewhere);
-    assert!(!tenure.is_settled(at(900)));
-    tenure.set(at(1_000), Dispatched::Here);
-    assert!(!tenure.is_settled(at(1_299)));
-    // After a restart of everything there was nobody.
-    let mut tenure = Tenure::default();
-    tenure.set(at(0), Dispatched::Here);
-    assert!(tenure.is_settled(at(0)));
+fn test_role_new_dispatcher_waits_before_spending() {
+    let mut dispatcher_role = DispatcherRole::default();
+    dispatcher_role.set(at(0), DispatcherLocation::Remote);
+    dispatcher_role.set(at(100), DispatcherLocation::Local);
+    dispatcher_role.set(at(300), DispatcherLocation::Local);
+    assert!(!dispatcher_role.may_spend_shared(at(399)));
+    assert!(dispatcher_role.may_spend_shared(at(400)));
+    dispatcher_role.set(at(500), DispatcherLocation::Remote);
+    assert!(!dispatcher_role.may_spend_shared(at(900)));
+    dispatcher_role.set(at(1_000), DispatcherLocation::Local);
+    assert!(!dispatcher_role.may_spend_shared(at(1_299)));
+    // After a restart of all processes there is no previous dispatcher.
+    let mut dispatcher_role = DispatcherRole::default();
+    dispatcher_role.set(at(0), DispatcherLocation::Local);
+    assert!(dispatcher_role.may_spend_shared(at(0)));
 }
--- a/crates/entry/src/balancer.rs
+++ b/crates/entry/src/balancer.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ::dispatch::Dispatched;
+use ::dispatch::DispatcherLocation;
+use ::dispatch::DispatcherRole;
 use ::dispatch::Grants;
-use ::dispatch::Tenure;
 use ::dispatch::Warmup;
 use admit::WaitQueue;
 use attempt::budget::Budget;
@@ -18,16 +18,16 @@
 use base::prelude::*;
 use measure::Allowance;
 use route::Decision;
-use route::Fresh;
-use route::FreshChoice;
 use route::Instance;
-use route::Kind;
 use route::LoadReport;
 use route::Need;
+use route::OutcomeKind;
 use route::Phase;
 use route::Pick;
+use route::ProbingChooser;
+use route::ReportedInstance;
+use route::ScoredChoice;
 use route::Ticket;
-use route::Told;
 use tokio::sync::oneshot;
 use wire::hub::Phase as WirePhase;
 
@@ -62,7 +62,7 @@
 /// Load balancer of one service.
 #[derive(Debug)]
 pub struct Balancer {
-    chooser: Fresh,
+    chooser: ProbingChooser,
     retry_budget: Budget,
     probe_allowance: Allowance,
     shared: SharedBudgets,
@@ -78,7 +78,7 @@
     /// Open grants to other processes.
     grants: Grants<Ticket>,
     /// Whether this process dispatches for the service, or another one does.
-    dispatcher_role: Tenure,
+    dispatcher_role: DispatcherRole,
     /// Rate limit of cold instances; `None` if unlimited.
     warmup: Option<Warmup>,
     /// The processes that share `warmup`.
@@ -106,7 +106,7 @@
     /// The instance and its connections.
     pub upstream: Arc<Upstream>,
     /// The data on which the choice is based.
-    pub choice: FreshChoice,
+    pub choice: ScoredChoice,
     /// The dispatcher's grant, if a dispatcher selected the instance.
     pub grant: Option<Grant>,
 }
@@ -126,7 +126,7 @@
     /// Creates a balancer without instances.
     #[must_use]
     pub fn new(domain: DomainName, shared: &SharedBudgets, seed: u64, now: Moment) -> Self {
-        let mut chooser = Fresh::new(domain, seed);
+        let mut chooser = ProbingChooser::new(domain, seed);
         chooser.set_processes(shared.entries);
         Self {
             chooser,
@@ -139,8 +139,8 @@
             completion_interval: MIN_RETRY_AFTER,
             recent_refusals: 0.0,
             last_refusal: now,
-            grants: Grants::starting(seed),
-            dispatcher_role: Tenure::default(),
+            grants: Grants::with_first_id(seed),
+            dispatcher_role: DispatcherRole::default(),
             warmup: None,
             processes: Arc::default(),
             created_at: now,
@@ -157,10 +157,14 @@
 
     fn update_probe_share(&mut self, now: Moment) {
         let entries = self.shared.entries;
-        let (fraction, processes) = match self.dispatcher_role.dispatched() {
-            Dispatched::Nobody => (1.0, entries),
-            Dispatched::Here if self.dispatcher_role.is_settled(now) => (DISPATCHER_PROBE_SHARE, 1),
-            Dispatched::Here | Dispatched::Elsewhere => (1.0 - DISPATCHER_PROBE_SHARE, entries),
+        let (fraction, processes) = match self.dispatcher_role.location() {
+            DispatcherLocation::Unassigned => (1.0, entries),
+            DispatcherLocation::Local if self.dispatcher_role.may_spend_shared(now) => {
+                (DISPATCHER_PROBE_SHARE, 1)
+            }
+            DispatcherLocation::Local | DispatcherLocation::Remote => {
+                (1.0 - DISPATCHER_PROBE_SHARE, entries)
+            }
         };
         let budget = (f64::from(self.shared.probes) * PROBE_UTILIZATION * fraction).floor();
         #[expect(
@@ -186,7 +190,7 @@
                 slots: upstream.slots,
                 phase: phase_from_wire(listed.phase),
             };
-            table.push(Told {
+            table.push(ReportedInstance {
                 instance,
                 cold: upstream.cold,
                 silent: listed.silent,
@@ -238,7 +242,9 @@
     /// Returns the ejected instances that are due for a probe.
     pub fn plan_ejected_probes(&mut self, now: Moment) -> Vec<(Pick, Arc<Upstream>)> {
         let probes = &mut self.probe_allowance;
-        let picks = self.chooser.ejected(now, |count| probes.take(now, count));
+        let picks = self
+            .chooser
+            .plan_ejected(now, |count| probes.take(now, count));
         self.resolve(picks)
     }
 
@@ -257,7 +263,7 @@
 
     /// Records that a response body ended early after its head had been passed on.
     pub fn record_broken_response(&mut self, now: Moment, pick: Pick) {
-        self.chooser.broke_off(now, pick);
+        self.chooser.response_aborted(now, pick);
     }
 
     /// Records the result of a probe; `report` is `None` if it failed.
@@ -275,7 +281,7 @@
     /// Selects the given instance, which has just got free capacity.
     pub fn choose_instance(&mut self, now: Moment, need: &Need, pick: Pick) -> Selection {
         self.update_cold_shares(now);
-        let decision = self.chooser.choose_this(now, need, pick);
+        let decision = self.chooser.choose_instance(now, need, pick);
         self.selection(decision)
     }
 
@@ -292,7 +298,7 @@
         }
     }
 
-    fn selected(&self, choice: FreshChoice) -> Option<SelectedInstance> {
+    fn selected(&self, choice: ScoredChoice) -> Option<SelectedInstance> {
         let id = self.chooser.id(choice.pick)?;
         let upstream = Arc::clone(self.upstreams.get(id)?);
         Some(SelectedInstance {
@@ -348,7 +354,7 @@
         &mut self,
         now: Moment,
         ticket: Ticket,
-        kind: Kind,
+        kind: OutcomeKind,
         report: Option<LoadReport>,
     ) {
         let pick = ticket.pick();
--- a/crates/entry/src/balancer/cold.rs
+++ b/crates/entry/src/balancer/cold.rs
@@ -28,7 +28,7 @@
         if now.since(self.created_at) < COLD_WINDOW {
             return;
         }
-        for pick in self.chooser.unshared(now) {
+        for pick in self.chooser.cold_without_share(now) {
             let Processes { own, all, .. } = &*self.processes;
             let id = self.chooser.id(pick);
             let starts = id.map_or(0, |id| warmup.share(id, own, all));
@@ -38,6 +38,6 @@
 
     /// Records how much longer an instance reports that it is cold.
     pub fn record_cold(&mut self, now: Moment, pick: Pick, remaining: Duration) {
-        self.chooser.told_cold(now, pick, remaining);
+        self.chooser.set_cold_remaining(now, pick, remaining);
     }
 }
--- a/crates/entry/src/balancer/dispatch.rs
+++ b/crates/entry/src/balancer/dispatch.rs
@@ -3,14 +3,14 @@
 
 use std::time::Duration;
 
-use ::dispatch::Dispatched;
+use ::dispatch::DispatcherLocation;
 use base::prelude::*;
-use route::FreshChoice;
-use route::Kind;
 use route::LoadReport;
 use route::Need;
+use route::OutcomeKind;
 use route::Pick;
 use route::Reason;
+use route::ScoredChoice;
 use wire::place::Ask;
 use wire::place::Outcome;
 use wire::place::Placed;
@@ -30,7 +30,7 @@
 
 impl Balancer {
     /// Sets which process dispatches for the service.
-    pub fn set_dispatched(&mut self, now: Moment, dispatched: Dispatched) {
+    pub fn set_dispatched(&mut self, now: Moment, dispatched: DispatcherLocation) {
         self.dispatcher_role.set(now, dispatched);
         self.update_probe_share(now);
     }
@@ -44,8 +44,8 @@
 
     /// Expires overdue grants and updates the share of the probe budget.
     pub fn tick(&mut self, now: Moment) {
-        for ticket in self.grants.over(now) {
-            self.finish_attempt(now, ticket, Kind::Cancelled, None);
+        for ticket in self.grants.take_expired(now) {
+            self.finish_attempt(now, ticket, OutcomeKind::Cancelled, None);
         }
         self.update_probe_share(now);
     }
@@ -57,7 +57,7 @@
             aim: duration_from_micros(ask.aim_us),
             crossing: ask.crossing,
             room: ask.room,
-            home: self.chooser.home(domain),
+            domain_index: self.chooser.domain_index(domain),
         }
     }
 
@@ -97,7 +97,7 @@
         &mut self,
         now: Moment,
         grant: u64,
-        kind: Kind,
+        kind: OutcomeKind,
         report: Option<LoadReport>,
     ) {
         if let Some(ticket) = self.grants.take(grant) {
@@ -111,9 +111,9 @@
         let pick = self.chooser.find(&placed.instance, placed.incarnation)?;
         let report = placed.report.as_ref().map(report_from_wire);
         if let Some(report) = report {
-            self.chooser.told(now, pick, report);
+            self.chooser.report_relayed(now, pick, report);
         }
-        self.selected(FreshChoice {
+        self.selected(ScoredChoice {
             pick,
             reason: Reason::Placed,
             age: (placed.age_us < u32::MAX).then(|| duration_from_micros(placed.age_us)),
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use evacuation::Domains;
+use evacuation::EvacuationState;
 use http::Uri;
 use quarantine::Quarantine;
 use registry::Digest;
@@ -66,7 +66,7 @@
     hosts: Vec<EntryHost>,
     entry_count: u32,
     /// The evacuated failure domains.
-    evacuations: Domains,
+    evacuations: EvacuationState,
     /// The dispatchers of the services that another process dispatches.
     dispatcher_addresses: HashMap<ServiceName, SocketAddr>,
     /// The entry processes that share the capacity of cold instances.
--- a/crates/entry/src/core/evacuate.rs
+++ b/crates/entry/src/core/evacuate.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use base::prelude::*;
-use evacuation::Domains;
+use evacuation::EvacuationState;
 use slog::info;
 use slog::warn;
 use wire::hub::Evacuations;
@@ -20,7 +20,7 @@
         if received.revision <= state.evacuations.revision() {
             return;
         }
-        let next = match Domains::from_wire(received) {
+        let next = match EvacuationState::from_wire(received) {
             Ok(next) => next,
             Err(err) => {
                 warn!(self.log, "invalid evacuations"; "hub" => %hub, "revision" => received.revision,
@@ -46,7 +46,7 @@
 
 /// Treats a ready instance in an evacuated failure domain as draining.
 pub(super) fn apply_evacuation<'a>(
-    evacuations: &Domains,
+    evacuations: &EvacuationState,
     status: InstanceStatus<'a>,
 ) -> InstanceStatus<'a> {
     let phase = match status.phase {
--- a/crates/entry/src/core/share.rs
+++ b/crates/entry/src/core/share.rs
@@ -1,7 +1,7 @@
 //! Assigns dispatchers to services, and shares the capacity of cold instances.
 
 use base::prelude::*;
-use dispatch::Dispatched;
+use dispatch::DispatcherLocation;
 use dispatch::Warmup;
 
 use super::Core;
@@ -55,9 +55,9 @@
         balancer.set_dispatched(
             now,
             match (here, elsewhere) {
-                (true, _) => Dispatched::Here,
-                (false, Some(_)) => Dispatched::Elsewhere,
-                (false, None) => Dispatched::Nobody,
+                (true, _) => DispatcherLocation::Local,
+                (false, Some(_)) => DispatcherLocation::Remote,
+                (false, None) => DispatcherLocation::Unassigned,
             },
         );
         state
--- a/crates/entry/src/counters.rs
+++ b/crates/entry/src/counters.rs
@@ -45,7 +45,7 @@
     }
 
     /// Counts a response that broke off after its head was forwarded.
-    pub fn broke_off(&self, service: &ServiceName) {
+    pub fn response_aborted(&self, service: &ServiceName) {
         self.client
             .count_with_tags("entry.answers.broken", 1)
             .with_tag("service", service.as_str())
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -16,8 +16,8 @@
 use hyper::body::Body;
 use hyper::body::Incoming;
 use quarantine::Head;
-use route::Kind;
 use route::LoadReport;
+use route::OutcomeKind;
 use route::Ticket;
 use slog::info;
 use strum::IntoStaticStr;
@@ -110,7 +110,7 @@
 }
 
 impl RunningAttempt {
-    fn end(&mut self, kind: Kind, report: Option<LoadReport>) {
+    fn end(&mut self, kind: OutcomeKind, report: Option<LoadReport>) {
         let Some(ticket) = self.ticket.take() else {
             return;
         };
@@ -127,9 +127,9 @@
 impl Drop for RunningAttempt {
     fn drop(&mut self) {
         let kind = if self.started_at.elapsed() < self.unresponsive_after {
-            Kind::Cancelled
+            OutcomeKind::Cancelled
         } else {
-            Kind::Timeout
+            OutcomeKind::Timeout
         };
         self.end(kind, None);
     }
@@ -156,11 +156,11 @@
     let Some((response, connection)) =
         send(core, upstream, request, body, timeouts.remaining).await
     else {
-        running.end(Kind::ConnectFailed, None);
+        running.end(OutcomeKind::ConnectFailed, None);
         return AttemptEnd::Unsent;
     };
     let Some(response) = response else {
-        running.end(Kind::Error, None);
+        running.end(OutcomeKind::Error, None);
         return AttemptEnd::Unknown;
     };
     let report = load_report(core, response.headers());
@@ -174,24 +174,31 @@
             AttemptEnd::Refused
         };
         read_response(upstream, response, connection, reusable).await;
-        running.end(Kind::Shed, report);
+        running.end(OutcomeKind::Shed, report);
         return end;
     }
     if response.status() == StatusCode::MISDIRECTED_REQUEST {
-        running.end(Kind::Error, None);
+        running.end(OutcomeKind::Error, None);
         return AttemptEnd::Elsewhere;
     }
     // The response belongs to another request, for example a duplicate response.
     if response.headers().get(&core.dialect.request) != Some(&request.id) {
-        running.end(Kind::Error, None);
+        running.end(OutcomeKind::Error, None);
         return AttemptEnd::Unknown;
     }
     let failed = response.status().is_server_error();
     if let Some((parts, body)) = read_response(upstream, response, connection, reusable).await {
-        running.end(if failed { Kind::Error } else { Kind::Ok }, report);
+        running.end(
+            if failed {
+                OutcomeKind::Error
+            } else {
+                OutcomeKind::Ok
+            },
+            report,
+        );
         AttemptEnd::Answer(Box::new(parts), body)
     } else {
-        running.end(Kind::Error, report);
+        running.end(OutcomeKind::Error, report);
         AttemptEnd::Unknown
     }
 }
--- a/crates/entry/src/flow/choice.rs
+++ b/crates/entry/src/flow/choice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use route::Home;
+use route::DomainIndex;
 use route::Need;
 use tokio::time::Instant;
 
@@ -136,7 +136,7 @@
             } else {
                 1.0
             },
-            home: Home::OWN,
+            domain_index: DomainIndex::OWN,
         }
     }
 }
--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use dispatch::Trust;
+use dispatch::CircuitBreaker;
 use slog::Logger;
 use slog::info;
 use tarpc::client::RpcError;
@@ -62,7 +62,7 @@
         Arc::clone(entry.or_insert_with(|| {
             Arc::new(DispatcherClient {
                 link: peer::place(address),
-                trust: Mutex::default(),
+                breaker: Mutex::default(),
                 clock: core.clock,
                 log: core.log.clone(),
             })
@@ -73,7 +73,7 @@
 /// Client of one dispatcher.
 pub struct DispatcherClient {
     link: PlaceLink,
-    trust: Mutex<Trust>,
+    breaker: Mutex<CircuitBreaker>,
     clock: Clock,
     log: Logger,
 }
@@ -139,7 +139,7 @@
 impl DispatcherClient {
     /// Asks the dispatcher; returns `None` if it doesn't answer in time or is considered lost.
     async fn ask(&self, ask: Ask) -> Option<Placed> {
-        if !self.update_trust(Trust::ask) {
+        if !self.update_breaker(CircuitBreaker::allow_request) {
             return None;
         }
         let mut in_flight = InFlightRequest {
@@ -149,9 +149,9 @@
         let placed = tokio::time::timeout(REQUEST_TIMEOUT, self.send(ask)).await;
         let placed = placed.ok().flatten();
         in_flight.pending = false;
-        self.update_trust(|trust, now| match &placed {
-            Some(_) => trust.answered(now),
-            None => trust.failed(now),
+        self.update_breaker(|breaker, now| match &placed {
+            Some(_) => breaker.answered(now),
+            None => breaker.failed(now),
         });
         placed
     }
@@ -168,21 +168,21 @@
         None
     }
 
-    /// Changes the trust in the dispatcher, and logs when it is lost or regained.
-    fn update_trust<T>(&self, change: impl FnOnce(&mut Trust, Moment) -> T) -> T {
+    /// Updates the circuit breaker of the dispatcher, and logs when it opens or closes.
+    fn update_breaker<T>(&self, change: impl FnOnce(&mut CircuitBreaker, Moment) -> T) -> T {
         let now = self.clock.now();
-        let mut trust = self.trust();
-        let was_lost = trust.is_lost();
-        let result = change(&mut trust, now);
-        if trust.is_lost() != was_lost {
+        let mut breaker = self.breaker();
+        let was_lost = breaker.is_open();
+        let result = change(&mut breaker, now);
+        if breaker.is_open() != was_lost {
             let outcome = if was_lost { "regained" } else { "lost" };
             info!(self.log, "dispatcher"; "address" => %self.link.address(), "outcome" => outcome);
         }
         result
     }
 
-    fn trust(&self) -> MutexGuard<'_, Trust> {
-        self.trust.lock().unwrap_or_else(PoisonError::into_inner)
+    fn breaker(&self) -> MutexGuard<'_, CircuitBreaker> {
+        self.breaker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -195,7 +195,7 @@
 impl Drop for InFlightRequest<'_> {
     fn drop(&mut self) {
         if self.pending {
-            self.client.trust().dropped();
+            self.client.breaker().cancelled();
         }
     }
 }
--- a/crates/entry/src/placement/grant.rs
+++ b/crates/entry/src/placement/grant.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use route::Kind;
 use route::LoadReport;
+use route::OutcomeKind;
 use tokio::runtime::Handle;
 use wire::link::within;
 use wire::place::Ended;
@@ -25,7 +25,7 @@
     dispatcher: Arc<DispatcherClient>,
     service: ServiceName,
     number: u64,
-    kind: Kind,
+    kind: OutcomeKind,
     report: Option<LoadReport>,
 }
 
@@ -39,13 +39,13 @@
             dispatcher: Arc::clone(dispatcher),
             service: service.clone(),
             number,
-            kind: Kind::Cancelled,
+            kind: OutcomeKind::Cancelled,
             report: None,
         }
     }
 
     /// Releases the grant with the result of the attempt.
-    pub fn release(mut self, kind: Kind, report: Option<LoadReport>) {
+    pub fn release(mut self, kind: OutcomeKind, report: Option<LoadReport>) {
         self.kind = kind;
         self.report = report;
     }
--- a/crates/entry/src/route_stats.rs
+++ b/crates/entry/src/route_stats.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use route::FreshChoice;
+use route::ScoredChoice;
 
 use crate::remaining::RemainingTime;
 
@@ -66,7 +66,7 @@
     }
 
     /// Records the latency of a response. The expected slowdown of the instance is taken out.
-    pub fn record_response(&mut self, latency: Duration, choice: &FreshChoice, bytes: u64) {
+    pub fn record_response(&mut self, latency: Duration, choice: &ScoredChoice, bytes: u64) {
         let slowdown = choice.expected.as_secs_f64() / self.work.max(1e-4);
         let sample = latency.as_secs_f64() / slowdown.max(0.1);
         self.work += (sample.min(self.work * MAX_SAMPLE_RATIO) - self.work) * SAMPLE_WEIGHT;
--- a/crates/entry/src/stream_tracker.rs
+++ b/crates/entry/src/stream_tracker.rs
@@ -9,7 +9,7 @@
 use std::task::Poll;
 use std::time::Duration;
 
-use route::FreshChoice;
+use route::ScoredChoice;
 use slog::warn;
 use table::Route;
 use tokio::time::Instant;
@@ -50,7 +50,7 @@
     /// The instance that responds.
     pub upstream: Arc<Upstream>,
     /// The data on which the choice of the instance is based.
-    pub choice: FreshChoice,
+    pub choice: ScoredChoice,
     /// When the request was sent.
     pub sent_at: Instant,
     /// Size of the request body, 0 if unknown.
@@ -128,7 +128,7 @@
             "instance" => %context.upstream.id, "service" => %service, "bytes" => self.received,
             "ms" => u64::try_from(context.sent_at.elapsed().as_millis()).unwrap_or(u64::MAX),
             "error" => %err);
-        context.core.counters.broke_off(service);
+        context.core.counters.response_aborted(service);
         let pick = context.choice.pick;
         context.core.balancer(service, |balancer, now| {
             balancer.record_broken_response(now, pick);
--- a/crates/entry/tests/rig/mod.rs
+++ b/crates/entry/tests/rig/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use dispatch::Dispatched;
+use dispatch::DispatcherLocation;
 use entry::balancer::Balancer;
 use entry::balancer::SelectedInstance;
 use entry::balancer::Selection;
@@ -25,10 +25,10 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use route::Home;
-use route::Kind;
+use route::DomainIndex;
 use route::LoadReport;
 use route::Need;
+use route::OutcomeKind;
 use route::Pick;
 use route::Ticket;
 use tokio::sync::oneshot;
@@ -153,7 +153,7 @@
         });
         balancer.update(at(0), listed);
         if dispatched {
-            balancer.set_dispatched(at(0), Dispatched::Here);
+            balancer.set_dispatched(at(0), DispatcherLocation::Local);
         }
         balancer
     };
@@ -243,7 +243,7 @@
             aim: Duration::from_micros(self.case.aim.saturating_sub(spent).max(self.case.aim / 4)),
             crossing: 0.0,
             room: 1.0,
-            home: Home::OWN,
+            domain_index: DomainIndex::OWN,
         }
     }
 
@@ -339,7 +339,7 @@
         self.jobs[job].done = true;
         let ticket = self.jobs[job].ticket.take().expect("it was sent");
         let report = self.report(instance);
-        self.balancers[process].finish_attempt(at(self.now), ticket, Kind::Ok, Some(report));
+        self.balancers[process].finish_attempt(at(self.now), ticket, OutcomeKind::Ok, Some(report));
         self.start_queued(instance);
         self.offer_slots();
     }
@@ -354,8 +354,8 @@
             let Some(Ok(pick)) = slot else { continue };
             self.jobs[job].slot = None;
             let (process, need) = (self.jobs[job].process, self.need(job));
-            let verdict = self.balancers[process].choose_instance(at(self.now), &need, pick);
-            match verdict {
+            let selection = self.balancers[process].choose_instance(at(self.now), &need, pick);
+            match selection {
                 Selection::Send(chosen) if !self.jobs[job].done => self.send(job, &chosen),
                 _ => {}
             }
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -18,10 +18,10 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use route::Home;
-use route::Kind;
+use route::DomainIndex;
 use route::LoadReport;
 use route::Need;
+use route::OutcomeKind;
 use wire::hub::Phase;
 
 const PROCESSES: u32 = 117;
@@ -38,7 +38,7 @@
     aim: Duration::from_millis(150),
     crossing: 0.0,
     room: 1.0,
-    home: Home::OWN,
+    domain_index: DomainIndex::OWN,
 };
 
 fn at(millis: u64) -> Moment {
@@ -106,7 +106,7 @@
         return false;
     };
     let ticket = balancer.start_attempt(now, chosen.choice.pick);
-    balancer.finish_attempt(now, ticket, Kind::Ok, Some(IDLE));
+    balancer.finish_attempt(now, ticket, OutcomeKind::Ok, Some(IDLE));
     true
 }
 
@@ -163,7 +163,7 @@
 #[test]
 fn test_cold_instance_gets_its_share_and_no_more() {
     let starts = simulate(1);
-    let limit = usize::try_from(WARMUP.most()).expect("small");
+    let limit = usize::try_from(WARMUP.max_per_second()).expect("small");
     assert!(
         max_starts_per_second(&starts) <= limit,
         "{} in a second",
@@ -206,7 +206,8 @@
 #[test]
 fn prop_cold_bound_holds_in_sum() {
     fn stays_within_limit(seed: u64) -> bool {
-        max_starts_per_second(&simulate(seed)) <= usize::try_from(WARMUP.most()).expect("small")
+        max_starts_per_second(&simulate(seed))
+            <= usize::try_from(WARMUP.max_per_second()).expect("small")
     }
     QuickCheck::new()
         .tests(SEEDS)
--- a/crates/entry/tests/test_evacuation.rs
+++ b/crates/entry/tests/test_evacuation.rs
@@ -4,7 +4,7 @@
 
 use base::prelude::*;
 use entry::Entry;
-use evacuation::Domains;
+use evacuation::EvacuationState;
 use fakes::HUB;
 use fakes::ONCE;
 use fakes::caller::call;
@@ -41,7 +41,7 @@
 }
 
 /// Applies an order as reported by a hub.
-fn apply_order(entry: &Entry, evacuations: &mut Domains, name: &str, evacuated: bool) {
+fn apply_order(entry: &Entry, evacuations: &mut EvacuationState, name: &str, evacuated: bool) {
     let order = evacuations.order(&domain(name), evacuated);
     evacuations.apply(&order);
     entry.core().apply_evacuations(HUB, &evacuations.to_wire());
@@ -59,7 +59,7 @@
 #[tokio::test]
 async fn test_evacuation_domain_gets_nothing_until_revoked() {
     let (entry, [one, two]) = two_domains().await;
-    let mut evacuations = Domains::default();
+    let mut evacuations = EvacuationState::default();
     apply_order(&entry, &mut evacuations, "a", true);
     assert_eq!(calls(&entry, 20).await, [200; 20]);
     assert_eq!(
@@ -82,7 +82,7 @@
 #[tokio::test]
 async fn test_evacuation_applies_to_instances_announced_later() {
     let (entry, [one, two]) = two_domains().await;
-    let mut evacuations = Domains::default();
+    let mut evacuations = EvacuationState::default();
     apply_order(&entry, &mut evacuations, "a", true);
     let late = Upstream::start("i-3", Behavior::Answer).await;
     let announced = instance(&late, "status");
@@ -124,7 +124,7 @@
         accept_grant.flatten().is_some()
     };
     assert!(usable("i-1") && usable("i-2"));
-    apply_order(&entry, &mut Domains::default(), "a", true);
+    apply_order(&entry, &mut EvacuationState::default(), "a", true);
     assert!(!usable("i-1") && usable("i-2"));
 }
 
@@ -132,7 +132,7 @@
 #[tokio::test]
 async fn test_evacuation_of_all_domains_refuses_at_once() {
     let (entry, upstreams) = two_domains().await;
-    let mut evacuations = Domains::default();
+    let mut evacuations = EvacuationState::default();
     apply_order(&entry, &mut evacuations, "a", true);
     apply_order(&entry, &mut evacuations, "b", true);
     let answer = call(entry.front(), "GET", ONCE, "r-1").await;
--- a/crates/entry/tests/test_placing.rs
+++ b/crates/entry/tests/test_placing.rs
@@ -74,7 +74,7 @@
 }
 
 fn balancer<T>(entry: &Entry, ask: impl FnOnce(&mut Balancer, Moment) -> T) -> T {
-    entry.core().balancer(&service(), ask).expect("a desk")
+    entry.core().balancer(&service(), ask).expect("a balancer")
 }
 
 /// Reports all slots of every instance as taken.
--- a/crates/evacuation/src/lib.rs
+++ b/crates/evacuation/src/lib.rs
@@ -1,10 +1,10 @@
-//! Failure domains to whose upstreams an operator wants nothing sent.
+//! Failure domains whose upstreams receive nothing, by an operator's order.
 //!
-//! The replicated log applies orders, so that all hubs agree on their effect; entry
-//! processes hold the newest state that any hub told.
+//! The replicated log applies orders, so that all hubs agree on their effect;
+//! entry processes use the latest state that any hub sent.
 
-pub mod domains;
+pub mod state;
 
-pub use domains::Domains;
-pub use domains::Outcome;
-pub use domains::StateError;
+pub use state::EvacuationState;
+pub use state::Outcome;
+pub use state::StateError;
--- a/crates/gateway/src/track.rs
+++ b/crates/gateway/src/track.rs
@@ -6,8 +6,8 @@
 use base::header;
 use base::prelude::*;
 use http::HeaderMap;
-use route::Kind;
 use route::Outcome;
+use route::OutcomeKind;
 use route::Report;
 use route::Ticket;
 use tokio::sync::OwnedSemaphorePermit;
@@ -20,10 +20,10 @@
     desk: Arc<Desk>,
     clock: Clock,
     ticket: Option<Ticket>,
-    began: Moment,
+    started_at: Moment,
     latency: Option<Duration>,
     report: Option<Report>,
-    kind: Kind,
+    kind: OutcomeKind,
     _connection: OwnedSemaphorePermit,
 }
 
@@ -39,23 +39,23 @@
         Self {
             desk,
             clock,
-            began: ticket.began(),
+            started_at: ticket.started_at(),
             ticket: Some(ticket),
             latency: None,
             report: None,
-            kind: Kind::Cancelled,
+            kind: OutcomeKind::Cancelled,
             _connection: connection,
         }
     }
 
     /// Notes the answer's head: its time and the load report on it.
     pub fn head(&mut self, headers: &HeaderMap) {
-        self.latency = Some(self.clock.now().since(self.began));
+        self.latency = Some(self.clock.now().since(self.started_at));
         self.report = headers.get(header::LOAD).and_then(read_report);
     }
 
     /// Notes how the attempt goes, until a later note.
-    pub fn note(&mut self, kind: Kind) {
+    pub fn note(&mut self, kind: OutcomeKind) {
         self.kind = kind;
     }
 }
@@ -68,7 +68,7 @@
         let now = self.clock.now();
         let outcome = Outcome {
             kind: self.kind,
-            latency: self.latency.unwrap_or_else(|| now.since(self.began)),
+            latency: self.latency.unwrap_or_else(|| now.since(self.started_at)),
             report: self.report,
         };
         self.desk.state().chooser.finished(now, ticket, outcome);
--- a/crates/hub/src/commands.rs
+++ b/crates/hub/src/commands.rs
@@ -5,7 +5,7 @@
 
 use base::prelude::*;
 use conf::ConfError;
-use evacuation::Domains;
+use evacuation::EvacuationState;
 use evacuation::Outcome;
 use quick_error::quick_error;
 use registry::AnnouncementError;
@@ -41,7 +41,7 @@
         /// The order names a new failure domain, and the maximum number is stored already.
         TooManyDomains(domain: DomainName) {
             display("failure domain {domain}: the limit of {} domains with evacuation orders is reached",
-                evacuation::domains::MOST_DOMAINS)
+                evacuation::state::MAX_DOMAINS)
         }
         /// No route table was accepted yet.
         NoTable {
@@ -204,9 +204,9 @@
     /// # Errors
     ///
     /// Fails if no majority answers in time.
-    pub async fn evacuations(&self) -> Result<Arc<Domains>, CommandError> {
-        let domains = self.state.tables.evacuations(READ_TIMEOUT).await;
-        domains.ok_or(CommandError::NoMajority)
+    pub async fn evacuations(&self) -> Result<Arc<EvacuationState>, CommandError> {
+        let state = self.state.tables.evacuations(READ_TIMEOUT).await;
+        state.ok_or(CommandError::NoMajority)
     }
 
     /// Addresses of entry hosts for a caller and how long the caller may cache them; no
--- a/crates/place/examples/concentration/rig.rs
+++ b/crates/place/examples/concentration/rig.rs
@@ -10,12 +10,12 @@
 use rand::rngs::SmallRng;
 use route::Chooser;
 use route::Instance;
-use route::Kind;
 use route::Outcome;
+use route::OutcomeKind;
 use route::Phase;
 use route::Pick;
 use route::Policy;
-use route::Probed;
+use route::ProbeResult;
 use route::Settings;
 use tokio::task::LocalSet;
 use tokio::task::spawn_local;
@@ -156,7 +156,7 @@
     let now = world.time.now();
     let latency = now.since(began);
     let outcome = Outcome {
-        kind: Kind::Ok,
+        kind: OutcomeKind::Ok,
         latency,
         report: Some(report),
     };
@@ -183,7 +183,7 @@
         let report = world.fakes[instance].serve(world.shape.probe).await;
         let now = world.time.now();
         let mut gateway = world.gateways[gateway].borrow_mut();
-        gateway.chooser.probed(now, pick, Probed::Load(report));
+        gateway.chooser.probed(now, pick, ProbeResult::Load(report));
     }
 }
 
--- /dev/null
+++ b/crates/route/src/probing.rs
@@ -0,0 +1,417 @@
+//! Chooses an instance by load reports that are requested for the choice.
+//!
+//! Where load shifts within milliseconds, a report that came on an earlier answer
+//! is stale when it is used. A choice therefore takes up to three rounds of
+//! probes: [`ProbingChooser::plan`] names a few instances to probe,
+//! [`ProbingChooser::probed`] takes the results, and the next round follows only
+//! if no probed instance is good enough. [`ProbingChooser::choose`] then takes the
+//! instance with the least [`crate::cost`]. Instances in the caller's own failure
+//! domain are probed first, as they answer sooner and their traffic is cheaper.
+//!
+//! It is a state machine without I/O; the time is an argument.
+
+mod cold;
+mod entry;
+mod results;
+mod table;
+
+use std::time::Duration;
+
+use base::prelude::*;
+use rand::RngExt;
+use rand::SeedableRng;
+use rand::rngs::SmallRng;
+
+use crate::cost;
+use crate::cost::Need;
+use crate::instance::Pick;
+use crate::outcome::LoadReport;
+use crate::policy::Reason;
+
+pub use self::entry::COLD_WINDOW;
+use self::entry::Entry;
+use self::entry::MAX_FRESH_AGE;
+use self::entry::ServiceAverages;
+use self::entry::Subset;
+
+/// Maximum number of instances probed in one round.
+const PROBES_PER_ROUND: usize = 3;
+/// Rounds after which the best known instance is taken.
+const MAX_ROUNDS: u32 = 3;
+/// Cost below which an instance is taken without further probes.
+const GOOD_COST: f64 = 0.06;
+/// Age from which a report is ignored while an instance with a younger one has room.
+const MAX_KNOWN_AGE: Duration = Duration::from_millis(150);
+/// Random part of the cost, so that equal instances take turns.
+const JITTER: f64 = 0.01;
+/// Added to the probe rank of an instance that may be gone. It exceeds all other parts, so
+/// that such an instance is probed only when no other is left.
+const SILENT_RANK_PENALTY: f64 = 2.0;
+/// Added to the probe rank of an instance outside of the subset. Such an instance ranks after
+/// one of the subset without a report, and before one that is known to be late.
+const OUTSIDE_RANK_PENALTY: f64 = 0.3;
+/// Added to the cost of an instance that may be gone and has no recent report: the loss of
+/// the request.
+const SILENT_COST_PENALTY: f64 = 1.0;
+/// Additional time until an ejected instance that may be gone is probed. If it returns, its
+/// announcement usually arrives first.
+const SILENT_PROBE_DELAY: Duration = Duration::from_secs(5);
+/// Probability of a late answer above which waiting is better than sending.
+const MAX_LATE_PROBABILITY: f64 = 0.5;
+
+/// A chosen instance with its cost and the state that it was chosen by.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ScoredChoice {
+    /// The instance.
+    pub pick: Pick,
+    /// Why it was chosen.
+    pub reason: Reason,
+    /// Age of its latest report, `None` before the first.
+    pub age: Option<Duration>,
+    /// Its latest report.
+    pub report: Option<LoadReport>,
+    /// Own attempts in flight there.
+    pub in_flight: u32,
+    /// Expected time to the answer.
+    pub expected: Duration,
+    /// Cost of the choice, as a fraction of the request's worth.
+    pub cost: f64,
+}
+
+/// What to do with a request.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Decision {
+    /// Send it.
+    Send(ScoredChoice),
+    /// The instance has room, but the answer would probably be late: wait for a better one while
+    /// that may still answer in time. Requests on a slow machine also hold their slots longer.
+    Slow(ScoredChoice),
+    /// Wait for room: all instances are at capacity, or there are no reports and this process
+    /// uses its share of the slots.
+    Wait,
+    /// No instance is ready.
+    None,
+}
+
+/// Chooses among one service's instances by fresh load reports.
+#[derive(Debug)]
+pub struct ProbingChooser {
+    /// Failure domains by index, the chooser's own first.
+    domains: Vec<DomainName>,
+    rng: SmallRng,
+    /// Seed of the rendezvous hashing that selects this process's subset of the instances.
+    seed: u64,
+    entries: Vec<Entry>,
+    averages: ServiceAverages,
+    processes: u32,
+    /// Whether most instances have announced themselves recently. Otherwise, as after a restart
+    /// of all processes, silence doesn't mean that an instance may be gone.
+    most_announced: bool,
+    /// Version of the process list by which cold instances are shared; `None` if they aren't.
+    cold_sharing: Option<u64>,
+}
+
+impl ProbingChooser {
+    /// A chooser without instances, for a process in `domain`.
+    #[must_use]
+    pub fn new(domain: DomainName, seed: u64) -> Self {
+        Self {
+            domains: vec![domain],
+            rng: SmallRng::seed_from_u64(seed),
+            seed,
+            entries: Vec::new(),
+            averages: ServiceAverages::default(),
+            processes: 1,
+            most_announced: false,
+            cold_sharing: None,
+        }
+    }
+
+    /// Average number of requests per slot, by the reports.
+    #[must_use]
+    pub fn load(&self) -> f64 {
+        self.averages.load
+    }
+
+    /// Sets the number of processes that send to these instances.
+    pub fn set_processes(&mut self, processes: u32) {
+        let processes = processes.max(1);
+        if self.processes != processes {
+            self.processes = processes;
+            self.choose_subset();
+        }
+    }
+
+    /// Instances to probe before the choice; `round` counts from 0.
+    ///
+    /// `allow` takes the number of wanted probes and returns how many may be sent.
+    pub fn plan(
+        &mut self,
+        now: Moment,
+        need: &Need,
+        exclude: &[Pick],
+        round: u32,
+        allow: impl FnOnce(usize) -> usize,
+    ) -> Vec<Pick> {
+        let cheapest = self.cheapest(now, need, exclude, MAX_FRESH_AGE);
+        let enough =
+            cheapest.is_some_and(|(index, cost)| self.is_enough(now, need, index, cost, round));
+        if round >= MAX_ROUNDS || enough {
+            return Vec::new();
+        }
+        let mut candidates: Vec<(usize, f64)> = Vec::new();
+        for index in 0..self.entries.len() {
+            let entry = &self.entries[index];
+            if !self.is_usable(now, index, exclude) || entry.is_fresh(now) {
+                continue;
+            }
+            let cost = self.cost(now, need, entry);
+            // Instances that announced themselves come first, then those in the caller's
+            // domain, then those with a low cost.
+            let silent = if self.may_be_gone(entry) {
+                SILENT_RANK_PENALTY
+            } else {
+                0.0
+            };
+            let far = if entry.domain_index == need.domain_index {
+                0.0
+            } else {
+                1.0
+            };
+            let other = match entry.subset {
+                Subset::Inside => 0.0,
+                Subset::Outside => OUTSIDE_RANK_PENALTY,
+            };
+            let random: f64 = self.rng.random();
+            candidates.push((
+                index,
+                silent + far + other + cost.min(1.0) * 0.5 + random * 0.25,
+            ));
+        }
+        candidates.sort_by(|a, b| a.1.total_cmp(&b.1));
+        let count = allow(candidates.len().min(PROBES_PER_ROUND));
+        let planned = candidates.into_iter().take(count);
+        let picks: Vec<Pick> = planned.map(|(index, _)| self.pick(index)).collect();
+        for pick in &picks {
+            self.entries[pick.index as usize].probes_in_flight += 1;
+        }
+        picks
+    }
+
+    /// Whether no further round is needed: the instance has room, and its cost is low or this
+    /// would be the last round.
+    fn is_enough(&self, now: Moment, need: &Need, index: usize, cost: f64, round: u32) -> bool {
+        let room = self.entries[index].has_room(now, self.averages, need.room);
+        room && (cost < GOOD_COST || round + 1 >= MAX_ROUNDS)
+    }
+
+    /// Chooses an instance, outside of `exclude` where possible.
+    pub fn choose(&mut self, now: Moment, need: &Need, exclude: &[Pick]) -> Decision {
+        if let Some(index) = self.trial(now, exclude) {
+            self.entries[index].health.begin_trial(now);
+            return Decision::Send(self.scored(now, need, index, Reason::Trial));
+        }
+        let known = self.cheapest(now, need, exclude, MAX_KNOWN_AGE);
+        if let Some((index, _)) = known
+            && self.entries[index].has_room(now, self.averages, need.room)
+        {
+            let fresh = self.entries[index].is_fresh(now);
+            let reason = if fresh { Reason::Fresh } else { Reason::Stale };
+            return self.decide(now, need, index, reason);
+        }
+        let any = self.cheapest(now, need, exclude, Duration::MAX);
+        match any {
+            Some((index, _))
+                if self.may_send_blind(index)
+                    && self.entries[index].has_room(now, self.averages, need.room) =>
+            {
+                return self.decide(now, need, index, Reason::Stale);
+            }
+            Some(_) => return Decision::Wait,
+            None => {}
+        }
+        self.choose_panic(now, need, exclude)
+    }
+
+    /// Whether a request may be sent on an old report, or on none. To instances that never
+    /// reported, each process sends no more than its share of all slots; otherwise the requests
+    /// that arrive at all processes after a restart would overload them.
+    fn may_send_blind(&self, index: usize) -> bool {
+        if self.entries[index].report.is_some() {
+            return true;
+        }
+        let ready = self.entries.iter().filter(|entry| entry.is_ready());
+        let slots: u32 = ready.map(|entry| entry.instance.slots).sum();
+        let own: usize = self.entries.iter().map(|entry| entry.starts.len()).sum();
+        let share = (slots / self.processes).max(1);
+        own < usize::try_from(share).unwrap_or(usize::MAX)
+    }
+
+    /// Chooses the given instance, which just got room; waits if it no longer takes requests.
+    pub fn choose_instance(&mut self, now: Moment, need: &Need, pick: Pick) -> Decision {
+        let index = pick.index as usize;
+        let known = self
+            .entries
+            .get(index)
+            .is_some_and(|entry| entry.generation == pick.generation);
+        if known && self.is_usable(now, index, &[]) {
+            self.decide(now, need, index, Reason::Fresh)
+        } else {
+            Decision::Wait
+        }
+    }
+
+    /// Whether the instance has room for one more request by its latest report.
+    #[must_use]
+    pub fn has_room(&self, now: Moment, pick: Pick) -> bool {
+        let entry = self.entries.get(pick.index as usize);
+        entry.is_some_and(|entry| {
+            entry.generation == pick.generation && entry.has_room(now, self.averages, 1.0)
+        })
+    }
+
+    /// Chooses among all ready instances regardless of their health, as every usable one is
+    /// ejected.
+    fn choose_panic(&mut self, now: Moment, need: &Need, exclude: &[Pick]) -> Decision {
+        let ready: Vec<usize> = (0..self.entries.len())
+            .filter(|i| self.entries[*i].is_ready())
+            .collect();
+        let may_send = |i: &usize| self.may_send(now, &self.entries[*i]);
+        let picks: Vec<usize> = ready.iter().copied().filter(may_send).collect();
+        if picks.is_empty() && !ready.is_empty() {
+            return Decision::Wait;
+        }
+        let preferred: Vec<usize> = picks
+            .iter()
+            .copied()
+            .filter(|i| !exclude.contains(&self.pick(*i)))
+            .collect();
+        let candidates = if preferred.is_empty() {
+            picks
+        } else {
+            preferred
+        };
+        if candidates.is_empty() {
+            return Decision::None;
+        }
+        let index = candidates[self.rng.random_range(0..candidates.len())];
+        Decision::Send(self.scored(now, need, index, Reason::Panic))
+    }
+
+    fn decide(&self, now: Moment, need: &Need, index: usize, reason: Reason) -> Decision {
+        let late_probability =
+            cost::late_probability(&self.entries[index].state(now, self.averages), need);
+        let scored = self.scored(now, need, index, reason);
+        if late_probability > MAX_LATE_PROBABILITY {
+            Decision::Slow(scored)
+        } else {
+            Decision::Send(scored)
+        }
+    }
+
+    fn scored(&self, now: Moment, need: &Need, index: usize, reason: Reason) -> ScoredChoice {
+        let entry = &self.entries[index];
+        let state = entry.state(now, self.averages);
+        ScoredChoice {
+            pick: self.pick(index),
+            reason,
+            age: entry.age(now),
+            report: entry.report.map(|(_, report)| report),
+            in_flight: u32::try_from(entry.starts.len()).unwrap_or(u32::MAX),
+            expected: Duration::from_secs_f64(cost::expected(&state, need).clamp(0.0, 3600.0)),
+            cost: self.cost(now, need, entry),
+        }
+    }
+
+    fn cheapest(
+        &mut self,
+        now: Moment,
+        need: &Need,
+        exclude: &[Pick],
+        age: Duration,
+    ) -> Option<(usize, f64)> {
+        let mut cheapest: Option<(usize, f64)> = None;
+        for index in 0..self.entries.len() {
+            let entry = &self.entries[index];
+            let unknown = age == Duration::MAX && !entry.last_probe_failed;
+            let young = entry.age(now).map_or(unknown, |found| found < age);
+            if !self.is_usable(now, index, exclude) || !young {
+                continue;
+            }
+            let cost = self.cost(now, need, entry);
+            let blind =
+                self.may_be_gone(entry) && entry.age(now).is_none_or(|age| age >= MAX_KNOWN_AGE);
+            let cost = cost + if blind { SILENT_COST_PENALTY } else { 0.0 };
+            let cost = cost + JITTER * self.rng.random::<f64>();
+            if cheapest.is_none_or(|(_, least)| cost < least) {
+                cheapest = Some((index, cost));
+            }
+        }
+        cheapest
+    }
+
+    /// Cost of sending the request to this instance.
+    fn cost(&self, now: Moment, need: &Need, entry: &Entry) -> f64 {
+        let state = entry.state(now, self.averages);
+        cost::cost(&state, need, entry.domain_index != need.domain_index)
+    }
+
+    /// Whether the instance is silent while most others have announced themselves.
+    fn may_be_gone(&self, entry: &Entry) -> bool {
+        entry.silent && self.most_announced
+    }
+
+    fn is_usable(&self, now: Moment, index: usize, exclude: &[Pick]) -> bool {
+        let entry = &self.entries[index];
+        entry.is_ready()
+            && entry.health.takes_traffic()
+            && self.may_send(now, entry)
+            && !exclude.contains(&self.pick(index))
+    }
+
+    /// An ejected instance due for a trial request. Retries are not used as trials.
+    fn trial(&self, now: Moment, exclude: &[Pick]) -> Option<usize> {
+        if !exclude.is_empty() {
+            return None;
+        }
+        let wants = |e: &Entry| e.is_ready() && self.may_send(now, e) && e.health.wants_trial(now);
+        (0..self.entries.len()).find(|i| wants(&self.entries[*i]))
+    }
+
+    /// Ejected instances that a probe may return to service.
+    ///
+    /// `allow` takes the number of wanted probes and returns how many may be sent.
+    pub fn plan_ejected(&mut self, now: Moment, allow: impl FnOnce(usize) -> usize) -> Vec<Pick> {
+        let due = |e: &Entry| {
+            let delay = if self.may_be_gone(e) {
+                SILENT_PROBE_DELAY
+            } else {
+                Duration::ZERO
+            };
+            e.is_ready() && e.probes_in_flight == 0 && e.health.wants_probe(now, delay)
+        };
+        let mut due: Vec<usize> = (0..self.entries.len())
+            .filter(|i| due(&self.entries[*i]))
+            .collect();
+        if due.is_empty() {
+            return Vec::new();
+        }
+        due.truncate(allow(due.len()));
+        for index in &due {
+            self.entries[*index].probes_in_flight += 1;
+        }
+        due.into_iter().map(|index| self.pick(index)).collect()
+    }
+
+    fn pick(&self, index: usize) -> Pick {
+        Pick {
+            index: u32::try_from(index).unwrap_or(u32::MAX),
+            generation: self.entries[index].generation,
+        }
+    }
+
+    fn entry(&mut self, pick: Pick) -> Option<&mut Entry> {
+        let entry = self.entries.get_mut(pick.index as usize)?;
+        (entry.generation == pick.generation).then_some(entry)
+    }
+}
