--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -20,7 +20,7 @@
 
 pub mod action;
 pub mod config;
-mod disk;
+mod persistence;
 pub mod entry;
 pub mod event;
 mod leader;
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -25,7 +25,7 @@
 use crate::action::Rejection;
 use crate::action::WriteNumber;
 use crate::config::Config;
-use crate::disk::Disk;
+use crate::persistence::Persistence;
 use crate::entry::Index;
 use crate::entry::ReplicaId;
 use crate::entry::Term;
@@ -113,7 +113,7 @@
     hard: HardState,
     state: State,
     log: Log,
-    disk: Disk,
+    persistence: Persistence,
     commit: Index,
     applied: Index,
     /// When a replica that doesn't lead campaigns.
@@ -138,9 +138,9 @@
     #[must_use]
     pub fn new(settings: Settings, stored: Stored, seed: u64, now: Moment) -> Self {
         let (log, overruled) = Log::open(stored.snapshot, stored.entries);
-        let mut disk = Disk::new(log.last().index);
+        let mut persistence = Persistence::new(log.last().index);
         if let Some(index) = overruled {
-            disk.drop_from(index);
+            persistence.drop_from(index);
         }
         let base = log.snapshot().position.index;
         // What is committed can be applied at once, before a leader tells of more.
@@ -152,7 +152,7 @@
             hard: stored.hard,
             state: State::Follower { leader: None },
             log,
-            disk,
+            persistence,
             commit,
             applied: base,
             timeout: now,
@@ -179,7 +179,7 @@
         let term = self.log.last().term;
         if term > self.hard.term {
             self.hard = HardState { term, vote: None };
-            self.disk.mark_hard();
+            self.persistence.mark_hard();
         }
     }
 
@@ -341,7 +341,7 @@
     /// Sends once the term, the vote, and the entries up to `index` are synced.
     fn send_synced(&mut self, to: ReplicaId, body: Body, index: Index) {
         let message = self.message(to, body);
-        if let Some(message) = self.disk.hold(message, index) {
+        if let Some(message) = self.persistence.hold(message, index) {
             self.out.push(Action::Send(message));
         }
     }
@@ -351,11 +351,11 @@
     }
 
     fn persisted(&mut self, number: WriteNumber) {
-        let synced = self.disk.synced(number);
+        let synced = self.persistence.synced(number);
         self.recount = true;
         if let Some(snapshot) = synced.install {
             self.applied = snapshot.position.index;
-            self.disk.raise(self.applied);
+            self.persistence.raise(self.applied);
             self.out.push(Action::Install(snapshot));
         }
         let sends = synced.messages.into_iter().map(Action::Send);
@@ -365,7 +365,7 @@
 
     /// Hands committed and synced entries to the adapter, then answers what waited for them.
     fn apply(&mut self) {
-        let to = self.commit.min(self.disk.durable());
+        let to = self.commit.min(self.persistence.durable());
         if to <= self.applied {
             return;
         }
@@ -379,7 +379,7 @@
         if self.stopped {
             return;
         }
-        if let Some(write) = self.disk.flush(&self.log, self.hard, self.commit, self.now) {
+        if let Some(write) = self.persistence.flush(&self.log, self.hard, self.commit, self.now) {
             self.out.push(Action::Persist(write));
         }
     }
@@ -398,7 +398,7 @@
 
     fn stop(&mut self, fault: Fault) {
         self.become_follower(self.hard.term, None);
-        self.disk.forget();
+        self.persistence.forget();
         self.asks.reject_all(&Rejection::Stopped, &mut self.out);
         self.stopped = true;
         self.out.push(Action::Stop(fault));
--- a/crates/consensus/src/node/election.rs
+++ b/crates/consensus/src/node/election.rs
@@ -70,7 +70,7 @@
 
     /// The own vote counts only once it is synced.
     pub(super) fn count_own_vote(&mut self) {
-        let synced = self.disk.is_hard_synced();
+        let synced = self.persistence.is_hard_synced();
         if let State::Candidate { votes } = &mut self.state
             && synced
         {
@@ -106,8 +106,8 @@
     pub(super) fn become_follower(&mut self, term: Term, leader: Option<ReplicaId>) {
         if term > self.hard.term {
             self.hard = HardState { term, vote: None };
-            self.disk.mark_hard();
-            self.disk.forget();
+            self.persistence.mark_hard();
+            self.persistence.forget();
             self.incoming = None;
         }
         let before = self.leader_id();
@@ -179,7 +179,7 @@
         let granted = message.term == self.hard.term && free && last >= self.log.last();
         if granted && self.hard.vote.is_none() {
             self.hard.vote = Some(message.from);
-            self.disk.mark_hard();
+            self.persistence.mark_hard();
             self.draw_timeout();
         }
         self.send_synced(message.from, Body::VoteReply { granted }, Index::default());
--- a/crates/consensus/src/node/follow.rs
+++ b/crates/consensus/src/node/follow.rs
@@ -186,7 +186,7 @@
             }
             if entry.index <= self.log.last().index {
                 self.log.truncate(entry.index);
-                self.disk.truncate(entry.index);
+                self.persistence.truncate(entry.index);
             }
             self.log.push(entry);
         }
@@ -239,7 +239,7 @@
         };
         self.commit = position.index;
         self.log.reset(snapshot.clone());
-        self.disk.install(snapshot, self.applied);
+        self.persistence.install(snapshot, self.applied);
     }
 
     /// Takes a snapshot of the applied state into the log's place.
@@ -256,6 +256,6 @@
             data,
         };
         self.log.compact(snapshot.clone(), self.settings.keep_bytes);
-        self.disk.compact(snapshot);
+        self.persistence.compact(snapshot);
     }
 }
--- a/crates/consensus/src/node/lead.rs
+++ b/crates/consensus/src/node/lead.rs
@@ -49,7 +49,7 @@
 
     /// Whether the disk has left a write unanswered for so long that another should lead.
     pub(super) fn disk_hangs(&self) -> bool {
-        self.disk.hangs(self.now, self.settings.write_timeout)
+        self.persistence.hangs(self.now, self.settings.write_timeout)
     }
 
     /// Whether a voter is this leader or has answered it in the last election timeout.
@@ -173,7 +173,7 @@
     /// The leader's own entries count once they are synced.
     fn matched(&self, leader: &Leader, id: ReplicaId) -> Index {
         if id == self.id {
-            self.disk.durable()
+            self.persistence.durable()
         } else {
             leader.matched(id)
         }
--- a/crates/consensus/src/node/replicate.rs
+++ b/crates/consensus/src/node/replicate.rs
@@ -42,7 +42,7 @@
             log: &self.log,
             settings: &self.settings,
             commit: self.commit,
-            limit: self.disk.written(),
+            limit: self.persistence.written(),
             now: self.now,
             out: &mut self.out,
         };
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/persistence.rs
@@ -47,7 +47,7 @@
 
 /// The distance between the state in memory and the state on disk.
 #[derive(Debug)]
-pub(crate) struct Disk {
+pub(crate) struct Persistence {
     next: WriteNumber,
     flight: Option<Flight>,
     /// Every entry up to here is synced.
@@ -61,7 +61,7 @@
     held: VecDeque<Held>,
 }
 
-impl Disk {
+impl Persistence {
     /// A disk that holds everything up to `last`.
     pub(crate) fn new(last: Index) -> Self {
         Self {
