--- a/crates/consensus/src/action.rs
+++ b/crates/consensus/src/action.rs
@@ -26,7 +26,7 @@
     /// Names the write.
     pub number: WriteNumber,
     /// Replaces the hard state.
-    pub hard: Option<HardState>,
+    pub hard_state: Option<HardState>,
     /// Replaces the snapshot; entries up to its position may be dropped from then on.
     pub snapshot: Option<Snapshot>,
     /// Drops the entries from this index on.
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -20,13 +20,13 @@
 
 pub mod action;
 pub mod config;
-mod persistence;
 pub mod entry;
 pub mod event;
 mod leader;
 mod log;
 pub mod message;
 pub mod node;
+mod persistence;
 mod progress;
 pub mod quorum;
 pub mod settings;
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -25,7 +25,6 @@
 use crate::action::Rejection;
 use crate::action::WriteNumber;
 use crate::config::Config;
-use crate::persistence::Persistence;
 use crate::entry::Index;
 use crate::entry::ReplicaId;
 use crate::entry::Term;
@@ -35,6 +34,7 @@
 use crate::log::Log;
 use crate::message::Body;
 use crate::message::Message;
+use crate::persistence::Persistence;
 use crate::settings::Settings;
 use crate::stored::HardState;
 use crate::stored::Stored;
@@ -110,7 +110,7 @@
     id: ReplicaId,
     settings: Settings,
     rng: StdRng,
-    hard: HardState,
+    hard_state: HardState,
     state: State,
     log: Log,
     persistence: Persistence,
@@ -149,7 +149,7 @@
             id: stored.id,
             settings,
             rng: StdRng::seed_from_u64(seed),
-            hard: stored.hard,
+            hard_state: stored.hard_state,
             state: State::Follower { leader: None },
             log,
             persistence,
@@ -166,7 +166,7 @@
             out: Vec::new(),
         };
         node.adopt_log_term();
-        if node.hard.term == Term::default() {
+        if node.hard_state.term == Term::default() {
             node.draw_timeout();
         } else {
             node.draw_first();
@@ -177,8 +177,8 @@
     /// Entries may be on disk whose term came in a write that a crash cut short.
     fn adopt_log_term(&mut self) {
         let term = self.log.last().term;
-        if term > self.hard.term {
-            self.hard = HardState { term, vote: None };
+        if term > self.hard_state.term {
+            self.hard_state = HardState { term, vote: None };
             self.persistence.mark_hard();
         }
     }
@@ -242,7 +242,7 @@
         Status {
             id: self.id,
             role: self.role(),
-            term: self.hard.term,
+            term: self.hard_state.term,
             leader: self.leader_id(),
             commit: self.commit,
             applied: self.applied,
@@ -268,7 +268,7 @@
     /// The replica's term.
     #[must_use]
     pub fn term(&self) -> Term {
-        self.hard.term
+        self.hard_state.term
     }
 
     /// The term of an entry in memory, synced or not.
@@ -327,7 +327,7 @@
         Message {
             from: self.id,
             to,
-            term: self.hard.term,
+            term: self.hard_state.term,
             body,
         }
     }
@@ -379,14 +379,17 @@
         if self.stopped {
             return;
         }
-        if let Some(write) = self.persistence.flush(&self.log, self.hard, self.commit, self.now) {
+        if let Some(write) =
+            self.persistence
+                .flush(&self.log, self.hard_state, self.commit, self.now)
+        {
             self.out.push(Action::Persist(write));
         }
     }
 
     fn announce(&mut self) {
         let (term, leader) = self.announced;
-        let current = (self.hard.term, self.leader_id());
+        let current = (self.hard_state.term, self.leader_id());
         let same_term = term == current.0 || current.1.is_none();
         if leader == current.1 && same_term {
             return;
@@ -397,7 +400,7 @@
     }
 
     fn stop(&mut self, fault: Fault) {
-        self.become_follower(self.hard.term, None);
+        self.become_follower(self.hard_state.term, None);
         self.persistence.forget();
         self.asks.reject_all(&Rejection::Stopped, &mut self.out);
         self.stopped = true;
--- a/crates/consensus/src/node/election.rs
+++ b/crates/consensus/src/node/election.rs
@@ -29,17 +29,17 @@
             self.pre_campaign();
         } else {
             self.draw_timeout();
-            self.become_follower(self.hard.term, None);
+            self.become_follower(self.hard_state.term, None);
         }
     }
 
     /// Asks for votes without touching anyone's term, so that a cut replica disturbs no one.
     fn pre_campaign(&mut self) {
-        self.become_follower(self.hard.term, None);
+        self.become_follower(self.hard_state.term, None);
         self.state = State::PreCandidate {
             votes: BTreeSet::from([self.id]),
         };
-        let term = self.hard.term.next();
+        let term = self.hard_state.term.next();
         let last = self.log.last();
         for voter in self.other_voters() {
             let mut message = self.message(voter, Body::PreVote { last });
@@ -51,8 +51,8 @@
 
     /// Campaigns in the next term; the requests leave once the own vote is synced.
     pub(super) fn campaign(&mut self, transfer: bool) {
-        self.become_follower(self.hard.term.next(), None);
-        self.hard.vote = Some(self.id);
+        self.become_follower(self.hard_state.term.next(), None);
+        self.hard_state.vote = Some(self.id);
         self.state = State::Candidate {
             votes: BTreeSet::new(),
         };
@@ -104,8 +104,8 @@
 
     /// Follows `leader` in `term`, which isn't before the own one.
     pub(super) fn become_follower(&mut self, term: Term, leader: Option<ReplicaId>) {
-        if term > self.hard.term {
-            self.hard = HardState { term, vote: None };
+        if term > self.hard_state.term {
+            self.hard_state = HardState { term, vote: None };
             self.persistence.mark_hard();
             self.persistence.forget();
             self.incoming = None;
@@ -145,7 +145,7 @@
     }
 
     pub(super) fn receive_pre_vote(&mut self, message: &Message, last: Position) {
-        let granted = message.term > self.hard.term
+        let granted = message.term > self.hard_state.term
             && !self.has_leader()
             && self.is_admitted()
             && last >= self.log.last()
@@ -158,7 +158,7 @@
     }
 
     pub(super) fn receive_pre_vote_reply(&mut self, message: &Message, granted: bool) {
-        let current = message.term == self.hard.term.next();
+        let current = message.term == self.hard_state.term.next();
         if let State::PreCandidate { votes } = &mut self.state
             && granted
             && current
@@ -172,13 +172,13 @@
         if !self.is_admitted() || (self.has_leader() && !transfer) {
             return;
         }
-        if message.term > self.hard.term {
+        if message.term > self.hard_state.term {
             self.become_follower(message.term, None);
         }
-        let free = self.hard.vote.is_none() || self.hard.vote == Some(message.from);
-        let granted = message.term == self.hard.term && free && last >= self.log.last();
-        if granted && self.hard.vote.is_none() {
-            self.hard.vote = Some(message.from);
+        let free = self.hard_state.vote.is_none() || self.hard_state.vote == Some(message.from);
+        let granted = message.term == self.hard_state.term && free && last >= self.log.last();
+        if granted && self.hard_state.vote.is_none() {
+            self.hard_state.vote = Some(message.from);
             self.persistence.mark_hard();
             self.draw_timeout();
         }
--- a/crates/consensus/src/node/follow.rs
+++ b/crates/consensus/src/node/follow.rs
@@ -41,7 +41,7 @@
             Body::PreVote { last } => self.receive_pre_vote(&message, last),
             Body::PreVoteReply { granted: true } => self.receive_pre_vote_reply(&message, true),
             Body::Vote { last, transfer } => self.receive_vote(&message, last, transfer),
-            _ if message.term < self.hard.term => self.refuse_stale(&message),
+            _ if message.term < self.hard_state.term => self.refuse_stale(&message),
             Body::Append { .. } | Body::Heartbeat { .. } | Body::Chunk { .. } => {
                 self.receive_leader(message);
             }
@@ -97,7 +97,7 @@
     }
 
     fn receive_reply(&mut self, message: Message) {
-        if message.term > self.hard.term {
+        if message.term > self.hard_state.term {
             self.become_follower(message.term, None);
             return;
         }
--- a/crates/consensus/src/node/lead.rs
+++ b/crates/consensus/src/node/lead.rs
@@ -43,13 +43,14 @@
         if confirmed && !self.disk_hangs() {
             self.broadcast_heartbeat();
         } else {
-            self.become_follower(self.hard.term, None);
+            self.become_follower(self.hard_state.term, None);
         }
     }
 
     /// Whether the disk has left a write unanswered for so long that another should lead.
     pub(super) fn disk_hangs(&self) -> bool {
-        self.persistence.hangs(self.now, self.settings.write_timeout)
+        self.persistence
+            .hangs(self.now, self.settings.write_timeout)
     }
 
     /// Whether a voter is this leader or has answered it in the last election timeout.
@@ -100,7 +101,7 @@
     /// Appends an entry of the leader's term.
     pub(super) fn append(&mut self, payload: Payload) -> Index {
         let entry = Entry {
-            term: self.hard.term,
+            term: self.hard_state.term,
             index: self.log.last().index.next(),
             payload,
         };
@@ -152,7 +153,7 @@
 
     /// Whether the leader has committed an entry of its own term.
     pub(super) fn is_ready(&self) -> bool {
-        self.log.term(self.commit) == Some(self.hard.term)
+        self.log.term(self.commit) == Some(self.hard_state.term)
     }
 
     /// Moves the commit index, then applies.
@@ -181,7 +182,7 @@
 
     /// Counting commits only an entry of the own term, and all before it.
     fn advance_to(&mut self, accepted: Index) {
-        if accepted <= self.commit || self.log.term(accepted) != Some(self.hard.term) {
+        if accepted <= self.commit || self.log.term(accepted) != Some(self.hard_state.term) {
             return;
         }
         let closed = self.bytes_between(self.commit, accepted);
--- a/crates/consensus/src/node/replicate.rs
+++ b/crates/consensus/src/node/replicate.rs
@@ -38,7 +38,7 @@
         };
         let mut feed = Feed {
             id: self.id,
-            term: self.hard.term,
+            term: self.hard_state.term,
             log: &self.log,
             settings: &self.settings,
             commit: self.commit,
--- a/crates/consensus/src/persistence.rs
+++ b/crates/consensus/src/persistence.rs
@@ -26,7 +26,7 @@
     since: Moment,
     /// The last entry synced once the write is, lowered where entries are dropped meanwhile.
     last: Index,
-    hard: bool,
+    hard_state: bool,
     install: Option<Snapshot>,
 }
 
@@ -54,7 +54,7 @@
     durable: Index,
     /// The first entry that is in no write yet.
     unwritten: Index,
-    hard: bool,
+    hard_state: bool,
     truncate: Option<Index>,
     snapshot: Option<Snapshot>,
     install: bool,
@@ -69,7 +69,7 @@
             flight: None,
             durable: last,
             unwritten: last.next(),
-            hard: false,
+            hard_state: false,
             truncate: None,
             snapshot: None,
             install: false,
@@ -89,7 +89,7 @@
 
     /// Whether the term and vote in memory are synced.
     pub(crate) fn is_hard_synced(&self) -> bool {
-        !self.hard && !self.flight.as_ref().is_some_and(|f| f.hard)
+        !self.hard_state && !self.flight.as_ref().is_some_and(|f| f.hard_state)
     }
 
     /// Whether a write has been in flight for `span`.
@@ -100,7 +100,7 @@
 
     /// The term or the vote has changed.
     pub(crate) fn mark_hard(&mut self) {
-        self.hard = true;
+        self.hard_state = true;
     }
 
     /// Entries from `index` on were dropped from the log.
@@ -160,10 +160,13 @@
     }
 
     fn after_hard(&self) -> Option<WriteNumber> {
-        if self.hard {
+        if self.hard_state {
             return Some(self.next);
         }
-        self.flight.as_ref().filter(|f| f.hard).map(|f| f.number)
+        self.flight
+            .as_ref()
+            .filter(|f| f.hard_state)
+            .map(|f| f.number)
     }
 
     fn after_entry(&self, index: Index) -> Option<WriteNumber> {
@@ -183,12 +186,12 @@
     pub(crate) fn flush(
         &mut self,
         log: &Log,
-        hard: HardState,
+        hard_state: HardState,
         commit: Index,
         now: Moment,
     ) -> Option<Write> {
         let last = log.last().index;
-        let dirty = self.hard
+        let dirty = self.hard_state
             || self.snapshot.is_some()
             || self.truncate.is_some()
             || self.unwritten <= last;
@@ -197,7 +200,7 @@
         }
         let write = Write {
             number: self.next,
-            hard: self.hard.then_some(hard),
+            hard_state: self.hard_state.then_some(hard_state),
             snapshot: self.snapshot.take(),
             truncate: self.truncate.take(),
             entries: log.slice(self.unwritten, last, usize::MAX),
@@ -207,12 +210,12 @@
             number: self.next,
             since: now,
             last,
-            hard: self.hard,
+            hard_state: self.hard_state,
             install: write.snapshot.clone().filter(|_| self.install),
         });
         self.next.0 += 1;
         self.unwritten = last.next();
-        self.hard = false;
+        self.hard_state = false;
         self.install = false;
         Some(write)
     }
--- a/crates/consensus/src/stored.rs
+++ b/crates/consensus/src/stored.rs
@@ -37,7 +37,7 @@
     /// Minted with the data folder.
     pub id: ReplicaId,
     /// The last hard state that was synced.
-    pub hard: HardState,
+    pub hard_state: HardState,
     /// The last snapshot that was synced; the founding group at index 0 before the first.
     pub snapshot: Snapshot,
     /// The log, without gaps; what the snapshot holds may still be in front.
@@ -60,7 +60,7 @@
     pub fn founding(id: ReplicaId, config: Config) -> Self {
         Self {
             id,
-            hard: HardState::default(),
+            hard_state: HardState::default(),
             snapshot: Snapshot {
                 config,
                 ..Snapshot::default()
--- a/crates/consensus/tests/test_replicas/cluster/disk.rs
+++ b/crates/consensus/tests/test_replicas/cluster/disk.rs
@@ -38,7 +38,7 @@
 
     fn keep(&mut self, write: &Write, parts: usize) {
         if parts > 0 {
-            self.stored.hard = write.hard.unwrap_or(self.stored.hard);
+            self.stored.hard_state = write.hard_state.unwrap_or(self.stored.hard_state);
         }
         if parts > 1
             && let Some(snapshot) = &write.snapshot
--- a/crates/consensus/tests/test_replicas/cluster/oracle.rs
+++ b/crates/consensus/tests/test_replicas/cluster/oracle.rs
@@ -47,8 +47,11 @@
     /// what a later term has committed.
     pub fn leads(&mut self, node: &Node, disk: &Disk) {
         let status = node.status();
-        let hard = disk.stored.hard;
-        assert_eq!((hard.term, hard.vote), (status.term, Some(status.id)));
+        let hard_state = disk.stored.hard_state;
+        assert_eq!(
+            (hard_state.term, hard_state.vote),
+            (status.term, Some(status.id))
+        );
         let first = *self.leaders.entry(status.term).or_insert(status.id);
         assert_eq!(first, status.id, "two leaders in term {}", status.term);
         for (entry, term) in self.chosen.iter().zip(&self.terms) {
@@ -96,9 +99,10 @@
         let vote = (message.from, message.term);
         let first = *self.votes.entry(vote).or_insert(candidate);
         assert_eq!(first, candidate, "voted twice: {vote:?}");
-        let hard = disk.stored.hard;
+        let hard_state = disk.stored.hard_state;
         assert!(
-            (hard.term, hard.vote) == (message.term, Some(candidate)) || hard.term > message.term,
+            (hard_state.term, hard_state.vote) == (message.term, Some(candidate))
+                || hard_state.term > message.term,
             "voted before sync: {message:?}"
         );
     }
--- a/crates/consensus/tests/test_replicas/test_disks.rs
+++ b/crates/consensus/tests/test_replicas/test_disks.rs
@@ -184,7 +184,7 @@
     };
     let cluster = Cluster::new(3, Acceptance::Majority, 1);
     let mut stored = cluster.hosts[&ReplicaId(1)].disk.stored.clone();
-    stored.hard = HardState {
+    stored.hard_state = HardState {
         term: Term(3),
         vote: None,
     };
@@ -206,7 +206,7 @@
     let cluster = Cluster::new(3, Acceptance::Majority, 1);
     let mut stored = cluster.hosts[&ReplicaId(2)].disk.stored.clone();
     let config = stored.snapshot.config.clone();
-    stored.hard.term = Term(1);
+    stored.hard_state.term = Term(1);
     stored.entries = (1..=4).map(|index| noop(1, index)).collect();
     let mut disk = Disk::new(stored.clone());
     let mut node = Node::new(settings(), stored, 1, cluster.now);
--- a/crates/consensus/tests/test_replicas/test_faults.rs
+++ b/crates/consensus/tests/test_replicas/test_faults.rs
@@ -222,7 +222,7 @@
 fn test_faults_older_term_commits_only_with_the_own() {
     let cluster = Cluster::new(3, Acceptance::Majority, 1);
     let mut stored = cluster.hosts[&ReplicaId(1)].disk.stored.clone();
-    stored.hard.term = Term(3);
+    stored.hard_state.term = Term(3);
     stored.entries = vec![Entry {
         term: Term(2),
         index: Index(1),
--- a/crates/consensus/tests/test_restart.rs
+++ b/crates/consensus/tests/test_restart.rs
@@ -33,7 +33,7 @@
 fn stored(id: u64) -> Stored {
     let config = Config::of_voters((1..=3).map(member), Acceptance::Majority);
     let mut stored = Stored::founding(ReplicaId(id), config);
-    stored.hard = HardState {
+    stored.hard_state = HardState {
         term: Term(1),
         vote: None,
     };
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -355,7 +355,7 @@
 /// Reads what the disk held into the log's own types.
 fn stored(recovered: &Recovered) -> Result<Stored, ConvertError> {
     let mut stored = Stored::empty(ReplicaId(recovered.id));
-    stored.hard = HardState {
+    stored.hard_state = HardState {
         term: Term(recovered.state.term),
         vote: Some(ReplicaId(recovered.state.vote)).filter(|id| id.0 != 0),
     };
--- a/crates/control/src/writer.rs
+++ b/crates/control/src/writer.rs
@@ -91,9 +91,9 @@
 }
 
 fn put(store: &mut Store, write: &Write) -> Result<(), StoreError> {
-    let state = write.hard.map(|hard| HardState {
-        term: hard.term.0,
-        vote: hard.vote.map_or(0, |id| id.0),
+    let state = write.hard_state.map(|hard_state| HardState {
+        term: hard_state.term.0,
+        vote: hard_state.vote.map_or(0, |id| id.0),
     });
     let log = Batch {
         state,
