--- a/crates/consensus/src/node/follow.rs
+++ b/crates/consensus/src/node/follow.rs
@@ -255,7 +255,8 @@
             config: self.log.config_at(index).clone(),
             data,
         };
-        self.log.compact(snapshot.clone(), self.settings.keep_bytes);
+        self.log
+            .compact(snapshot.clone(), self.settings.max_retained_bytes);
         self.persistence.compact(snapshot);
     }
 }
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -24,7 +24,7 @@
     /// Reads that a replica holds open; those beyond are rejected.
     pub open_reads: usize,
     /// Entries kept in memory in front of the snapshot for followers that are slow, in bytes.
-    pub keep_bytes: usize,
+    pub max_retained_bytes: usize,
     /// How far behind the commit index a learner may be to become a voter, in entries.
     pub promote_gap: u64,
 }
@@ -40,7 +40,7 @@
             chunk_bytes: 256 * 1024,
             open_bytes: 4 * 1024 * 1024,
             open_reads: 4096,
-            keep_bytes: 1024 * 1024,
+            max_retained_bytes: 1024 * 1024,
             promote_gap: 64,
         }
     }
--- a/crates/consensus/tests/test_replicas/cluster.rs
+++ b/crates/consensus/tests/test_replicas/cluster.rs
@@ -77,7 +77,7 @@
 pub fn settings() -> Settings {
     Settings {
         chunk_bytes: 40,
-        keep_bytes: 500,
+        max_retained_bytes: 500,
         batch_bytes: 400,
         window: 3,
         ..Settings::default()
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -249,7 +249,7 @@
         let settings = consensus::Settings {
             heartbeat: self.settings.timing.heartbeat,
             election: self.settings.timing.election,
-            keep_bytes: preset.keep_bytes.min(snapshot_bytes / 2),
+            max_retained_bytes: preset.max_retained_bytes.min(snapshot_bytes / 2),
             ..preset
         };
         let peers = Peers::new(
