--- a/crates/consensus/src/node/lead.rs
+++ b/crates/consensus/src/node/lead.rs
@@ -31,7 +31,7 @@
         if self.now < leader.beat {
             return;
         }
-        leader.beat = self.now + self.settings.heartbeat;
+        leader.beat = self.now + self.settings.heartbeat_interval;
         if leader
             .transfer
             .as_ref()
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Between two heartbeats of a leader.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// The shortest election timeout; each is drawn between it and twice it.
     ///
     /// A leader that hasn't heard a quorum for so long steps down.
@@ -32,7 +32,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            heartbeat: Duration::from_millis(50),
+            heartbeat_interval: Duration::from_millis(50),
             election: Duration::from_millis(500),
             write_timeout: Duration::from_secs(2),
             batch_bytes: 256 * 1024,
--- a/crates/consensus/tests/test_replicas/test_groups.rs
+++ b/crates/consensus/tests/test_replicas/test_groups.rs
@@ -222,7 +222,7 @@
     for id in ids {
         cluster.host(*id).link = Link::Cut;
     }
-    cluster.run(settings().election + settings().heartbeat);
+    cluster.run(settings().election + settings().heartbeat_interval);
 }
 
 /// Under the region rule a cut region stops acceptance, and its eviction starts it again.
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -247,7 +247,7 @@
         let snapshot_bytes = usize::try_from(sizes.snapshot.0).unwrap_or(usize::MAX);
         let preset = consensus::Settings::default();
         let settings = consensus::Settings {
-            heartbeat: self.settings.timing.heartbeat,
+            heartbeat_interval: self.settings.timing.heartbeat,
             election: self.settings.timing.election,
             max_retained_bytes: preset.max_retained_bytes.min(snapshot_bytes / 2),
             ..preset
