--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -298,7 +298,7 @@
 
     fn draw_timeout(&mut self) {
         let factor = 1.0 + self.rng.random::<f64>();
-        self.timeout = self.now + self.settings.election.mul_f64(factor);
+        self.timeout = self.now + self.settings.election_timeout.mul_f64(factor);
     }
 
     /// The time to the first campaign after a restart: where all have restarted there is
@@ -306,21 +306,21 @@
     /// asks at once in this way.
     fn draw_first(&mut self) {
         let factor = FIRST_FACTOR * (1.0 + self.rng.random::<f64>());
-        self.timeout = self.now + self.settings.election.mul_f64(factor);
+        self.timeout = self.now + self.settings.election_timeout.mul_f64(factor);
     }
 
     /// The time to the next campaign while no leader is known: all replicas may have
     /// just started, and asking costs little.
     fn draw_retry(&mut self) {
         let factor = RETRY_FACTOR * (1.0 + 2.0 * self.rng.random::<f64>());
-        self.timeout = self.now + self.settings.election.mul_f64(factor);
+        self.timeout = self.now + self.settings.election_timeout.mul_f64(factor);
     }
 
     /// The time that a campaign has: the votes are synced first, so it is longer than
     /// that between two asks.
     fn draw_campaign(&mut self) {
         let factor = CAMPAIGN_FACTOR * (1.0 + self.rng.random::<f64>());
-        self.timeout = self.now + self.settings.election.mul_f64(factor);
+        self.timeout = self.now + self.settings.election_timeout.mul_f64(factor);
     }
 
     fn message(&self, to: ReplicaId, body: Body) -> Message {
--- a/crates/consensus/src/node/election.rs
+++ b/crates/consensus/src/node/election.rs
@@ -126,7 +126,7 @@
         if matches!(self.state, State::Leader(_)) {
             return true;
         }
-        let heard = |moment| self.now.since(moment) < self.settings.election;
+        let heard = |moment| self.now.since(moment) < self.settings.election_timeout;
         self.leader_id().is_some() && self.heard.is_some_and(heard)
     }
 
--- a/crates/consensus/src/node/lead.rs
+++ b/crates/consensus/src/node/lead.rs
@@ -55,7 +55,7 @@
 
     /// Whether a voter is this leader or has answered it in the last election timeout.
     pub(super) fn is_active(&self, id: ReplicaId) -> bool {
-        let since = self.now.before(self.settings.election);
+        let since = self.now.before(self.settings.election_timeout);
         let State::Leader(leader) = &self.state else {
             return false;
         };
--- a/crates/consensus/src/node/read.rs
+++ b/crates/consensus/src/node/read.rs
@@ -52,7 +52,7 @@
     pub(super) fn deadline(&self, settings: &Settings) -> Option<Moment> {
         let ready = self.ready.iter().map(|r| r.since);
         let first = ready.chain(self.open.iter().map(|ask| ask.since)).min()?;
-        Some(first + settings.election * 2)
+        Some(first + settings.election_timeout * 2)
     }
 
     /// Answers the reads whose index is applied.
--- a/crates/consensus/src/node/replicate.rs
+++ b/crates/consensus/src/node/replicate.rs
@@ -74,7 +74,9 @@
         let stalled = match &peer.flow {
             Flow::Probe { .. } => false,
             Flow::Stream { flight, since } => !flight.is_empty() && self.is_late(*since),
-            Flow::Snapshot { .. } => self.now.since(peer.heard) >= self.settings.election * 2,
+            Flow::Snapshot { .. } => {
+                self.now.since(peer.heard) >= self.settings.election_timeout * 2
+            }
         };
         if stalled {
             let silent = matches!(peer.flow, Flow::Snapshot { .. });
@@ -87,7 +89,7 @@
     }
 
     fn is_late(&self, since: Moment) -> bool {
-        self.now.since(since) >= self.settings.election / 2
+        self.now.since(since) >= self.settings.election_timeout / 2
     }
 
     /// The first probe carries entries; when it isn't answered, the next ones are empty.
--- a/crates/consensus/src/node/transfer.rs
+++ b/crates/consensus/src/node/transfer.rs
@@ -13,7 +13,7 @@
         let Some(to) = self.successor() else {
             return;
         };
-        let until = self.now + self.settings.election;
+        let until = self.now + self.settings.election_timeout;
         if let State::Leader(leader) = &mut self.state
             && leader.transfer.is_none()
         {
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -10,7 +10,7 @@
     /// The shortest election timeout; each is drawn between it and twice it.
     ///
     /// A leader that hasn't heard a quorum for so long steps down.
-    pub election: Duration,
+    pub election_timeout: Duration,
     /// After so long without an answer to a write, a leader steps down and no one campaigns.
     pub write_timeout: Duration,
     /// Entries in one append, in bytes; a larger entry travels alone.
@@ -33,7 +33,7 @@
     fn default() -> Self {
         Self {
             heartbeat_interval: Duration::from_millis(50),
-            election: Duration::from_millis(500),
+            election_timeout: Duration::from_millis(500),
             write_timeout: Duration::from_secs(2),
             batch_bytes: 256 * 1024,
             window: 16,
--- a/crates/consensus/tests/test_replicas/cluster/drive.rs
+++ b/crates/consensus/tests/test_replicas/cluster/drive.rs
@@ -166,7 +166,7 @@
             if let Outcome::Done(index) = self.outcomes[&ticket] {
                 return index;
             }
-            self.run(self.settings.election);
+            self.run(self.settings.election_timeout);
         }
         panic!("nothing is committed");
     }
--- a/crates/consensus/tests/test_replicas/test_disks.rs
+++ b/crates/consensus/tests/test_replicas/test_disks.rs
@@ -255,7 +255,7 @@
     let mut stored = cluster.hosts[&ReplicaId(1)].disk.stored.clone();
     stored.entries = vec![noop(1, 7)];
     let mut node = Node::new(settings(), stored, 1, cluster.now);
-    let timeout = settings().election * 2;
+    let timeout = settings().election_timeout * 2;
     let mut writes = Vec::new();
     node.step(cluster.now, Event::Tick, &mut writes);
     node.step(cluster.now + timeout, Event::Tick, &mut writes);
--- a/crates/consensus/tests/test_replicas/test_groups.rs
+++ b/crates/consensus/tests/test_replicas/test_groups.rs
@@ -78,7 +78,7 @@
     }
     let commit = cluster.node(leader.0).status().commit;
     let ticket = cluster.change(leader, Change::Add(member(4)));
-    cluster.run(settings().election / 2);
+    cluster.run(settings().election_timeout / 2);
     let status = cluster.node(leader.0).status();
     assert_eq!(status.commit, commit);
     assert!(status.config.learners.contains_key(&ReplicaId(4)));
@@ -162,7 +162,7 @@
             cluster.outcome(refused),
             Outcome::Rejected(Rejection::Transferring)
         );
-        cluster.run(settings().election / 2);
+        cluster.run(settings().election_timeout / 2);
         let new = cluster.leader().expect("a leader");
         assert_ne!(new, old);
         assert_eq!(cluster.node(new.0).term(), term.next());
@@ -222,7 +222,7 @@
     for id in ids {
         cluster.host(*id).link = Link::Cut;
     }
-    cluster.run(settings().election + settings().heartbeat_interval);
+    cluster.run(settings().election_timeout + settings().heartbeat_interval);
 }
 
 /// Under the region rule a cut region stops acceptance, and its eviction starts it again.
@@ -235,7 +235,7 @@
     // A leader elected after the cut has committed nothing in its term.
     while let Some(leader) = cluster.leader().filter(|id| !east(id)) {
         cluster.step(leader, Event::Transfer);
-        cluster.run(settings().election);
+        cluster.run(settings().election_timeout);
     }
     for id in &cut {
         cluster.host(*id).link = Link::Cut;
--- a/crates/consensus/tests/test_restart.rs
+++ b/crates/consensus/tests/test_restart.rs
@@ -75,7 +75,7 @@
         ];
         let mut queues = [VecDeque::new(), VecDeque::new()];
         // Both have asked before either hears of the other.
-        let late = now + settings.election;
+        let late = now + settings.election_timeout;
         for at in 0..2 {
             let [one, two] = &mut queues;
             let other = if at == 0 { two } else { one };
@@ -137,7 +137,7 @@
         let now = Moment::from_millis(1);
         let node = Node::new(settings.clone(), stored(1), seed, now);
         assert!(
-            node.deadline() <= now + settings.election / 20,
+            node.deadline() <= now + settings.election_timeout / 20,
             "seed {seed}"
         );
     }
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -248,7 +248,7 @@
         let preset = consensus::Settings::default();
         let settings = consensus::Settings {
             heartbeat_interval: self.settings.timing.heartbeat,
-            election: self.settings.timing.election,
+            election_timeout: self.settings.timing.election,
             max_retained_bytes: preset.max_retained_bytes.min(snapshot_bytes / 2),
             ..preset
         };
