--- a/crates/consensus/src/node/lead.rs
+++ b/crates/consensus/src/node/lead.rs
@@ -64,7 +64,7 @@
 
     /// Voters that have not answered this leader for `span`; none elsewhere.
     #[must_use]
-    pub fn silent(&self, span: Duration) -> Vec<ReplicaId> {
+    pub fn unresponsive_voters(&self, span: Duration) -> Vec<ReplicaId> {
         let State::Leader(leader) = &self.state else {
             return Vec::new();
         };
--- a/crates/control/src/driver/members.rs
+++ b/crates/control/src/driver/members.rs
@@ -72,7 +72,7 @@
             .find(|m| m.address == member.address && m.id != member.id)
             .map(|m| m.id);
         let known = config.member(member.id).is_some();
-        let lost = || self.node.silent(LOST_AFTER).into_iter().next();
+        let lost = || self.node.unresponsive_voters(LOST_AFTER).into_iter().next();
         let place = former.or_else(|| if known { None } else { lost() });
         Some(place.map_or_else(|| Change::Add(member.clone()), Change::Remove))
     }
@@ -86,7 +86,7 @@
         if voters <= LEAST_VOTERS || voters % 2 == 1 {
             return;
         }
-        if let Some(id) = self.node.silent(LOST_AFTER).into_iter().next() {
+        if let Some(id) = self.node.unresponsive_voters(LOST_AFTER).into_iter().next() {
             self.let_go(id);
         }
     }
