--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -257,7 +257,7 @@
 
     /// How many entries a follower lacks, as the leader knows; none elsewhere.
     #[must_use]
-    pub fn behind(&self, id: ReplicaId) -> Option<u64> {
+    pub fn replication_lag(&self, id: ReplicaId) -> Option<u64> {
         let State::Leader(leader) = &self.state else {
             return None;
         };
