--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -178,7 +178,7 @@
         info!(self.log, "recovered"; "id" => recovered.id, "term" => recovered.state.term,
             "snapshot" => stored.snapshot.position.index.0, "entries" => stored.entries.len(),
             "commit" => stored.commit.0,
-            "torn" => recovered.torn);
+            "torn" => recovered.torn_bytes);
         let stored_index = stored.snapshot.position.index.0;
         let (driver, inbox) = Driver::new();
         let (views, view) = watch::channel(View::default());
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -43,7 +43,7 @@
     durable: BTreeMap<String, Arc<Mutex<Content>>>,
     room: Option<u64>,
     syncs: Option<u32>,
-    torn: usize,
+    torn_bytes: usize,
     hole: usize,
     count: u64,
 }
@@ -61,7 +61,7 @@
         match fault {
             Fault::Full(room) => state.room = Some(room),
             Fault::Sync(good) => state.syncs = Some(good),
-            Fault::Torn(keep) => state.torn = keep,
+            Fault::Torn(keep) => state.torn_bytes = keep,
             Fault::Hole(bytes) => state.hole = bytes,
         }
     }
@@ -69,11 +69,11 @@
     /// Loses all that wasn't synced and disarms every fault.
     pub fn crash(&self) {
         let mut state = self.state();
-        let torn = std::mem::take(&mut state.torn);
+        let torn_bytes = std::mem::take(&mut state.torn_bytes);
         let hole = std::mem::take(&mut state.hole);
         let durable = state.durable.clone();
         let seen = std::mem::replace(&mut state.files, durable);
-        if torn > 0 {
+        if torn_bytes > 0 {
             for (name, file) in seen {
                 state.files.entry(name).or_insert(file);
             }
@@ -82,7 +82,7 @@
             let mut content = lock(file);
             let durable = content.durable.clone();
             let kept = durable.len();
-            let end = content.bytes.len().min(kept + torn);
+            let end = content.bytes.len().min(kept + torn_bytes);
             let mut tail = content.bytes.get(kept..end).unwrap_or_default().to_vec();
             let lost = hole.min(tail.len());
             tail[..lost].fill(0);
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -47,7 +47,7 @@
     /// Entries up to this index were known to be committed, perhaps later ones are.
     pub commit: u64,
     /// Bytes of a write that a crash had cut short.
-    pub torn: u64,
+    pub torn_bytes: u64,
 }
 
 /// One file of the log.
@@ -97,7 +97,7 @@
         let floor = kept.as_ref().map_or(0, |s| s.index);
         let mut log = LogReader::new(&mut *disk, floor);
         log.read_all(&names)?;
-        let (segments, torn) = (log.segments, log.torn);
+        let (segments, torn_bytes) = (log.segments, log.torn_bytes);
         let commit = log.replay.commit;
         let (state, entries) = log.replay.finish(kept.as_ref().map_or(0, |s| s.term));
         let store = Self {
@@ -115,7 +115,7 @@
             snapshot: kept,
             entries,
             commit,
-            torn,
+            torn_bytes,
         };
         Ok((store, recovered))
     }
@@ -307,7 +307,7 @@
     disk: &'a mut dyn Disk,
     replay: Replay,
     segments: Vec<Segment>,
-    torn: u64,
+    torn_bytes: u64,
 }
 
 impl<'a> LogReader<'a> {
@@ -316,7 +316,7 @@
             disk,
             replay: Replay::new(floor),
             segments: Vec::new(),
-            torn: 0,
+            torn_bytes: 0,
         }
     }
 
@@ -386,7 +386,7 @@
     /// one wrote and couldn't sync: the system may show such bytes to readers
     /// although the disk doesn't have them.
     fn renew(&mut self, name: &str, good: &[u8], length: usize) -> Result<(), StoreError> {
-        self.torn = (length - good.len()) as u64;
+        self.torn_bytes = (length - good.len()) as u64;
         if length > 0 {
             snapshot::place(self.disk, name, good)?;
         }
--- a/crates/store/tests/test_store.rs
+++ b/crates/store/tests/test_store.rs
@@ -111,7 +111,7 @@
     name: &'static str,
     fault: Fault,
     full: bool,
-    torn: usize,
+    torn_bytes: usize,
 }
 
 #[test]
@@ -121,25 +121,25 @@
             name: "full disk",
             fault: Fault::Full(20),
             full: true,
-            torn: 20,
+            torn_bytes: 20,
         },
         WriteCase {
             name: "no room at all",
             fault: Fault::Full(0),
             full: true,
-            torn: 0,
+            torn_bytes: 0,
         },
         WriteCase {
             name: "failed sync, bytes lost",
             fault: Fault::Sync(0),
             full: false,
-            torn: 0,
+            torn_bytes: 0,
         },
         WriteCase {
             name: "failed sync, bytes torn",
             fault: Fault::Sync(0),
             full: false,
-            torn: 30,
+            torn_bytes: 30,
         },
     ];
     for case in cases {
@@ -155,7 +155,7 @@
         assert!(matches!(again, StoreError::Stopped), "{}", case.name);
         let saved = store.save(&snapshot(3, 1)).expect_err(case.name);
         assert!(matches!(saved, StoreError::Stopped), "{}", case.name);
-        disk.arm(Fault::Torn(case.torn));
+        disk.arm(Fault::Torn(case.torn_bytes));
         disk.crash();
         let (mut store, found) = open(&disk, Options::default()).expect(case.name);
         assert_eq!(indices(&found), [1, 2, 3], "{}", case.name);
