--- a/crates/consensus/examples/cost.rs
+++ b/crates/consensus/examples/cost.rs
@@ -1,12 +1,12 @@
-//! What a commit costs in the state machine alone, without disk and network.
+//! Measures the cost of a commit in the state machine alone, without disk and network.
 //!
-//! One line for each size of group and batch, as `key=value`:
+//! Prints one line of `key=value` pairs for each group size and batch size:
 //!
-//! - `leader_ns`, `follower_ns`: processor time an entry takes at the leader and
-//!   at one follower, in nanoseconds;
+//! - `leader_ns`, `follower_ns`: processor time per entry at the leader and at one
+//!   follower, in nanoseconds;
 //! - `messages`, `writes`: messages of the whole group and writes of one replica
-//!   for one batch;
-//! - `read_messages`: messages of the whole group for one round of reads.
+//!   per batch;
+//! - `read_messages`: messages of the whole group per heartbeat round for reads.
 //!
 //! Run with `cargo run --release -p consensus --example cost`.
 
@@ -31,14 +31,14 @@
 use consensus::Ticket;
 use consensus::WriteNumber;
 
-/// Entries measured on each line.
+/// Entries measured per line of output.
 const ENTRIES: u64 = 100_000;
-/// Bytes of one entry, about one ledger record.
-const PAYLOAD: usize = 256;
+/// Size of one entry in bytes, close to that of a ledger record.
+const PAYLOAD_BYTES: usize = 256;
 /// Entries between two snapshots.
-const COMPACT: u64 = 4096;
-/// Rounds of reads measured on each line.
-const ROUNDS: u64 = 1000;
+const COMPACT_INTERVAL: u64 = 4096;
+/// Reads measured per line of output.
+const READS: u64 = 1000;
 
 #[derive(Default)]
 struct Count {
@@ -50,10 +50,10 @@
     reads: u64,
 }
 
-/// A group in one thread: messages arrive in order, and a write is synced when the driver says so.
+/// A group in one thread: messages are delivered in order, and writes complete on [`Group::sync`].
 struct Group {
     nodes: Vec<Node>,
-    mail: VecDeque<Message>,
+    in_transit: VecDeque<Message>,
     writes: Vec<Option<WriteNumber>>,
     now: Moment,
     count: Count,
@@ -71,7 +71,7 @@
         };
         Self {
             nodes: (1..=voters).map(start).collect(),
-            mail: VecDeque::new(),
+            in_transit: VecDeque::new(),
             writes: vec![None; usize::try_from(voters).expect("few voters")],
             now,
             count: Count::default(),
@@ -81,29 +81,29 @@
     }
 
     fn step(&mut self, at: usize, event: Event) {
-        let leads = self.nodes[at].role() == Role::Leader;
+        let is_leader = self.nodes[at].role() == Role::Leader;
         let begin = Instant::now();
         self.nodes[at].step(self.now, event, &mut self.actions);
-        let spent = begin.elapsed();
-        if leads {
-            self.count.leader += spent;
+        let elapsed = begin.elapsed();
+        if is_leader {
+            self.count.leader += elapsed;
         } else {
-            self.count.follower += spent;
+            self.count.follower += elapsed;
         }
         for action in std::mem::take(&mut self.actions) {
-            self.carry_out(at, leads, action);
+            self.execute(at, is_leader, action);
         }
     }
 
-    fn carry_out(&mut self, at: usize, leads: bool, action: Action) {
+    fn execute(&mut self, at: usize, is_leader: bool, action: Action) {
         match action {
             Action::Persist(write) => {
-                self.count.writes += u64::from(leads);
+                self.count.writes += u64::from(is_leader);
                 self.writes[at] = Some(write.number);
             }
             Action::Send(message) => {
                 self.count.messages += 1;
-                self.mail.push_back(message);
+                self.in_transit.push_back(message);
             }
             Action::Committed { .. } => self.count.committed += 1,
             Action::ReadReady { .. } => self.count.reads += 1,
@@ -111,20 +111,20 @@
         }
     }
 
-    /// Syncs what is being written, at the leader first.
+    /// Completes the replica's write in flight.
     fn sync(&mut self, at: usize) {
         if let Some(number) = self.writes[at].take() {
             self.step(at, Event::Persisted { number });
         }
     }
 
-    /// Delivers everything; followers sync at once, the leader only when told to.
-    fn settle(&mut self, leader: usize) {
+    /// Delivers all messages; followers sync immediately, the leader doesn't.
+    fn deliver_all(&mut self, leader: usize) {
         loop {
             for at in (0..self.nodes.len()).filter(|at| *at != leader) {
                 self.sync(at);
             }
-            let Some(message) = self.mail.pop_front() else {
+            let Some(message) = self.in_transit.pop_front() else {
                 break;
             };
             let to = usize::try_from(message.to.0 - 1).expect("few voters");
@@ -138,7 +138,7 @@
             for at in 0..self.nodes.len() {
                 self.step(at, Event::Tick);
                 self.sync(at);
-                self.settle(self.nodes.len());
+                self.deliver_all(self.nodes.len());
             }
             let leads = |n: &Node| n.role() == Role::Leader && n.status().commit > Index(0);
             if let Some(at) = self.nodes.iter().position(leads) {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Proposes a batch while the last one is being synced, as under steady load.
+    /// Proposes a batch while the previous one is being synced, as under steady load.
     fn commit(&mut self, leader: usize, batch: u64, data: &Bytes) {
         for _ in 0..batch {
             self.ticket += 1;
@@ -155,7 +155,7 @@
             self.step(leader, Event::Propose { ticket, data });
         }
         self.sync(leader);
-        self.settle(leader);
+        self.deliver_all(leader);
     }
 
     fn compact(&mut self) {
@@ -170,7 +170,7 @@
         self.ticket += 1;
         let ticket = Ticket(self.ticket);
         self.step(leader, Event::Read { ticket });
-        self.settle(leader);
+        self.deliver_all(leader);
     }
 }
 
@@ -186,7 +186,7 @@
 fn measure(voters: u64, batch: u64) {
     let mut group = Group::new(voters);
     let leader = group.elect();
-    let data = Bytes::from(vec![7; PAYLOAD]);
+    let data = Bytes::from(vec![7; PAYLOAD_BYTES]);
     group.commit(leader, batch, &data);
     group.count = Count::default();
     let batches = ENTRIES / batch;
@@ -194,22 +194,22 @@
     for _ in 0..batches {
         group.commit(leader, batch, &data);
         since += batch;
-        if since >= COMPACT {
+        if since >= COMPACT_INTERVAL {
             since = 0;
             group.compact();
         }
     }
     let count = std::mem::take(&mut group.count);
     group.sync(leader);
-    group.settle(leader);
+    group.deliver_all(leader);
     group.count = Count::default();
-    for _ in 0..ROUNDS {
+    for _ in 0..READS {
         group.read(leader);
     }
     let entries = batches * batch;
-    let each = |spent: Duration, by: u64| spent.as_nanos() / u128::from(by);
+    let each = |elapsed: Duration, by: u64| elapsed.as_nanos() / u128::from(by);
     println!(
-        "voters={voters} batch={batch} payload={PAYLOAD} entries={entries} committed={} \
+        "voters={voters} batch={batch} payload={PAYLOAD_BYTES} entries={entries} committed={} \
          leader_ns={} follower_ns={} messages={} writes={} reads={} read_messages={}",
         count.committed,
         each(count.leader, entries),
@@ -217,7 +217,7 @@
         count.messages / batches,
         count.writes / batches,
         group.count.reads,
-        group.count.messages / ROUNDS,
+        group.count.messages / READS,
     );
 }
 
--- a/crates/consensus/src/action.rs
+++ b/crates/consensus/src/action.rs
@@ -1,4 +1,4 @@
-//! What a replica tells its adapter to do.
+//! Actions that a replica requests from its adapter.
 
 use base::prelude::*;
 use quick_error::quick_error;
@@ -13,124 +13,124 @@
 use crate::stored::HardState;
 use crate::stored::Snapshot;
 
-/// Numbers the writes of one node, from 1.
+/// Sequence number of a write of one node, starting at 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WriteNumber(pub u64);
 
-/// One write to the disk: all of it, synced, before [`crate::Event::Persisted`].
+/// One write to stable storage, completely synced before [`crate::Event::Persisted`].
 ///
-/// The parts are written in the order of the fields. A crash in between leaves a
-/// prefix of them, from which a node recovers: nothing was acknowledged yet.
+/// The parts are written in the order of the fields. A crash may leave any prefix of
+/// them; a node can recover from each, because nothing has been acknowledged yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Write {
-    /// Names the write.
+    /// The write's sequence number.
     pub number: WriteNumber,
-    /// Replaces the hard state.
+    /// The new hard state.
     pub hard_state: Option<HardState>,
-    /// Replaces the snapshot; entries up to its position may be dropped from then on.
+    /// The new snapshot; entries up to its position may be removed once it is stored.
     pub snapshot: Option<Snapshot>,
-    /// Drops the entries from this index on.
+    /// Remove the stored entries from this index on.
     pub truncate: Option<Index>,
     /// Entries to append.
     pub entries: Vec<Entry>,
-    /// Entries up to here are committed. It goes with the next write that is due, and
-    /// costs none of its own.
+    /// The commit index. It is included in writes that are needed anyway and never
+    /// causes a write by itself.
     pub commit: Index,
 }
 
-/// One thing to do.
+/// One action for the adapter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Write and sync; at most one is in flight.
+    /// Write and sync; at most one write is in flight.
     Persist(Write),
-    /// Send; all that it claims about this replica's disk is synced already.
+    /// Send the message; everything that it states about this replica's storage is already synced.
     Send(Message),
-    /// Replace the applied state by this snapshot, which is synced.
+    /// Replace the applied state with this snapshot, which is already synced.
     Install(Snapshot),
-    /// Apply these entries, in order and without a gap; they are committed and synced here.
+    /// Apply these entries, in order and without gaps; they are committed and synced locally.
     Commit(Vec<Entry>),
-    /// The ticket's proposal or change is in force; its entry was in a [`Action::Commit`] before.
+    /// The ticket's proposal or change is committed; an earlier [`Action::Commit`] contained its entry.
     Committed {
         /// The ticket.
         ticket: Ticket,
-        /// Where its entry is.
+        /// The index of its entry.
         index: Index,
     },
-    /// A read of the applied state is linearisable now; a [`Action::Commit`] up to `index` came before.
+    /// A read of the applied state is now linearisable; entries up to `index` have been applied.
     ReadReady {
         /// The ticket.
         ticket: Ticket,
-        /// What is applied at least.
+        /// A lower bound of the applied index.
         index: Index,
     },
-    /// The ticket's request isn't done, or, for the reasons that say so, may be done later.
+    /// The ticket's request was rejected; for some reasons its entry may still be committed later.
     Rejected {
         /// The ticket.
         ticket: Ticket,
-        /// Why.
+        /// The reason.
         reason: Rejection,
     },
-    /// The replica follows another leader, or none.
+    /// The known leader or its term has changed.
     LeaderChanged {
         /// The term.
         term: Term,
         /// The leader, which may be this replica.
         leader: Option<ReplicaId>,
     },
-    /// The node has stopped for good: it takes no event and sends no message any more.
+    /// The node has stopped permanently: it processes no more events and sends no more messages.
     Stop(Fault),
 }
 
 quick_error! {
-    /// Why a request was not done.
+    /// Why a request was rejected.
     #[derive(Debug, Clone, PartialEq, Eq, IntoStaticStr)]
     #[strum(serialize_all = "kebab-case")]
     pub enum Rejection {
-        /// Another replica leads, or none does; certain not to be done.
+        /// Another replica is the leader, or none is; the request has no effect.
         NotLeader(leader: Option<ReplicaId>) {
-            display("this replica doesn't lead; leader={}", leader.map_or(0, |id| id.0))
+            display("this replica is not the leader; leader={}", leader.map_or(0, |id| id.0))
         }
-        /// Leadership ended with the entry in the log: it may yet be committed.
+        /// Leadership was lost while the entry was uncommitted; it may still be committed.
         Uncertain {
-            display("leadership ended; the entry may yet be committed")
+            display("leadership was lost; the entry may still be committed")
         }
         /// No quorum confirmed the read in time.
         Timeout {
             display("no quorum confirmed the read in time")
         }
-        /// Too much is open already; certain not to be done.
+        /// Too many uncommitted bytes or pending reads; the request has no effect.
         Busy {
-            display("too much is open")
+            display("too many uncommitted entries or pending reads")
         }
-        /// Leadership is being handed over; certain not to be done.
+        /// Leadership is being transferred; the request has no effect.
         Transferring {
-            display("leadership is being handed over")
+            display("leadership is being transferred")
         }
-        /// The leader has committed nothing in its term yet; certain not to be done.
+        /// The leader has not committed an entry in its term yet; the request has no effect.
         NotReady {
-            display("the leader has committed nothing in its term yet")
+            display("the leader has not committed an entry in its term yet")
         }
-        /// Another change of the group is open; certain not to be done.
+        /// Another configuration change is pending; the request has no effect.
         ChangeOpen {
-            display("another change of the group is open")
+            display("another configuration change is pending")
         }
-        /// A later change came before this one was done; ask again to learn where it stands.
+        /// A later change superseded this one before it completed; repeat the request to learn its state.
         Withdrawn {
-            display("a later change came before this one was done")
+            display("superseded by a later configuration change")
         }
-        /// Too few voters of that region are in reach to accept anything; certain not to be done.
+        /// The region has no majority of reachable voters; the request has no effect.
         RegionDown(region: RegionName) {
-            display("region {region} has no majority in reach")
+            display("region {region} has no majority of reachable voters")
         }
-        /// The change would leave no majority in reach; certain not to be done.
+        /// The change would leave no reachable quorum; the request has no effect.
         QuorumLost {
-            display("the change would leave no majority in reach")
+            display("the change would leave no reachable quorum")
         }
-        /// The group has no such replica or region; certain not to be done.
+        /// The group has no such replica or region; the request has no effect.
         Unknown {
             display("no such replica or region")
         }
-        /// The node has stopped; whether it is done is uncertain.
+        /// The node has stopped; the outcome of the request is unknown.
         Stopped {
             display("the node has stopped")
         }
@@ -138,17 +138,17 @@
 }
 
 quick_error! {
-    /// Why a node stopped for good.
+    /// Why a node stopped permanently.
     #[derive(Debug, Clone, PartialEq, Eq, IntoStaticStr)]
     #[strum(serialize_all = "kebab-case")]
     pub enum Fault {
-        /// A write or its sync failed, so what the disk holds is unknown.
+        /// A write or its sync failed, so the stored state is unknown.
         PersistFailed {
-            display("a write failed")
+            display("writing or syncing to storage failed")
         }
-        /// A leader's log contradicts an entry that is committed here.
+        /// A leader's log conflicts with an entry that is committed on this replica.
         CommittedConflict(index: Index) {
-            display("entry {index} is committed here and differs at the leader")
+            display("committed entry {index} conflicts with the leader's log")
         }
     }
 }
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,4 +1,4 @@
-//! The group of replicas, which is itself an entry of the log.
+//! Group configuration, which is replicated as log entries.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,9 +16,9 @@
 /// One replica of the group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Minted with its data folder.
+    /// Generated when its data folder is created.
     pub id: ReplicaId,
-    /// Where other replicas reach it.
+    /// The address at which other replicas reach it.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainName,
@@ -45,41 +45,41 @@
     /// A majority of all voters.
     #[default]
     Majority,
-    /// A majority of all voters, and one within every region that holds voters and is not evicted.
+    /// A majority of all voters, and a majority within every region that has voters and is not evicted.
     EveryRegion,
 }
 
-/// The group: who votes, who only learns, and what counts as accepted.
+/// A group configuration: voters, learners and the acceptance rule.
 ///
-/// A replica uses the last one in its log, committed or not. Two that follow
-/// each other differ by one voter at most, so their majorities intersect.
+/// A replica uses the last configuration in its log, committed or not. Consecutive
+/// configurations differ by at most one voter, so their majorities intersect.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
-    /// Replicas that vote and count.
+    /// Replicas that vote and count towards quorums.
     pub voters: BTreeMap<ReplicaId, Member>,
-    /// Replicas that only receive the log.
+    /// Replicas that receive the log without voting.
     pub learners: BTreeMap<ReplicaId, Member>,
-    /// The rule of acceptance.
+    /// The acceptance rule.
     pub acceptance: Acceptance,
-    /// Regions whose majority is not asked for; their voters still count among all.
+    /// Regions whose own majority is not required; their voters still count in the overall majority.
     pub evicted: BTreeSet<RegionName>,
 }
 
-/// One change of the group.
+/// A configuration change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Adds a replica: learner first, voter once it has caught up.
+    /// Adds a replica as a learner, which is promoted to voter once it has caught up.
     Add(Member),
     /// Removes a voter or learner.
     Remove(ReplicaId),
-    /// Stops asking for a region's majority.
+    /// Stops requiring a region's majority.
     Evict(RegionName),
-    /// Asks for it again.
+    /// Requires an evicted region's majority again.
     Readmit(RegionName),
 }
 
 impl Config {
-    /// A group of voters alone.
+    /// Creates a configuration of voters without learners.
     #[must_use]
     pub fn of_voters(voters: impl IntoIterator<Item = Member>, acceptance: Acceptance) -> Self {
         Self {
@@ -89,18 +89,18 @@
         }
     }
 
-    /// Voters, then learners.
+    /// Iterates over voters, then learners.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.voters.values().chain(self.learners.values())
     }
 
-    /// The member of that id.
+    /// Returns the voter or learner with this id.
     #[must_use]
     pub fn member(&self, id: ReplicaId) -> Option<&Member> {
         self.voters.get(&id).or_else(|| self.learners.get(&id))
     }
 
-    /// Whether the replica votes.
+    /// Returns whether the replica is a voter.
     #[must_use]
     pub fn is_voter(&self, id: ReplicaId) -> bool {
         self.voters.contains_key(&id)
--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the log and the numbers that name them.
+//! Log entries and their identifiers.
 
 use std::fmt;
 
@@ -25,16 +25,17 @@
 }
 
 numbers! {
-    /// A replica, minted with its data folder: an emptied disk is another replica.
+    /// Identifies a replica. Generated when its data folder is created, so a replica that
+    /// lost its disk returns under a new id.
     ReplicaId,
-    /// A leader's period of office; at most one leader a term.
+    /// A leader's term; each term has at most one leader.
     Term,
-    /// A place in the log, from 1; 0 is the place before the first entry.
+    /// A position in the log, starting at 1; 0 stands for the position before the first entry.
     Index,
 }
 
 impl Term {
-    /// The term after this one.
+    /// Returns the next term.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
@@ -42,65 +43,65 @@
 }
 
 impl Index {
-    /// The place after this one.
+    /// Returns the next index.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// The place before this one, at least 0.
+    /// Returns the previous index, at least 0.
     #[must_use]
     pub fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 
-    /// How many places lie after `earlier` up to this one.
+    /// Returns the number of entries after `earlier` up to this index; 0 if `earlier` is larger.
     #[must_use]
-    pub fn after(self, earlier: Self) -> u64 {
+    pub fn distance_from(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// An entry's term and index, which name its content and all before it.
+/// An entry's term and index, which identify its content and all preceding entries.
 ///
-/// The order is that of how recent a log is: by term, then by index.
+/// Ordered by term, then by index, as elections compare how up to date logs are.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Position {
     /// The term in which the entry was first appended.
     pub term: Term,
-    /// Its place.
+    /// The entry's index.
     pub index: Index,
 }
 
-/// What an entry holds.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing; a new leader's first entry.
+    /// No content; appended by a new leader.
     Noop,
-    /// The caller's bytes.
+    /// Application data.
     Data(Bytes),
-    /// The group from this entry on.
+    /// The configuration in use from this entry on.
     Config(Config),
 }
 
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The term in which it was first appended.
+    /// The term in which the entry was first appended.
     pub term: Term,
-    /// Its place.
+    /// The entry's index.
     pub index: Index,
-    /// Its content.
+    /// The entry's content.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Charged for an entry beyond its data, in bytes.
+    /// Estimated memory of an entry beyond its data, in bytes.
     const OVERHEAD: usize = 64;
 
-    /// Its term and index.
+    /// Returns the entry's term and index.
     #[must_use]
     pub fn position(&self) -> Position {
         Position {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Roughly the memory that it takes, in bytes.
+    /// Returns the entry's approximate size in memory, in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
         match &self.payload {
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -1,4 +1,4 @@
-//! What an adapter tells a replica.
+//! Events that an adapter passes to a replica.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -9,58 +9,58 @@
 use crate::entry::Index;
 use crate::message::Message;
 
-/// Names one request of the adapter; unique while it is open.
+/// Identifies a request of the adapter; unique among pending requests.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Ticket(pub u64);
 
-/// One thing that happened.
+/// One input to the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Time has passed.
+    /// Time has passed: process expired timers.
     Tick,
-    /// A message came.
+    /// A message was received.
     Message(Message),
-    /// Append this to the log; leader only.
+    /// Append an entry to the log; leader only.
     Propose {
         /// Answered by [`crate::Action::Committed`] or [`crate::Action::Rejected`].
         ticket: Ticket,
-        /// The content.
+        /// The entry's data.
         data: Bytes,
     },
-    /// Find an index at which a read is linearisable; leader or follower.
+    /// Determine an index at which a read is linearisable; leader or follower.
     Read {
         /// Answered by [`crate::Action::ReadReady`] or [`crate::Action::Rejected`].
         ticket: Ticket,
     },
-    /// Change the group; leader only, one change at a time.
+    /// Change the configuration; leader only, one change at a time.
     ///
-    /// An addition is answered only when the replica is a voter and has synced
-    /// the entry that made it one. Asking again for what is done is answered at once.
+    /// An addition completes only when the replica is a voter and has synced the entry
+    /// that promoted it. A change that is already in effect completes immediately.
     Change {
         /// Answered by [`crate::Action::Committed`] or [`crate::Action::Rejected`].
         ticket: Ticket,
-        /// What to change.
+        /// The requested change.
         change: Change,
     },
-    /// Hand leadership to another voter before a graceful stop.
+    /// Transfer leadership to another voter, for example before a graceful stop.
     ///
-    /// The outcome is seen in [`crate::Action::LeaderChanged`]; without one in an
-    /// election timeout the leader serves on.
+    /// Success is reported by [`crate::Action::LeaderChanged`]; if it doesn't come
+    /// within an election timeout, the leader continues.
     Transfer,
-    /// The write is synced.
+    /// A write has been synced.
     Persisted {
-        /// The write.
+        /// The write's sequence number.
         number: WriteNumber,
     },
-    /// The write or its sync failed; the node stops for good.
+    /// A write or its sync failed; the node stops permanently.
     PersistFailed,
-    /// The adapter's state, as applied up to `index`, as a snapshot.
+    /// A snapshot of the adapter's state as applied up to `index`.
     ///
-    /// Ignored for an index that is not applied, or older than the last snapshot.
+    /// Ignored if the index is not applied yet or not newer than the last snapshot.
     Compact {
-        /// The last entry applied.
+        /// The last entry included in the snapshot.
         index: Index,
         /// The state in the adapter's encoding.
         data: Bytes,
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -1,4 +1,4 @@
-//! What a replica knows only while it leads.
+//! The volatile state of a leader.
 
 use std::collections::BTreeMap;
 
@@ -12,80 +12,86 @@
 use crate::progress::Progress;
 use crate::quorum;
 
-/// A change of the group that someone waits for.
+/// A configuration change whose requester has not been answered.
 #[derive(Debug)]
-pub(crate) struct OpenChange {
+pub(crate) struct PendingChange {
     pub(crate) ticket: Ticket,
     pub(crate) change: Change,
 }
 
-/// Leadership on its way to another voter.
+/// A leadership transfer in progress.
 #[derive(Debug)]
 pub(crate) struct Transfer {
     pub(crate) to: ReplicaId,
-    /// When the leader gives up and serves on.
-    pub(crate) until: Moment,
-    /// Whether the voter was asked to campaign.
-    pub(crate) asked: bool,
+    /// When the leader aborts the transfer and continues.
+    pub(crate) deadline: Moment,
+    /// Whether the voter has been asked to campaign.
+    pub(crate) requested: bool,
 }
 
-/// Who asked for a read.
+/// The origin of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reader {
     /// This replica's adapter.
-    Own,
+    Local,
     /// A follower.
     Peer(ReplicaId),
 }
 
-/// A read that waits for a round of heartbeats.
+/// A read that waits for a heartbeat round to confirm leadership.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Read {
     pub(crate) reader: Reader,
     pub(crate) ticket: Ticket,
 }
 
-/// Reads at the leader: those of the round under way, and those that came after it began.
+/// Reads at the leader: those of the current round, and those that arrived after it started.
 #[derive(Debug, Default)]
 pub(crate) struct Reads {
     pub(crate) round: u64,
     pub(crate) index: Index,
-    pub(crate) open: Vec<Read>,
-    pub(crate) waiting: Vec<Read>,
+    pub(crate) in_round: Vec<Read>,
+    pub(crate) queued: Vec<Read>,
 }
 
-/// A leader's state.
+/// The volatile state of a leader.
 #[derive(Debug)]
 pub(crate) struct Leader {
     pub(crate) peers: BTreeMap<ReplicaId, Progress>,
-    /// When the next heartbeat is due.
-    pub(crate) beat: Moment,
-    pub(crate) tickets: BTreeMap<Index, Ticket>,
-    /// Uncommitted entries in bytes.
-    pub(crate) open_bytes: usize,
+    pub(crate) next_heartbeat: Moment,
+    pub(crate) proposals: BTreeMap<Index, Ticket>,
+    /// Size of the uncommitted entries, in bytes.
+    pub(crate) uncommitted_bytes: usize,
     pub(crate) reads: Reads,
-    pub(crate) change: Option<OpenChange>,
+    pub(crate) pending_change: Option<PendingChange>,
     pub(crate) transfer: Option<Transfer>,
 }
 
 impl Leader {
-    /// A new leader whose log ends at `last`, counting every member as heard now.
+    /// Creates the state of a new leader whose log ends at `last`. Every member counts as
+    /// having responded at `now`.
     pub(crate) fn new(id: ReplicaId, config: &Config, last: Index, now: Moment) -> Self {
         let mut leader = Self {
             peers: BTreeMap::new(),
-            beat: now,
-            tickets: BTreeMap::new(),
-            open_bytes: 0,
+            next_heartbeat: now,
+            proposals: BTreeMap::new(),
+            uncommitted_bytes: 0,
             reads: Reads::default(),
-            change: None,
+            pending_change: None,
             transfer: None,
         };
-        leader.follow(id, config, last, now);
+        leader.update_peers(id, config, last, now);
         leader
     }
 
-    /// Brings the followers in line with the group.
-    pub(crate) fn follow(&mut self, id: ReplicaId, config: &Config, last: Index, now: Moment) {
+    /// Adds and removes peers to match the configuration.
+    pub(crate) fn update_peers(
+        &mut self,
+        id: ReplicaId,
+        config: &Config,
+        last: Index,
+        now: Moment,
+    ) {
         self.peers.retain(|peer, _| config.member(*peer).is_some());
         for member in config.members().filter(|m| m.id != id) {
             let fresh = || Progress::new(last.next(), now);
@@ -93,22 +99,24 @@
         }
     }
 
-    /// Whether the peer answered since `moment`.
-    pub(crate) fn heard_since(&self, peer: ReplicaId, moment: Moment) -> bool {
-        self.peers.get(&peer).is_some_and(|p| p.heard >= moment)
+    /// Whether the peer has responded at or after `moment`.
+    pub(crate) fn responded_since(&self, peer: ReplicaId, moment: Moment) -> bool {
+        self.peers
+            .get(&peer)
+            .is_some_and(|p| p.last_response >= moment)
     }
 
-    /// The follower's known index, 0 for a stranger.
+    /// The follower's match index; 0 for an unknown replica.
     pub(crate) fn matched(&self, peer: ReplicaId) -> Index {
         self.peers
             .get(&peer)
             .map_or(Index::default(), |p| p.matched)
     }
 
-    /// Whether a quorum has answered the round of reads under way.
-    pub(crate) fn is_confirmed(&self, id: ReplicaId, config: &Config) -> bool {
+    /// Whether a quorum has answered the current heartbeat round.
+    pub(crate) fn is_round_confirmed(&self, id: ReplicaId, config: &Config) -> bool {
         let answered = |peer: &Progress| peer.round >= self.reads.round;
-        quorum::elects(config, |voter| {
+        quorum::has_election_quorum(config, |voter| {
             voter == id || self.peers.get(&voter).is_some_and(answered)
         })
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,21 +1,20 @@
-//! The replicated log as a pure deterministic state machine.
+//! A Raft-like replicated log, implemented as a deterministic state machine.
 //!
-//! [`Node`] is one replica. An adapter feeds it [`Event`]s with the time and
-//! carries out the [`Action`]s that come back, in their order. The node does no
-//! input or output, starts no task and reads no clock; its randomness comes
-//! from a seed.
+//! [`Node`] is one replica. An adapter passes it [`Event`]s with the current time
+//! and executes the returned [`Action`]s in order. The node performs no I/O, spawns
+//! no tasks and reads no clock; its randomness comes from a seed.
 //!
-//! What an adapter has to do:
+//! An adapter must:
 //!
 //! - call [`Node::step`] with [`Event::Tick`] at [`Node::deadline`];
-//! - carry out [`Action::Persist`], sync, and answer [`Event::Persisted`], or
-//!   [`Event::PersistFailed`] when the write or the sync failed. At most one
-//!   write is in flight. Whatever depends on a write stays inside the node until
-//!   then, so an adapter may send every [`Action::Send`] at once;
-//! - apply [`Action::Commit`] in order and answer each ticket when its action
-//!   comes. A ticket ends in exactly one [`Action::Committed`],
+//! - execute [`Action::Persist`], sync, and report [`Event::Persisted`], or
+//!   [`Event::PersistFailed`] if the write or the sync failed. At most one write
+//!   is in flight. The node holds back messages that depend on a write until the
+//!   write is synced, so an adapter may send every [`Action::Send`] immediately;
+//! - apply [`Action::Commit`] in order and complete each ticket when its action
+//!   arrives. A ticket ends in exactly one [`Action::Committed`],
 //!   [`Action::ReadReady`] or [`Action::Rejected`];
-//! - hand over a snapshot of the applied state by [`Event::Compact`] when
+//! - provide a snapshot of the applied state with [`Event::Compact`] when
 //!   [`Status::log_bytes`] has grown.
 
 pub mod action;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory: a snapshot, and entries of which the last may be unsynced.
+//! The in-memory log: a snapshot and the entries kept before and after it.
 
 use std::collections::VecDeque;
 
@@ -10,22 +10,23 @@
 use crate::entry::Term;
 use crate::stored::Snapshot;
 
-/// Entries after `start`, without a gap; `start` is at or before the snapshot's position.
+/// Consecutive entries after `start`, which is at or before the snapshot's position.
 #[derive(Debug)]
 pub(crate) struct Log {
     snapshot: Snapshot,
     start: Position,
     entries: VecDeque<Entry>,
     bytes: usize,
-    /// Configurations after the snapshot, by their entries' indexes, ascending.
+    /// Configurations after the snapshot with the indexes of their entries, ascending.
     configs: Vec<(Index, Config)>,
 }
 
 impl Log {
-    /// The log of a disk, and from where on entries on that disk were left out, if any were.
+    /// Builds the log from stored state. The second value is the first index whose stored
+    /// entries were ignored and must be removed, if any.
     ///
-    /// A crash may come between the write of a received snapshot and the removal
-    /// of the entries that it overrules, so those are left out here.
+    /// A crash between the write of a received snapshot and the removal of the entries
+    /// that it supersedes leaves such entries in storage; they are ignored here.
     pub(crate) fn open(snapshot: Snapshot, entries: Vec<Entry>) -> (Self, Option<Index>) {
         let base = snapshot.position;
         let mut log = Self::from_snapshot(snapshot);
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Replaces everything by a snapshot.
+    /// Replaces the whole log with a snapshot.
     pub(crate) fn reset(&mut self, snapshot: Snapshot) {
         *self = Self::from_snapshot(snapshot);
     }
@@ -69,17 +70,17 @@
         self.bytes
     }
 
-    /// The first entry's index, whether there is one or not.
+    /// The index of the first entry in memory, or of the next one if the log is empty.
     pub(crate) fn first(&self) -> Index {
         self.start.index.next()
     }
 
-    /// The last entry's position, or that of what lies before the first.
+    /// The position of the last entry, or of `start` if the log is empty.
     pub(crate) fn last(&self) -> Position {
         self.entries.back().map_or(self.start, Entry::position)
     }
 
-    /// The term at `index`, where it is known.
+    /// The term of the entry at `index`, if it is in memory.
     pub(crate) fn term(&self, index: Index) -> Option<Term> {
         if index == self.start.index {
             return Some(self.start.term);
@@ -92,12 +93,12 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Whether the log has exactly this entry.
-    pub(crate) fn has(&self, position: Position) -> bool {
+    /// Whether the log contains the entry at this index with this term.
+    pub(crate) fn contains(&self, position: Position) -> bool {
         self.term(position.index) == Some(position.term)
     }
 
-    /// Appends an entry, which follows the last one.
+    /// Appends an entry, whose index must follow that of the last one.
     pub(crate) fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last().index.next());
         self.bytes += entry.size();
@@ -107,7 +108,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from `index` on.
+    /// Removes the entries from `index` on.
     pub(crate) fn truncate(&mut self, index: Index) {
         while self.last().index >= index {
             let Some(entry) = self.entries.pop_back() else {
@@ -118,8 +119,8 @@
         self.configs.retain(|(at, _)| *at < index);
     }
 
-    /// The entries of a range, at least one and then as many as `most` bytes hold.
-    pub(crate) fn slice(&self, from: Index, to: Index, most: usize) -> Vec<Entry> {
+    /// Returns the entries from `from` to `to`, limited to `max_bytes` but at least one.
+    pub(crate) fn slice(&self, from: Index, to: Index, max_bytes: usize) -> Vec<Entry> {
         let mut bytes = 0;
         let mut entries = Vec::new();
         let mut index = from;
@@ -127,7 +128,7 @@
             && let Some(entry) = self.get(index)
         {
             bytes += entry.size();
-            if !entries.is_empty() && bytes > most {
+            if !entries.is_empty() && bytes > max_bytes {
                 break;
             }
             entries.push(entry.clone());
@@ -136,21 +137,21 @@
         entries
     }
 
-    /// The group in force: the last one in the log, committed or not.
+    /// The current configuration: the last one in the log, committed or not.
     pub(crate) fn config(&self) -> &Config {
         self.configs
             .last()
             .map_or(&self.snapshot.config, |(_, config)| config)
     }
 
-    /// Where the group in force was set.
+    /// The index of the current configuration.
     pub(crate) fn config_index(&self) -> Index {
         self.configs
             .last()
             .map_or(self.snapshot.position.index, |(index, _)| *index)
     }
 
-    /// The group as of `index`, which isn't before the snapshot.
+    /// The configuration as of `index`, which must not precede the snapshot.
     pub(crate) fn config_at(&self, index: Index) -> &Config {
         self.configs
             .iter()
@@ -159,13 +160,14 @@
             .map_or(&self.snapshot.config, |(_, config)| config)
     }
 
-    /// Takes a newer snapshot of this log, and keeps at most `keep` bytes of entries in front of it.
-    pub(crate) fn compact(&mut self, snapshot: Snapshot, keep: usize) {
+    /// Compacts the log up to a newer snapshot, retaining at most `max_retained_bytes` of
+    /// the entries that the snapshot covers.
+    pub(crate) fn compact(&mut self, snapshot: Snapshot, max_retained_bytes: usize) {
         let index = snapshot.position.index;
         self.configs.retain(|(at, _)| *at > index);
         self.snapshot = snapshot;
-        let kept = self.reach_back(index, keep);
-        while self.first() < kept {
+        let first_retained = self.first_retained(index, max_retained_bytes);
+        while self.first() < first_retained {
             let Some(entry) = self.entries.pop_front() else {
                 break;
             };
@@ -174,13 +176,13 @@
         }
     }
 
-    /// The first of the entries up to `index` that together take at most `most` bytes.
-    fn reach_back(&self, index: Index, most: usize) -> Index {
+    /// The first of the last entries up to `index` that fit into `max_bytes`.
+    fn first_retained(&self, index: Index, max_bytes: usize) -> Index {
         let mut bytes = 0;
         let mut first = index.next();
         while let Some(entry) = self.get(first.previous()) {
             bytes += entry.size();
-            if bytes > most {
+            if bytes > max_bytes {
                 break;
             }
             first = first.previous();
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -12,73 +12,74 @@
 use crate::entry::Term;
 use crate::event::Ticket;
 
-/// One message; it may be lost, doubled, delayed or overtaken.
+/// A message, which may be lost, duplicated, delayed or reordered.
 ///
-/// A replica ignores a message to another id, so that an emptied disk at a known
-/// address doesn't answer for the replica that was there.
+/// A replica ignores messages to another id, so a replica that lost its disk doesn't
+/// answer for the one that used its address before.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// The sender.
     pub from: ReplicaId,
     /// The receiver.
     pub to: ReplicaId,
-    /// The sender's term, but in the pre-vote the term that is campaigned for.
+    /// The sender's term; in pre-vote messages the term of the intended campaign.
     pub term: Term,
     /// The content.
     pub body: Body,
 }
 
-/// Content of a message.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks whether a campaign would be voted for; changes no one's term.
+    /// Asks whether the receiver would grant its vote; doesn't change any replica's term.
     PreVote {
-        /// The end of the candidate's log.
+        /// The position of the last entry in the candidate's log.
         last: Position,
     },
     /// Answers a pre-vote.
     PreVoteReply {
-        /// Whether the vote would be given.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
-        /// The end of the candidate's log.
+        /// The position of the last entry in the candidate's log.
         last: Position,
-        /// The leader asked for this campaign, so its own lease doesn't stand against it.
+        /// Whether the leader requested this campaign, so that voters grant it although they
+        /// have heard from that leader recently.
         transfer: bool,
     },
-    /// Answers a vote; sent once the vote is synced.
+    /// Answers a vote request; sent once the vote is synced.
     VoteReply {
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
     /// Extends the follower's log after `previous`.
     Append {
-        /// The entry in front of `entries`.
+        /// The position of the entry preceding `entries`.
         previous: Position,
-        /// Entries without a gap, bounded by [`crate::Settings::batch_bytes`].
+        /// Consecutive entries, limited by [`crate::Settings::max_batch_bytes`].
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: Index,
     },
-    /// The follower's log equals the leader's up to there, and is synced.
+    /// The follower's log matches the leader's up to an index and is synced up to it.
     Accepted {
-        /// The last index that is equal and synced.
+        /// The last index that matches and is synced.
         matched: Index,
     },
-    /// The follower has no such previous entry, or the sender's term is over.
+    /// The follower's log doesn't contain the previous entry, or the sender's term is stale.
     Refused {
         /// The index of the append's previous entry.
         previous: Index,
-        /// The last index that may be equal.
+        /// The last index that may match.
         hint: Index,
     },
-    /// Keeps followers from campaigning and carries the commit index.
+    /// Prevents followers from campaigning and carries the commit index.
     Heartbeat {
-        /// The leader's commit index as far as the follower's log is known to be equal.
+        /// The leader's commit index, limited to the follower's match index.
         commit: Index,
-        /// The round that confirms the leader for reads.
+        /// The heartbeat round, which confirms leadership for reads.
         round: u64,
     },
     /// Answers a heartbeat.
@@ -86,38 +87,38 @@
         /// The heartbeat's round.
         round: u64,
     },
-    /// A part of a snapshot, bounded by [`crate::Settings::chunk_bytes`].
+    /// A chunk of a snapshot, limited by [`crate::Settings::max_chunk_bytes`].
     Chunk {
-        /// The snapshot's last entry.
+        /// The position of the last entry in the snapshot.
         position: Position,
-        /// The group at that position.
+        /// The configuration at that position.
         config: Config,
-        /// Bytes of the whole snapshot.
+        /// The size of the whole snapshot, in bytes.
         total: u64,
-        /// Where `data` begins.
+        /// The offset of `data` in the snapshot, in bytes.
         offset: u64,
-        /// The part.
+        /// The chunk's bytes.
         data: Bytes,
     },
-    /// How much of a snapshot has come; the whole is answered by [`Body::Accepted`].
+    /// Acknowledges a chunk; the complete snapshot is acknowledged by [`Body::Accepted`].
     ChunkReply {
-        /// The snapshot's last entry.
+        /// The position of the last entry in the snapshot.
         position: Position,
-        /// Bytes received without a gap.
+        /// Bytes received without gaps.
         received: u64,
     },
-    /// The leader asks the receiver to campaign at once.
+    /// The leader asks the receiver to campaign immediately (leadership transfer).
     CampaignNow,
-    /// A follower asks the leader for an index to read at.
+    /// A follower requests a read index from the leader.
     ReadAsk {
-        /// The follower's number for the question.
+        /// The follower's request number.
         ticket: Ticket,
     },
-    /// Answers [`Body::ReadAsk`] once a quorum has confirmed the leader.
+    /// Answers [`Body::ReadAsk`] once a quorum has confirmed leadership.
     ReadAnswer {
-        /// The follower's number for the question.
+        /// The follower's request number.
         ticket: Ticket,
-        /// Where to read.
+        /// The read index.
         index: Index,
     },
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! One replica of the log.
+//! The state machine of one replica.
 
 mod change;
 mod election;
@@ -39,60 +39,62 @@
 use crate::stored::HardState;
 use crate::stored::Stored;
 
-use self::follow::Incoming;
-use self::read::Asks;
+use self::follow::IncomingSnapshot;
+use self::read::LocalReads;
 
-/// Least part of an election timeout after which a replica without a leader asks
-/// again for pre-votes; three times that at most.
-const RETRY_FACTOR: f64 = 0.25;
+/// Minimum delay before a replica without a leader retries a pre-vote, as a fraction of
+/// the election timeout; the maximum is three times this.
+const MIN_RETRY_FACTOR: f64 = 0.25;
 
-/// Least part of an election timeout after which a replica that has restarted asks for
-/// pre-votes; twice that at most, so that two that start together rarely ask together.
-const FIRST_FACTOR: f64 = 0.02;
+/// Minimum delay before a restarted replica starts a pre-vote, as a fraction of the
+/// election timeout; the maximum is twice this, so that replicas restarted together
+/// rarely collide.
+const MIN_RESTART_FACTOR: f64 = 0.02;
 
-/// Least part of an election timeout that a campaign has; twice that at most.
-const CAMPAIGN_FACTOR: f64 = 0.5;
+/// Minimum duration of a campaign, as a fraction of the election timeout; the maximum is
+/// twice this.
+const MIN_CAMPAIGN_FACTOR: f64 = 0.5;
 
-/// What a replica does in its group.
+/// The role of a replica in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Role {
-    /// Takes the log from a leader.
+    /// Replicates the log from a leader.
     Follower,
-    /// Asks whether it would be voted for.
+    /// Runs a pre-vote.
     PreCandidate,
-    /// Asks for votes.
+    /// Campaigns for votes.
     Candidate,
-    /// Orders the log.
+    /// Appends entries and replicates them.
     Leader,
 }
 
 /// A replica's view of itself and its group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// The replica.
+    /// The replica's id.
     pub id: ReplicaId,
-    /// What it does.
+    /// The current role.
     pub role: Role,
-    /// Its term.
+    /// The current term.
     pub term: Term,
-    /// The leader that it knows of.
+    /// The known leader, if any.
     pub leader: Option<ReplicaId>,
-    /// The last entry known to be committed.
+    /// The index of the last entry known to be committed.
     pub commit: Index,
-    /// The last entry handed to the adapter.
+    /// The index of the last entry passed to the adapter.
     pub applied: Index,
-    /// The first entry in memory.
+    /// The index of the first entry in memory.
     pub first: Index,
-    /// The last entry, synced or not.
+    /// The index of the last entry, synced or not.
     pub last: Index,
-    /// Memory that the entries take, in bytes.
+    /// Approximate memory used by the entries, in bytes.
     pub log_bytes: usize,
-    /// The last snapshot's index.
+    /// The index of the last snapshot.
     pub snapshot: Index,
-    /// The group in force: the last one in the log, committed or not.
+    /// The current configuration: the last one in the log, committed or not.
     pub config: Config,
-    /// Whether the node has stopped for good.
+    /// Whether the node has stopped permanently.
     pub stopped: bool,
 }
 
@@ -104,7 +106,7 @@
     Leader(Box<Leader>),
 }
 
-/// One replica: events and the time go in, actions come out.
+/// One replica, which turns events into actions.
 #[derive(Debug)]
 pub struct Node {
     id: ReplicaId,
@@ -116,34 +118,34 @@
     persistence: Persistence,
     commit: Index,
     applied: Index,
-    /// When a replica that doesn't lead campaigns.
-    timeout: Moment,
-    /// When a leader's message last came.
-    heard: Option<Moment>,
-    /// The leader as last told to the adapter.
-    announced: (Term, Option<ReplicaId>),
-    /// Something that counts towards the commit index has changed since it was counted.
-    recount: bool,
-    asks: Asks,
-    incoming: Option<Incoming>,
+    /// When a replica that is not the leader starts its next pre-vote.
+    election_deadline: Moment,
+    /// When the last message from a leader arrived.
+    last_leader_contact: Option<Moment>,
+    /// The term and leader last reported to the adapter.
+    reported_leader: (Term, Option<ReplicaId>),
+    /// Whether the commit index must be recomputed.
+    commit_outdated: bool,
+    local_reads: LocalReads,
+    incoming_snapshot: Option<IncomingSnapshot>,
     stopped: bool,
     now: Moment,
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 impl Node {
-    /// A replica that starts from what its disk holds, its state applied up to the snapshot.
+    /// Creates a replica from its stored state, with entries applied up to the snapshot.
     ///
-    /// The seed must differ at each start, also of the same replica.
+    /// The seed must differ at each start, also between starts of the same replica.
     #[must_use]
     pub fn new(settings: Settings, stored: Stored, seed: u64, now: Moment) -> Self {
-        let (log, overruled) = Log::open(stored.snapshot, stored.entries);
+        let (log, superseded_from) = Log::open(stored.snapshot, stored.entries);
         let mut persistence = Persistence::new(log.last().index);
-        if let Some(index) = overruled {
-            persistence.drop_from(index);
+        if let Some(index) = superseded_from {
+            persistence.truncate_stored(index);
         }
         let base = log.snapshot().position.index;
-        // What is committed can be applied at once, before a leader tells of more.
+        // Committed entries can be applied before there is a leader.
         let commit = stored.commit.min(log.last().index).max(base);
         let mut node = Self {
             id: stored.id,
@@ -155,59 +157,61 @@
             persistence,
             commit,
             applied: base,
-            timeout: now,
-            heard: None,
-            announced: (Term::default(), None),
-            recount: false,
-            asks: Asks::default(),
-            incoming: None,
+            election_deadline: now,
+            last_leader_contact: None,
+            reported_leader: (Term::default(), None),
+            commit_outdated: false,
+            local_reads: LocalReads::default(),
+            incoming_snapshot: None,
             stopped: false,
             now,
-            out: Vec::new(),
+            actions: Vec::new(),
         };
         node.adopt_log_term();
         if node.hard_state.term == Term::default() {
-            node.draw_timeout();
+            node.reset_election_deadline();
         } else {
-            node.draw_first();
+            node.reset_restart_deadline();
         }
         node
     }
 
-    /// Entries may be on disk whose term came in a write that a crash cut short.
+    /// Adopts the term of the last entry, which may be newer than the stored hard state
+    /// after a crash during a write.
     fn adopt_log_term(&mut self) {
         let term = self.log.last().term;
         if term > self.hard_state.term {
             self.hard_state = HardState { term, vote: None };
-            self.persistence.mark_hard();
+            self.persistence.mark_hard_state_changed();
         }
     }
 
-    /// Takes one event and pushes what is to be done onto `actions`, in order.
+    /// Processes one event and appends the resulting actions to `actions`, in order.
     ///
-    /// A moment before the last one counts as the last one.
+    /// If `now` precedes the time of the last step, the latter is used.
     pub fn step(&mut self, now: Moment, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        mem::swap(&mut self.out, actions);
+        mem::swap(&mut self.actions, actions);
         if self.stopped {
-            self.refuse_stopped(&event);
+            self.reject_stopped(&event);
         } else {
-            self.run(event);
+            self.process(event);
         }
-        mem::swap(&mut self.out, actions);
+        mem::swap(&mut self.actions, actions);
     }
 
-    /// A leader's time is looked at first, so that one that slept steps down before it acts.
-    fn run(&mut self, event: Event) {
+    /// Processes a leader's timers first, so that a leader resumed after a pause steps down
+    /// before it handles the event.
+    fn process(&mut self, event: Event) {
         self.tick_leader();
         self.handle(event);
-        self.tick_follower();
-        self.advance();
+        self.tick_election();
+        self.advance_commit();
         self.maintain();
-        self.flush();
+        self.flush_writes();
         self.replicate();
-        self.pump_reads();
-        self.announce();
+        self.advance_reads();
+        self.report_leader();
     }
 
     fn handle(&mut self, event: Event) {
@@ -218,25 +222,25 @@
             Event::Read { ticket } => self.read(ticket),
             Event::Change { ticket, change } => self.change(ticket, change),
             Event::Transfer => self.start_transfer(),
-            Event::Persisted { number } => self.persisted(number),
+            Event::Persisted { number } => self.handle_persisted(number),
             Event::PersistFailed => self.stop(Fault::PersistFailed),
             Event::Compact { index, data } => self.compact(index, data),
         }
     }
 
-    /// When the node wants the next [`Event::Tick`].
+    /// Returns when the adapter must send the next [`Event::Tick`].
     #[must_use]
     pub fn deadline(&self) -> Moment {
         let timer = match &self.state {
-            State::Leader(leader) => leader.beat,
-            _ => self.timeout,
+            State::Leader(leader) => leader.next_heartbeat,
+            _ => self.election_deadline,
         };
-        self.asks
+        self.local_reads
             .deadline(&self.settings)
             .map_or(timer, |ask| ask.min(timer))
     }
 
-    /// The replica's view of itself and its group.
+    /// Returns the replica's view of itself and its group.
     #[must_use]
     pub fn status(&self) -> Status {
         Status {
@@ -255,29 +259,30 @@
         }
     }
 
-    /// How many entries a follower lacks, as the leader knows; none elsewhere.
+    /// Returns how many entries a follower lacks, or `None` if this replica is not the leader
+    /// or the follower is unknown.
     #[must_use]
     pub fn replication_lag(&self, id: ReplicaId) -> Option<u64> {
         let State::Leader(leader) = &self.state else {
             return None;
         };
         let peer = leader.peers.get(&id)?;
-        Some(self.log.last().index.after(peer.matched))
+        Some(self.log.last().index.distance_from(peer.matched))
     }
 
-    /// The replica's term.
+    /// Returns the current term.
     #[must_use]
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// The term of an entry in memory, synced or not.
+    /// Returns the term of an entry in memory, synced or not.
     #[must_use]
     pub fn term_at(&self, index: Index) -> Option<Term> {
         self.log.term(index)
     }
 
-    /// What the replica does.
+    /// Returns the current role.
     #[must_use]
     pub fn role(&self) -> Role {
         match self.state {
@@ -296,31 +301,30 @@
         }
     }
 
-    fn draw_timeout(&mut self) {
+    fn reset_election_deadline(&mut self) {
         let factor = 1.0 + self.rng.random::<f64>();
-        self.timeout = self.now + self.settings.election_timeout.mul_f64(factor);
+        self.election_deadline = self.now + self.settings.election_timeout.mul_f64(factor);
     }
 
-    /// The time to the first campaign after a restart: where all have restarted there is
-    /// no leader, and if there is one, the others refuse. The last one to make a majority
-    /// asks at once in this way.
-    fn draw_first(&mut self) {
-        let factor = FIRST_FACTOR * (1.0 + self.rng.random::<f64>());
-        self.timeout = self.now + self.settings.election_timeout.mul_f64(factor);
+    /// Sets a short delay before the first pre-vote after a restart, so that a group whose
+    /// replicas have all restarted elects a leader quickly. If there is a leader, the other
+    /// replicas refuse the pre-vote.
+    fn reset_restart_deadline(&mut self) {
+        let factor = MIN_RESTART_FACTOR * (1.0 + self.rng.random::<f64>());
+        self.election_deadline = self.now + self.settings.election_timeout.mul_f64(factor);
     }
 
-    /// The time to the next campaign while no leader is known: all replicas may have
-    /// just started, and asking costs little.
-    fn draw_retry(&mut self) {
-        let factor = RETRY_FACTOR * (1.0 + 2.0 * self.rng.random::<f64>());
-        self.timeout = self.now + self.settings.election_timeout.mul_f64(factor);
+    /// Sets the delay before the next pre-vote while no leader is known.
+    fn reset_pre_vote_deadline(&mut self) {
+        let factor = MIN_RETRY_FACTOR * (1.0 + 2.0 * self.rng.random::<f64>());
+        self.election_deadline = self.now + self.settings.election_timeout.mul_f64(factor);
     }
 
-    /// The time that a campaign has: the votes are synced first, so it is longer than
-    /// that between two asks.
-    fn draw_campaign(&mut self) {
-        let factor = CAMPAIGN_FACTOR * (1.0 + self.rng.random::<f64>());
-        self.timeout = self.now + self.settings.election_timeout.mul_f64(factor);
+    /// Sets the end of a campaign. It is longer than a pre-vote, because votes are synced
+    /// before they are sent.
+    fn reset_campaign_deadline(&mut self) {
+        let factor = MIN_CAMPAIGN_FACTOR * (1.0 + self.rng.random::<f64>());
+        self.election_deadline = self.now + self.settings.election_timeout.mul_f64(factor);
     }
 
     fn message(&self, to: ReplicaId, body: Body) -> Message {
@@ -332,38 +336,39 @@
         }
     }
 
-    /// Sends what claims nothing about the disk.
+    /// Sends a message that doesn't depend on stored state.
     fn send(&mut self, to: ReplicaId, body: Body) {
         let message = self.message(to, body);
-        self.out.push(Action::Send(message));
+        self.actions.push(Action::Send(message));
     }
 
-    /// Sends once the term, the vote, and the entries up to `index` are synced.
+    /// Sends a message once the term, the vote and the entries up to `index` are synced.
     fn send_synced(&mut self, to: ReplicaId, body: Body, index: Index) {
         let message = self.message(to, body);
-        if let Some(message) = self.persistence.hold(message, index) {
-            self.out.push(Action::Send(message));
+        if let Some(message) = self.persistence.hold_until_synced(message, index) {
+            self.actions.push(Action::Send(message));
         }
     }
 
     fn reject(&mut self, ticket: Ticket, reason: Rejection) {
-        self.out.push(Action::Rejected { ticket, reason });
+        self.actions.push(Action::Rejected { ticket, reason });
     }
 
-    fn persisted(&mut self, number: WriteNumber) {
-        let synced = self.persistence.synced(number);
-        self.recount = true;
-        if let Some(snapshot) = synced.install {
+    fn handle_persisted(&mut self, number: WriteNumber) {
+        let completed = self.persistence.complete_write(number);
+        self.commit_outdated = true;
+        if let Some(snapshot) = completed.received_snapshot {
             self.applied = snapshot.position.index;
-            self.persistence.raise(self.applied);
-            self.out.push(Action::Install(snapshot));
+            self.persistence.raise_durable(self.applied);
+            self.actions.push(Action::Install(snapshot));
         }
-        let sends = synced.messages.into_iter().map(Action::Send);
-        self.out.extend(sends);
+        let sends = completed.messages.into_iter().map(Action::Send);
+        self.actions.extend(sends);
         self.count_own_vote();
     }
 
-    /// Hands committed and synced entries to the adapter, then answers what waited for them.
+    /// Passes committed and synced entries to the adapter, then completes the requests that
+    /// waited for them.
     fn apply(&mut self) {
         let to = self.commit.min(self.persistence.durable());
         if to <= self.applied {
@@ -371,43 +376,44 @@
         }
         let entries = self.log.slice(self.applied.next(), to, usize::MAX);
         self.applied = to;
-        self.out.push(Action::Commit(entries));
-        self.finish_tickets();
+        self.actions.push(Action::Commit(entries));
+        self.complete_tickets();
     }
 
-    fn flush(&mut self) {
+    fn flush_writes(&mut self) {
         if self.stopped {
             return;
         }
         if let Some(write) =
             self.persistence
-                .flush(&self.log, self.hard_state, self.commit, self.now)
+                .begin_write(&self.log, self.hard_state, self.commit, self.now)
         {
-            self.out.push(Action::Persist(write));
+            self.actions.push(Action::Persist(write));
         }
     }
 
-    fn announce(&mut self) {
-        let (term, leader) = self.announced;
+    fn report_leader(&mut self) {
+        let (term, leader) = self.reported_leader;
         let current = (self.hard_state.term, self.leader_id());
         let same_term = term == current.0 || current.1.is_none();
         if leader == current.1 && same_term {
             return;
         }
-        self.announced = current;
+        self.reported_leader = current;
         let (term, leader) = current;
-        self.out.push(Action::LeaderChanged { term, leader });
+        self.actions.push(Action::LeaderChanged { term, leader });
     }
 
     fn stop(&mut self, fault: Fault) {
         self.become_follower(self.hard_state.term, None);
-        self.persistence.forget();
-        self.asks.reject_all(&Rejection::Stopped, &mut self.out);
+        self.persistence.discard_pending();
+        self.local_reads
+            .reject_all(&Rejection::Stopped, &mut self.actions);
         self.stopped = true;
-        self.out.push(Action::Stop(fault));
+        self.actions.push(Action::Stop(fault));
     }
 
-    fn refuse_stopped(&mut self, event: &Event) {
+    fn reject_stopped(&mut self, event: &Event) {
         if let Event::Propose { ticket, .. }
         | Event::Read { ticket }
         | Event::Change { ticket, .. } = event
--- a/crates/consensus/src/node/change.rs
+++ b/crates/consensus/src/node/change.rs
@@ -1,8 +1,8 @@
-//! Changes of the group, one at a time, each by an entry of the log.
+//! Configuration changes, one at a time, each as a log entry.
 //!
-//! A new replica is a learner first. The leader, whichever it is by then,
-//! promotes it by a second entry once it has caught up; whoever asked is answered
-//! only when that entry is committed and synced at the new voter itself.
+//! A new replica starts as a learner. The current leader promotes it with a second
+//! entry once it has caught up; the request completes only when that entry is
+//! committed and synced by the new voter itself.
 
 use base::prelude::*;
 
@@ -13,7 +13,7 @@
 use crate::config::Member;
 use crate::entry::ReplicaId;
 use crate::event::Ticket;
-use crate::leader::OpenChange;
+use crate::leader::PendingChange;
 use crate::quorum;
 
 use super::Node;
@@ -32,16 +32,19 @@
         let State::Leader(leader) = &mut self.state else {
             return;
         };
-        if let Some(open) = leader.change.replace(OpenChange { ticket, change }) {
-            self.reject(open.ticket, Rejection::Withdrawn);
+        if let Some(pending) = leader
+            .pending_change
+            .replace(PendingChange { ticket, change })
+        {
+            self.reject(pending.ticket, Rejection::Withdrawn);
         }
     }
 
-    /// The group after the change, none where the log has it already.
+    /// Returns the configuration after the change, or `None` if it is already in effect.
     fn check_change(&mut self, change: &Change) -> Result<Option<Config>, Rejection> {
-        self.check_office()?;
+        self.require_leader()?;
         if !matches!(change, Change::Evict(_)) {
-            self.check_order(change)?;
+            self.check_no_pending_change(change)?;
         }
         match change {
             Change::Add(member) => self.check_add(member),
@@ -51,27 +54,28 @@
         }
     }
 
-    /// Changes of the voters wait for each other, and for an entry committed in the leader's term.
+    /// Requires that no other change is pending and that the leader has committed an entry
+    /// in its term.
     ///
-    /// An eviction waits for neither: it leaves the voters alone, so majorities
-    /// intersect as before, and a leader that lacks a region can commit nothing
-    /// before it.
-    fn check_order(&self, change: &Change) -> Result<(), Rejection> {
+    /// Evictions are exempt: they don't change the voters, so majorities still
+    /// intersect, and a leader that lacks a region's majority can't commit anything
+    /// before the eviction.
+    fn check_no_pending_change(&self, change: &Change) -> Result<(), Rejection> {
         if !self.is_ready() {
             return Err(Rejection::NotReady);
         }
-        if self.is_change_open(change) || self.log.config_index() > self.commit {
+        if self.is_change_pending(change) || self.log.config_index() > self.commit {
             return Err(Rejection::ChangeOpen);
         }
         Ok(())
     }
 
-    /// Whether someone waits for another change; an addition under way may be taken back.
-    fn is_change_open(&self, change: &Change) -> bool {
+    /// Whether another change is pending; a pending addition may be cancelled by a removal.
+    fn is_change_pending(&self, change: &Change) -> bool {
         let State::Leader(leader) = &self.state else {
             return false;
         };
-        match (leader.change.as_ref().map(|c| &c.change), change) {
+        match (leader.pending_change.as_ref().map(|c| &c.change), change) {
             (None, _) => false,
             (Some(Change::Add(member)), Change::Remove(id)) => member.id != *id,
             (Some(_), _) => true,
@@ -96,7 +100,8 @@
         Ok(Some(next))
     }
 
-    /// A leader doesn't remove itself: it hands over, and its successor is asked again.
+    /// A leader doesn't remove itself: it transfers leadership, and the request must be
+    /// repeated at the new leader.
     fn check_remove(&mut self, id: ReplicaId) -> Result<Option<Config>, Rejection> {
         if id == self.id {
             self.start_transfer();
@@ -108,7 +113,7 @@
         }
         next.voters.remove(&id);
         next.learners.remove(&id);
-        if !quorum::accepts(&next, |voter| self.is_active(voter)) {
+        if !quorum::has_commit_quorum(&next, |voter| self.is_active(voter)) {
             return Err(Rejection::QuorumLost);
         }
         Ok(Some(next))
@@ -127,25 +132,25 @@
         if !next.evicted.remove(region) {
             return Ok(None);
         }
-        let lacking = quorum::lacking_region(&next, |id| self.is_active(id));
+        let lacking = quorum::region_without_majority(&next, |id| self.is_active(id));
         lacking.map_or(Ok(Some(next)), |region| Err(Rejection::RegionDown(region)))
     }
 
-    /// What a leader does by itself after each event.
+    /// Runs the leader's pending configuration changes and transfers after each event.
     pub(super) fn maintain(&mut self) {
         self.promote_learner();
-        self.finish_change();
+        self.complete_change();
         self.continue_transfer();
     }
 
-    /// Makes a voter of a learner that has caught up, by an entry of its own.
+    /// Appends an entry that promotes a learner which has caught up.
     fn promote_learner(&mut self) {
         let mut learners = self.log.config().learners.values();
         let Some(member) = learners.find(|m| self.has_caught_up(m.id)) else {
             return;
         };
-        let settled = self.is_ready() && self.log.config_index() <= self.commit;
-        if !settled || self.check_office().is_err() {
+        let is_ready = self.is_ready() && self.log.config_index() <= self.commit;
+        if !is_ready || self.require_leader().is_err() {
             return;
         }
         let member = member.clone();
@@ -155,19 +160,19 @@
         self.append_config(next);
     }
 
-    /// Whether a learner answers, and has synced the log but for a bounded rest.
+    /// Whether a learner is active and its lag is within the promotion limit.
     fn has_caught_up(&self, id: ReplicaId) -> bool {
         let State::Leader(leader) = &self.state else {
             return false;
         };
         let matched = leader.matched(id);
         let admitted = matched >= self.log.config_index();
-        let near = self.commit.after(matched) <= self.settings.promote_gap;
+        let near = self.commit.distance_from(matched) <= self.settings.max_promotion_lag;
         admitted && near && self.is_active(id)
     }
 
-    /// Answers whoever waits for a change that is in force now.
-    fn finish_change(&mut self) {
+    /// Completes the pending change if it is in effect.
+    fn complete_change(&mut self) {
         let index = self.log.config_index();
         if index > self.applied {
             return;
@@ -177,18 +182,18 @@
         };
         let config = self.log.config();
         let done = leader
-            .change
+            .pending_change
             .as_ref()
-            .is_some_and(|open| match &open.change {
+            .is_some_and(|pending| match &pending.change {
                 Change::Add(member) if member.id == self.id => true,
                 Change::Add(member) => {
                     config.is_voter(member.id) && leader.matched(member.id) >= index
                 }
                 _ => true,
             });
-        if let Some(open) = leader.change.take_if(|_| done) {
-            let ticket = open.ticket;
-            self.out.push(Action::Committed { ticket, index });
+        if let Some(pending) = leader.pending_change.take_if(|_| done) {
+            let ticket = pending.ticket;
+            self.actions.push(Action::Committed { ticket, index });
         }
     }
 }
--- a/crates/consensus/src/node/election.rs
+++ b/crates/consensus/src/node/election.rs
@@ -1,4 +1,4 @@
-//! Campaigns and votes.
+//! Elections: pre-votes, campaigns and votes.
 
 use std::collections::BTreeSet;
 use std::mem;
@@ -18,23 +18,27 @@
 use super::State;
 
 impl Node {
-    /// Looks at the timers of a replica that doesn't lead.
-    pub(super) fn tick_follower(&mut self) {
-        self.expire_asks();
-        if matches!(self.state, State::Leader(_)) || self.stopped || self.now < self.timeout {
+    /// Processes the timers of a replica that is not the leader.
+    pub(super) fn tick_election(&mut self) {
+        self.expire_reads();
+        if matches!(self.state, State::Leader(_))
+            || self.stopped
+            || self.now < self.election_deadline
+        {
             return;
         }
-        if self.log.config().is_voter(self.id) && !self.disk_hangs() {
-            self.draw_retry();
-            self.pre_campaign();
+        if self.log.config().is_voter(self.id) && !self.is_write_stalled() {
+            self.reset_pre_vote_deadline();
+            self.start_pre_vote();
         } else {
-            self.draw_timeout();
+            self.reset_election_deadline();
             self.become_follower(self.hard_state.term, None);
         }
     }
 
-    /// Asks for votes without touching anyone's term, so that a cut replica disturbs no one.
-    fn pre_campaign(&mut self) {
+    /// Starts a pre-vote, which changes no replica's term, so a partitioned replica doesn't
+    /// disrupt the group when it returns.
+    fn start_pre_vote(&mut self) {
         self.become_follower(self.hard_state.term, None);
         self.state = State::PreCandidate {
             votes: BTreeSet::from([self.id]),
@@ -44,19 +48,19 @@
         for voter in self.other_voters() {
             let mut message = self.message(voter, Body::PreVote { last });
             message.term = term;
-            self.out.push(Action::Send(message));
+            self.actions.push(Action::Send(message));
         }
         self.count_votes();
     }
 
-    /// Campaigns in the next term; the requests leave once the own vote is synced.
+    /// Starts a campaign in the next term; vote requests are sent once the own vote is synced.
     pub(super) fn campaign(&mut self, transfer: bool) {
         self.become_follower(self.hard_state.term.next(), None);
         self.hard_state.vote = Some(self.id);
         self.state = State::Candidate {
             votes: BTreeSet::new(),
         };
-        self.draw_campaign();
+        self.reset_campaign_deadline();
         let last = self.log.last();
         for voter in self.other_voters() {
             self.send_synced(voter, Body::Vote { last, transfer }, last.index);
@@ -68,9 +72,9 @@
         voters.copied().filter(|id| *id != self.id).collect()
     }
 
-    /// The own vote counts only once it is synced.
+    /// Counts the replica's own vote once it is synced.
     pub(super) fn count_own_vote(&mut self) {
-        let synced = self.persistence.is_hard_synced();
+        let synced = self.persistence.is_hard_state_synced();
         if let State::Candidate { votes } = &mut self.state
             && synced
         {
@@ -82,11 +86,14 @@
     fn count_votes(&mut self) {
         let config = self.log.config();
         match &self.state {
-            State::PreCandidate { votes } if quorum::elects(config, |id| votes.contains(&id)) => {
+            State::PreCandidate { votes }
+                if quorum::has_election_quorum(config, |id| votes.contains(&id)) =>
+            {
                 self.campaign(false);
             }
             State::Candidate { votes }
-                if votes.contains(&self.id) && quorum::elects(config, |id| votes.contains(&id)) =>
+                if votes.contains(&self.id)
+                    && quorum::has_election_quorum(config, |id| votes.contains(&id)) =>
             {
                 self.become_leader();
             }
@@ -97,71 +104,71 @@
     fn become_leader(&mut self) {
         let last = self.log.last().index;
         let mut leader = Leader::new(self.id, self.log.config(), last, self.now);
-        leader.open_bytes = self.bytes_between(self.commit, last);
+        leader.uncommitted_bytes = self.bytes_between(self.commit, last);
         self.state = State::Leader(Box::new(leader));
         self.append_noop();
     }
 
-    /// Follows `leader` in `term`, which isn't before the own one.
+    /// Becomes a follower of `leader` in `term`, which must not be less than the current term.
     pub(super) fn become_follower(&mut self, term: Term, leader: Option<ReplicaId>) {
         if term > self.hard_state.term {
             self.hard_state = HardState { term, vote: None };
-            self.persistence.mark_hard();
-            self.persistence.forget();
-            self.incoming = None;
+            self.persistence.mark_hard_state_changed();
+            self.persistence.discard_pending();
+            self.incoming_snapshot = None;
         }
         let before = self.leader_id();
         let state = mem::replace(&mut self.state, State::Follower { leader });
         if let State::Leader(old) = state {
-            self.retire(*old);
-            self.draw_timeout();
+            self.reject_pending_requests(*old);
+            self.reset_election_deadline();
         }
         if before != leader {
-            self.restart_asks();
+            self.reject_unconfirmed_reads();
         }
     }
 
-    /// Whether a leader was heard so lately that no campaign is due.
-    fn has_leader(&self) -> bool {
+    /// Whether there has been contact with a leader within the minimum election timeout.
+    fn has_live_leader(&self) -> bool {
         if matches!(self.state, State::Leader(_)) {
             return true;
         }
-        let heard = |moment| self.now.since(moment) < self.settings.election_timeout;
-        self.leader_id().is_some() && self.heard.is_some_and(heard)
+        let is_recent = |moment| self.now.since(moment) < self.settings.election_timeout;
+        self.leader_id().is_some() && self.last_leader_contact.is_some_and(is_recent)
     }
 
-    /// A replica votes only once a log entry has admitted its id.
-    fn is_admitted(&self) -> bool {
+    /// Whether the configuration contains this replica; others don't vote.
+    fn is_member(&self) -> bool {
         self.log.config().member(self.id).is_some()
     }
 
-    /// Of two replicas that ask at the same time with equal logs, the one with the
-    /// higher id goes first. Where no third one is up, they would else both vote for
-    /// themselves, and lose an election timeout: of four restarts of two out of three
-    /// replicas one took 0.9 s, the others 0.17 s.
-    fn goes_first(&self, other: ReplicaId, last: Position) -> bool {
-        let asks = matches!(self.state, State::PreCandidate { .. });
-        asks && last == self.log.last() && self.id > other
+    /// Whether this replica wins the tie against another pre-candidate with an equal log.
+    ///
+    /// The higher id wins. Without this rule two replicas that start a pre-vote at the
+    /// same time could split the vote and lose an election timeout.
+    fn wins_tie_against(&self, other: ReplicaId, last: Position) -> bool {
+        let is_pre_candidate = matches!(self.state, State::PreCandidate { .. });
+        is_pre_candidate && last == self.log.last() && self.id > other
     }
 
     pub(super) fn receive_pre_vote(&mut self, message: &Message, last: Position) {
         let granted = message.term > self.hard_state.term
-            && !self.has_leader()
-            && self.is_admitted()
+            && !self.has_live_leader()
+            && self.is_member()
             && last >= self.log.last()
-            && !self.goes_first(message.from, last);
+            && !self.wins_tie_against(message.from, last);
         let mut reply = self.message(message.from, Body::PreVoteReply { granted });
         if granted {
             reply.term = message.term;
         }
-        self.out.push(Action::Send(reply));
+        self.actions.push(Action::Send(reply));
     }
 
     pub(super) fn receive_pre_vote_reply(&mut self, message: &Message, granted: bool) {
-        let current = message.term == self.hard_state.term.next();
+        let is_current = message.term == self.hard_state.term.next();
         if let State::PreCandidate { votes } = &mut self.state
             && granted
-            && current
+            && is_current
         {
             votes.insert(message.from);
             self.count_votes();
@@ -169,18 +176,18 @@
     }
 
     pub(super) fn receive_vote(&mut self, message: &Message, last: Position, transfer: bool) {
-        if !self.is_admitted() || (self.has_leader() && !transfer) {
+        if !self.is_member() || (self.has_live_leader() && !transfer) {
             return;
         }
         if message.term > self.hard_state.term {
             self.become_follower(message.term, None);
         }
-        let free = self.hard_state.vote.is_none() || self.hard_state.vote == Some(message.from);
-        let granted = message.term == self.hard_state.term && free && last >= self.log.last();
+        let can_vote = self.hard_state.vote.is_none() || self.hard_state.vote == Some(message.from);
+        let granted = message.term == self.hard_state.term && can_vote && last >= self.log.last();
         if granted && self.hard_state.vote.is_none() {
             self.hard_state.vote = Some(message.from);
-            self.persistence.mark_hard();
-            self.draw_timeout();
+            self.persistence.mark_hard_state_changed();
+            self.reset_election_deadline();
         }
         self.send_synced(message.from, Body::VoteReply { granted }, Index::default());
     }
--- a/crates/consensus/src/node/follow.rs
+++ b/crates/consensus/src/node/follow.rs
@@ -1,4 +1,4 @@
-//! Messages, and a follower's side of the log.
+//! Message dispatch and log replication on a follower.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -16,15 +16,15 @@
 use super::Node;
 use super::State;
 
-/// A snapshot that is coming in parts.
+/// A snapshot of which some chunks have been received.
 #[derive(Debug)]
-pub(super) struct Incoming {
+pub(super) struct IncomingSnapshot {
     position: Position,
     data: BytesMut,
 }
 
-/// One part of a snapshot.
-struct Part {
+/// One chunk of a snapshot.
+struct SnapshotChunk {
     position: Position,
     config: Config,
     total: u64,
@@ -41,21 +41,21 @@
             Body::PreVote { last } => self.receive_pre_vote(&message, last),
             Body::PreVoteReply { granted: true } => self.receive_pre_vote_reply(&message, true),
             Body::Vote { last, transfer } => self.receive_vote(&message, last, transfer),
-            _ if message.term < self.hard_state.term => self.refuse_stale(&message),
+            _ if message.term < self.hard_state.term => self.reply_to_stale(&message),
             Body::Append { .. } | Body::Heartbeat { .. } | Body::Chunk { .. } => {
-                self.receive_leader(message);
+                self.receive_from_leader(message);
             }
             _ => self.receive_reply(message),
         }
     }
 
-    /// Tells a leader of a past term that its term is over; other stale messages are dropped.
-    fn refuse_stale(&mut self, message: &Message) {
-        let leads = matches!(
+    /// Informs a stale leader of the current term; other stale messages are ignored.
+    fn reply_to_stale(&mut self, message: &Message) {
+        let from_leader = matches!(
             message.body,
             Body::Append { .. } | Body::Heartbeat { .. } | Body::Chunk { .. }
         );
-        if leads {
+        if from_leader {
             let body = Body::Refused {
                 previous: Index::default(),
                 hint: Index::default(),
@@ -64,11 +64,11 @@
         }
     }
 
-    fn receive_leader(&mut self, message: Message) {
+    fn receive_from_leader(&mut self, message: Message) {
         let from = message.from;
         self.become_follower(message.term, Some(from));
-        self.heard = Some(self.now);
-        self.draw_timeout();
+        self.last_leader_contact = Some(self.now);
+        self.reset_election_deadline();
         match message.body {
             Body::Append {
                 previous,
@@ -84,7 +84,7 @@
                 data,
             } => self.receive_chunk(
                 from,
-                Part {
+                SnapshotChunk {
                     position,
                     config,
                     total,
@@ -105,29 +105,29 @@
         match message.body {
             Body::VoteReply { granted } => self.receive_vote_reply(from, granted),
             Body::CampaignNow => self.receive_campaign_now(from),
-            Body::ReadAsk { ticket } => self.receive_ask(from, ticket),
-            Body::ReadAnswer { ticket, index } => self.receive_answer(ticket, index),
-            body => self.receive_progress(from, &body),
+            Body::ReadAsk { ticket } => self.receive_read_request(from, ticket),
+            Body::ReadAnswer { ticket, index } => self.receive_read_index(ticket, index),
+            body => self.receive_from_follower(from, &body),
         }
     }
 
-    /// An answer of a follower to its leader.
-    fn receive_progress(&mut self, from: ReplicaId, body: &Body) {
+    /// Handles a follower's response at the leader.
+    fn receive_from_follower(&mut self, from: ReplicaId, body: &Body) {
         let State::Leader(leader) = &mut self.state else {
             return;
         };
         let Some(peer) = leader.peers.get_mut(&from) else {
             return;
         };
-        peer.heard = self.now;
+        peer.last_response = self.now;
         match *body {
             Body::Accepted { matched } => {
-                peer.accept(matched, self.now);
-                self.recount = true;
+                peer.handle_accepted(matched, self.now);
+                self.commit_outdated = true;
             }
-            Body::Refused { previous, hint } => peer.refuse(previous, hint),
+            Body::Refused { previous, hint } => peer.handle_refused(previous, hint),
             Body::HeartbeatReply { round } => peer.round = peer.round.max(round),
-            Body::ChunkReply { position, received } => peer.received(position, received),
+            Body::ChunkReply { position, received } => peer.handle_chunk_reply(position, received),
             _ => {}
         }
     }
@@ -144,24 +144,26 @@
         entries: Vec<Entry>,
         commit: Index,
     ) {
-        if previous.index > self.commit && !self.log.has(previous) {
+        if previous.index > self.commit && !self.log.contains(previous) {
             let body = Body::Refused {
                 previous: previous.index,
-                hint: self.hint(previous.index),
+                hint: self.conflict_hint(previous.index),
             };
             return self.send_synced(from, body, Index::default());
         }
-        let sent = Index(previous.index.0 + entries.len() as u64);
-        if let Err(fault) = self.merge(entries) {
+        let last_sent = Index(previous.index.0 + entries.len() as u64);
+        if let Err(fault) = self.merge_entries(entries) {
             return self.stop(fault);
         }
-        let matched = sent.max(self.commit);
+        let matched = last_sent.max(self.commit);
         self.commit = self.commit.max(commit.min(matched));
         self.send_synced(from, Body::Accepted { matched }, matched);
     }
 
-    /// The last index before `previous` that may be equal at the leader.
-    fn hint(&self, previous: Index) -> Index {
+    /// Returns the last index before `previous` that may match the leader's log.
+    ///
+    /// Skips all entries of the conflicting term.
+    fn conflict_hint(&self, previous: Index) -> Index {
         let last = self.log.last().index;
         if last < previous {
             return last;
@@ -174,11 +176,13 @@
         index
     }
 
-    /// Takes entries that follow one which is equal; what is committed is equal too.
-    fn merge(&mut self, entries: Vec<Entry>) -> Result<(), Fault> {
+    /// Appends entries that follow a matching one, replacing uncommitted conflicting entries.
+    ///
+    /// Fails if a committed entry conflicts.
+    fn merge_entries(&mut self, entries: Vec<Entry>) -> Result<(), Fault> {
         for entry in entries {
-            let known = entry.index < self.log.first() || self.log.has(entry.position());
-            if known {
+            let is_known = entry.index < self.log.first() || self.log.contains(entry.position());
+            if is_known {
                 continue;
             }
             if entry.index <= self.commit {
@@ -193,43 +197,46 @@
         Ok(())
     }
 
-    fn receive_chunk(&mut self, from: ReplicaId, part: Part) {
-        let position = part.position;
-        if position.index > self.commit && self.log.has(position) {
+    fn receive_chunk(&mut self, from: ReplicaId, chunk: SnapshotChunk) {
+        let position = chunk.position;
+        if position.index > self.commit && self.log.contains(position) {
             self.commit = position.index;
         }
         if position.index <= self.commit {
             let matched = self.commit;
             return self.send_synced(from, Body::Accepted { matched }, matched);
         }
-        let received = self.collect(&part);
-        if received < part.total {
+        let received = self.append_chunk(&chunk);
+        if received < chunk.total {
             let body = Body::ChunkReply { position, received };
             return self.send_synced(from, body, Index::default());
         }
-        self.install(position, part.config);
+        self.install_snapshot(position, chunk.config);
         let matched = position.index;
         self.send_synced(from, Body::Accepted { matched }, matched);
     }
 
-    /// Adds a part that follows what has come, and returns how much has come.
-    fn collect(&mut self, part: &Part) -> u64 {
-        let incoming = self.incoming.take().filter(|i| i.position == part.position);
-        let mut incoming = incoming.unwrap_or_else(|| Incoming {
-            position: part.position,
+    /// Appends a chunk if it is the next one, and returns the number of bytes received.
+    fn append_chunk(&mut self, chunk: &SnapshotChunk) -> u64 {
+        let incoming = self
+            .incoming_snapshot
+            .take()
+            .filter(|i| i.position == chunk.position);
+        let mut incoming = incoming.unwrap_or_else(|| IncomingSnapshot {
+            position: chunk.position,
             data: BytesMut::new(),
         });
-        if incoming.data.len() as u64 == part.offset {
-            incoming.data.extend_from_slice(&part.data);
+        if incoming.data.len() as u64 == chunk.offset {
+            incoming.data.extend_from_slice(&chunk.data);
         }
         let received = incoming.data.len() as u64;
-        self.incoming = Some(incoming);
+        self.incoming_snapshot = Some(incoming);
         received
     }
 
-    /// Replaces the log by the snapshot; it is handed to the adapter once it is synced.
-    fn install(&mut self, position: Position, config: Config) {
-        let Some(incoming) = self.incoming.take() else {
+    /// Replaces the log with the received snapshot, which is passed to the adapter once synced.
+    fn install_snapshot(&mut self, position: Position, config: Config) {
+        let Some(incoming) = self.incoming_snapshot.take() else {
             return;
         };
         let snapshot = Snapshot {
@@ -242,7 +249,7 @@
         self.persistence.install(snapshot, self.applied);
     }
 
-    /// Takes a snapshot of the applied state into the log's place.
+    /// Compacts the log with a snapshot of the applied state.
     pub(super) fn compact(&mut self, index: Index, data: Bytes) {
         if index > self.applied || index <= self.log.snapshot().position.index {
             return;
--- a/crates/consensus/src/node/lead.rs
+++ b/crates/consensus/src/node/lead.rs
@@ -23,55 +23,56 @@
 use super::State;
 
 impl Node {
-    /// Looks at a leader's timers: its quorum, its disk, its heartbeat, its hand-over.
+    /// Processes a leader's timers: check-quorum, stalled writes, heartbeats and transfers.
     pub(super) fn tick_leader(&mut self) {
         let State::Leader(leader) = &mut self.state else {
             return;
         };
-        if self.now < leader.beat {
+        if self.now < leader.next_heartbeat {
             return;
         }
-        leader.beat = self.now + self.settings.heartbeat_interval;
+        leader.next_heartbeat = self.now + self.settings.heartbeat_interval;
         if leader
             .transfer
             .as_ref()
-            .is_some_and(|t| t.until <= self.now)
+            .is_some_and(|t| t.deadline <= self.now)
         {
             leader.transfer = None;
         }
-        let confirmed = quorum::elects(self.log.config(), |id| self.is_active(id));
-        if confirmed && !self.disk_hangs() {
+        let confirmed = quorum::has_election_quorum(self.log.config(), |id| self.is_active(id));
+        if confirmed && !self.is_write_stalled() {
             self.broadcast_heartbeat();
         } else {
             self.become_follower(self.hard_state.term, None);
         }
     }
 
-    /// Whether the disk has left a write unanswered for so long that another should lead.
-    pub(super) fn disk_hangs(&self) -> bool {
+    /// Whether a write has been in flight for at least the write timeout.
+    pub(super) fn is_write_stalled(&self) -> bool {
         self.persistence
-            .hangs(self.now, self.settings.write_timeout)
+            .is_write_stalled(self.now, self.settings.write_timeout)
     }
 
-    /// Whether a voter is this leader or has answered it in the last election timeout.
+    /// Whether a voter is this leader or has responded to it within the minimum election timeout.
     pub(super) fn is_active(&self, id: ReplicaId) -> bool {
         let since = self.now.before(self.settings.election_timeout);
         let State::Leader(leader) = &self.state else {
             return false;
         };
-        id == self.id || leader.heard_since(id, since)
+        id == self.id || leader.responded_since(id, since)
     }
 
-    /// Voters that have not answered this leader for `span`; none elsewhere.
+    /// Returns the voters that have not responded to this leader for `timeout`; empty if this
+    /// replica is not the leader.
     #[must_use]
-    pub fn unresponsive_voters(&self, span: Duration) -> Vec<ReplicaId> {
+    pub fn unresponsive_voters(&self, timeout: Duration) -> Vec<ReplicaId> {
         let State::Leader(leader) = &self.state else {
             return Vec::new();
         };
-        let since = self.now.before(span);
+        let since = self.now.before(timeout);
         let voters = self.log.config().voters.keys().copied();
         voters
-            .filter(|id| *id != self.id && !leader.heard_since(*id, since))
+            .filter(|id| *id != self.id && !leader.responded_since(*id, since))
             .collect()
     }
 
@@ -84,11 +85,11 @@
                 commit: self.commit.min(peer.matched),
                 round: leader.reads.round,
             };
-            self.out.push(Action::Send(self.message(*to, body)));
+            self.actions.push(Action::Send(self.message(*to, body)));
         }
     }
 
-    /// The entries after `from` up to `to` in bytes.
+    /// The size of the entries after `from` up to `to`, in bytes.
     pub(super) fn bytes_between(&self, from: Index, to: Index) -> usize {
         let entries = (from.0 + 1..=to.0).filter_map(|i| self.log.get(Index(i)));
         entries.map(Entry::size).sum()
@@ -98,7 +99,7 @@
         self.append(Payload::Noop);
     }
 
-    /// Appends an entry of the leader's term.
+    /// Appends an entry in the leader's term.
     pub(super) fn append(&mut self, payload: Payload) -> Index {
         let entry = Entry {
             term: self.hard_state.term,
@@ -107,18 +108,18 @@
         };
         let index = entry.index;
         if let State::Leader(leader) = &mut self.state {
-            leader.open_bytes += entry.size();
+            leader.uncommitted_bytes += entry.size();
         }
         self.log.push(entry);
         index
     }
 
-    /// Appends a group, which is in force from now on.
+    /// Appends a configuration, which takes effect immediately.
     pub(super) fn append_config(&mut self, config: Config) -> Index {
         let index = self.append(Payload::Config(config));
-        self.recount = true;
+        self.commit_outdated = true;
         if let State::Leader(leader) = &mut self.state {
-            leader.follow(self.id, self.log.config(), index, self.now);
+            leader.update_peers(self.id, self.log.config(), index, self.now);
         }
         index
     }
@@ -129,12 +130,13 @@
         }
         let index = self.append(Payload::Data(data));
         if let State::Leader(leader) = &mut self.state {
-            leader.tickets.insert(index, ticket);
+            leader.proposals.insert(index, ticket);
         }
     }
 
-    /// The state of a leader that isn't handing over.
-    pub(super) fn check_office(&self) -> Result<&Leader, Rejection> {
+    /// Returns the leader state; fails if this replica is not the leader or a transfer is in
+    /// progress.
+    pub(super) fn require_leader(&self) -> Result<&Leader, Rejection> {
         match &self.state {
             State::Leader(leader) if leader.transfer.is_some() => Err(Rejection::Transferring),
             State::Leader(leader) => Ok(leader),
@@ -143,11 +145,11 @@
     }
 
     fn check_proposal(&self) -> Result<(), Rejection> {
-        let leader = self.check_office()?;
-        if leader.open_bytes >= self.settings.open_bytes {
+        let leader = self.require_leader()?;
+        if leader.uncommitted_bytes >= self.settings.max_uncommitted_bytes {
             return Err(Rejection::Busy);
         }
-        let lacking = quorum::lacking_region(self.log.config(), |id| self.is_active(id));
+        let lacking = quorum::region_without_majority(self.log.config(), |id| self.is_active(id));
         lacking.map_or(Ok(()), |region| Err(Rejection::RegionDown(region)))
     }
 
@@ -156,22 +158,22 @@
         self.log.term(self.commit) == Some(self.hard_state.term)
     }
 
-    /// Moves the commit index, then applies.
-    pub(super) fn advance(&mut self) {
+    /// Advances the commit index, then applies entries.
+    pub(super) fn advance_commit(&mut self) {
         if self.stopped {
             return;
         }
         if let State::Leader(leader) = &self.state
-            && mem::take(&mut self.recount)
+            && mem::take(&mut self.commit_outdated)
         {
             let matched = |id| self.matched(leader, id);
-            let accepted = quorum::accepted(self.log.config(), matched);
-            self.advance_to(accepted);
+            let index = quorum::quorum_index(self.log.config(), matched);
+            self.commit_to(index);
         }
         self.apply();
     }
 
-    /// The leader's own entries count once they are synced.
+    /// A replica's match index; the leader's own entries count once they are synced.
     fn matched(&self, leader: &Leader, id: ReplicaId) -> Index {
         if id == self.id {
             self.persistence.durable()
@@ -180,38 +182,40 @@
         }
     }
 
-    /// Counting commits only an entry of the own term, and all before it.
-    fn advance_to(&mut self, accepted: Index) {
-        if accepted <= self.commit || self.log.term(accepted) != Some(self.hard_state.term) {
+    /// Commits up to `index` if its entry has the current term; earlier terms' entries are
+    /// committed only along with it.
+    fn commit_to(&mut self, index: Index) {
+        if index <= self.commit || self.log.term(index) != Some(self.hard_state.term) {
             return;
         }
-        let closed = self.bytes_between(self.commit, accepted);
-        self.commit = accepted;
+        let committed_bytes = self.bytes_between(self.commit, index);
+        self.commit = index;
         if let State::Leader(leader) = &mut self.state {
-            leader.open_bytes -= closed;
+            leader.uncommitted_bytes -= committed_bytes;
         }
     }
 
-    /// Answers the proposals whose entries were applied.
-    pub(super) fn finish_tickets(&mut self) {
+    /// Completes the proposals and reads whose entries have been applied.
+    pub(super) fn complete_tickets(&mut self) {
         if let State::Leader(leader) = &mut self.state {
-            let open = leader.tickets.split_off(&self.applied.next());
-            let done = mem::replace(&mut leader.tickets, open);
+            let remaining = leader.proposals.split_off(&self.applied.next());
+            let done = mem::replace(&mut leader.proposals, remaining);
             for (index, ticket) in done {
-                self.out.push(Action::Committed { ticket, index });
+                self.actions.push(Action::Committed { ticket, index });
             }
         }
-        self.asks.release(self.applied, &mut self.out);
+        self.local_reads
+            .complete_applied(self.applied, &mut self.actions);
     }
 
-    /// Answers all that a leader which steps down had open.
-    pub(super) fn retire(&mut self, leader: Leader) {
-        let changes = leader.change.map(|c| c.ticket);
-        for ticket in leader.tickets.into_values().chain(changes) {
+    /// Rejects all pending requests of a leader that steps down.
+    pub(super) fn reject_pending_requests(&mut self, leader: Leader) {
+        let changes = leader.pending_change.map(|c| c.ticket);
+        for ticket in leader.proposals.into_values().chain(changes) {
             self.reject(ticket, Rejection::Uncertain);
         }
-        let reads = leader.reads.open.into_iter().chain(leader.reads.waiting);
-        for read in reads.filter(|r| r.reader == Reader::Own) {
+        let reads = leader.reads.in_round.into_iter().chain(leader.reads.queued);
+        for read in reads.filter(|r| r.reader == Reader::Local) {
             self.reject(read.ticket, Rejection::NotLeader(None));
         }
     }
--- a/crates/consensus/src/node/read.rs
+++ b/crates/consensus/src/node/read.rs
@@ -1,4 +1,5 @@
-//! Linearisable reads: a leader confirms itself by a round of heartbeats, a follower asks it.
+//! Linearisable reads (read index): a leader confirms its leadership with a heartbeat round;
+//! a follower requests the read index from the leader.
 
 use std::mem;
 
@@ -18,70 +19,80 @@
 use super::Node;
 use super::State;
 
-/// One question to the leader, for all the reads that had come by then.
+/// A read index request to the leader, which serves a batch of reads.
 #[derive(Debug)]
-struct Ask {
+struct ReadRequest {
     number: Ticket,
     tickets: Vec<Ticket>,
-    since: Moment,
+    started_at: Moment,
 }
 
-/// A read whose index is known and not applied here yet.
+/// A read whose index is known but not applied locally yet.
 #[derive(Debug)]
-struct Ready {
+struct ConfirmedRead {
     ticket: Ticket,
     index: Index,
-    since: Moment,
+    started_at: Moment,
 }
 
-/// A replica's own reads that wait: for the next question, for its answer, for the index.
+/// Reads of this replica's adapter: queued, waiting for a read index, or waiting for its entry
+/// to be applied.
 #[derive(Debug, Default)]
-pub(super) struct Asks {
+pub(super) struct LocalReads {
     queued: Vec<Ticket>,
-    open: Option<Ask>,
-    ready: Vec<Ready>,
+    in_flight: Option<ReadRequest>,
+    confirmed: Vec<ConfirmedRead>,
 }
 
-impl Asks {
+impl LocalReads {
     fn len(&self) -> usize {
-        let open = self.open.as_ref().map_or(0, |ask| ask.tickets.len());
-        self.queued.len() + open + self.ready.len()
+        let in_flight = self
+            .in_flight
+            .as_ref()
+            .map_or(0, |request| request.tickets.len());
+        self.queued.len() + in_flight + self.confirmed.len()
     }
 
-    /// When the first wait is over.
+    /// When the oldest read times out.
     pub(super) fn deadline(&self, settings: &Settings) -> Option<Moment> {
-        let ready = self.ready.iter().map(|r| r.since);
-        let first = ready.chain(self.open.iter().map(|ask| ask.since)).min()?;
+        let confirmed = self.confirmed.iter().map(|r| r.started_at);
+        let first = confirmed
+            .chain(self.in_flight.iter().map(|request| request.started_at))
+            .min()?;
         Some(first + settings.election_timeout * 2)
     }
 
-    /// Answers the reads whose index is applied.
-    pub(super) fn release(&mut self, applied: Index, out: &mut Vec<Action>) {
-        self.ready.retain(|read| {
-            let due = read.index <= applied;
-            if due {
+    /// Completes the reads whose index is applied.
+    pub(super) fn complete_applied(&mut self, applied: Index, actions: &mut Vec<Action>) {
+        self.confirmed.retain(|read| {
+            let is_applied = read.index <= applied;
+            if is_applied {
                 let (ticket, index) = (read.ticket, read.index);
-                out.push(Action::ReadReady { ticket, index });
+                actions.push(Action::ReadReady { ticket, index });
             }
-            !due
+            !is_applied
         });
     }
 
-    /// Rejects the reads that have no index yet.
-    fn reject_asked(&mut self, reason: &Rejection, out: &mut Vec<Action>) {
-        let open = self.open.take().map(|ask| ask.tickets).unwrap_or_default();
-        for ticket in open.into_iter().chain(self.queued.drain(..)) {
+    /// Rejects the reads that have no read index yet.
+    fn reject_unconfirmed(&mut self, reason: &Rejection, actions: &mut Vec<Action>) {
+        let in_flight = self
+            .in_flight
+            .take()
+            .map(|request| request.tickets)
+            .unwrap_or_default();
+        for ticket in in_flight.into_iter().chain(self.queued.drain(..)) {
             let reason = reason.clone();
-            out.push(Action::Rejected { ticket, reason });
+            actions.push(Action::Rejected { ticket, reason });
         }
     }
 
     /// Rejects every read.
-    pub(super) fn reject_all(&mut self, reason: &Rejection, out: &mut Vec<Action>) {
-        self.reject_asked(reason, out);
-        for read in self.ready.drain(..) {
+    pub(super) fn reject_all(&mut self, reason: &Rejection, actions: &mut Vec<Action>) {
+        self.reject_unconfirmed(reason, actions);
+        for read in self.confirmed.drain(..) {
             let (ticket, reason) = (read.ticket, reason.clone());
-            out.push(Action::Rejected { ticket, reason });
+            actions.push(Action::Rejected { ticket, reason });
         }
     }
 }
@@ -89,80 +100,86 @@
 impl Node {
     pub(super) fn read(&mut self, ticket: Ticket) {
         let leader = self.leader_id();
-        if self.open_reads() >= self.settings.open_reads {
+        if self.pending_reads() >= self.settings.max_pending_reads {
             return self.reject(ticket, Rejection::Busy);
         }
         if let State::Leader(leader) = &mut self.state {
-            let reader = Reader::Own;
-            leader.reads.waiting.push(Read { reader, ticket });
+            let reader = Reader::Local;
+            leader.reads.queued.push(Read { reader, ticket });
         } else if leader.is_some() {
-            self.asks.queued.push(ticket);
+            self.local_reads.queued.push(ticket);
         } else {
             self.reject(ticket, Rejection::NotLeader(None));
         }
     }
 
-    fn open_reads(&self) -> usize {
+    fn pending_reads(&self) -> usize {
         let State::Leader(leader) = &self.state else {
-            return self.asks.len();
+            return self.local_reads.len();
         };
-        self.asks.len() + leader.reads.open.len() + leader.reads.waiting.len()
+        self.local_reads.len() + leader.reads.in_round.len() + leader.reads.queued.len()
     }
 
-    pub(super) fn receive_ask(&mut self, from: ReplicaId, ticket: Ticket) {
-        let full = self.open_reads() >= self.settings.open_reads;
+    pub(super) fn receive_read_request(&mut self, from: ReplicaId, ticket: Ticket) {
+        let is_full = self.pending_reads() >= self.settings.max_pending_reads;
         if let State::Leader(leader) = &mut self.state
             && leader.peers.contains_key(&from)
-            && !full
+            && !is_full
         {
             let reader = Reader::Peer(from);
-            leader.reads.waiting.push(Read { reader, ticket });
+            leader.reads.queued.push(Read { reader, ticket });
         }
     }
 
-    pub(super) fn receive_answer(&mut self, number: Ticket, index: Index) {
-        let Some(ask) = self.asks.open.take_if(|ask| ask.number == number) else {
+    pub(super) fn receive_read_index(&mut self, number: Ticket, index: Index) {
+        let Some(request) = self
+            .local_reads
+            .in_flight
+            .take_if(|request| request.number == number)
+        else {
             return;
         };
-        for ticket in ask.tickets {
-            self.settle_read(ticket, index);
+        for ticket in request.tickets {
+            self.complete_when_applied(ticket, index);
         }
     }
 
-    /// Answers a read once its index is applied here.
-    fn settle_read(&mut self, ticket: Ticket, index: Index) {
-        let since = self.now;
-        self.asks.ready.push(Ready {
+    /// Completes a read once its index is applied locally.
+    fn complete_when_applied(&mut self, ticket: Ticket, index: Index) {
+        let started_at = self.now;
+        self.local_reads.confirmed.push(ConfirmedRead {
             ticket,
             index,
-            since,
+            started_at,
         });
-        self.asks.release(self.applied, &mut self.out);
+        self.local_reads
+            .complete_applied(self.applied, &mut self.actions);
     }
 
-    /// Moves reads on: a leader's by rounds, a follower's by questions.
-    pub(super) fn pump_reads(&mut self) {
+    /// Advances pending reads: with heartbeat rounds at a leader, with read index requests at a
+    /// follower.
+    pub(super) fn advance_reads(&mut self) {
         if matches!(self.state, State::Leader(_)) {
             self.finish_round();
             self.start_round();
         } else {
-            self.ask_leader();
+            self.request_read_index();
         }
     }
 
-    /// One round serves all the reads that came before it began.
+    /// Starts a heartbeat round for all queued reads.
     fn start_round(&mut self) {
-        let settled = self.is_ready();
+        let is_ready = self.is_ready();
         let State::Leader(leader) = &mut self.state else {
             return;
         };
         let reads = &mut leader.reads;
-        if !settled || reads.waiting.is_empty() || !reads.open.is_empty() {
+        if !is_ready || reads.queued.is_empty() || !reads.in_round.is_empty() {
             return;
         }
         reads.round += 1;
         reads.index = self.commit;
-        reads.open = mem::take(&mut reads.waiting);
+        reads.in_round = mem::take(&mut reads.queued);
         self.broadcast_heartbeat();
         self.finish_round();
     }
@@ -171,11 +188,13 @@
         let State::Leader(leader) = &mut self.state else {
             return;
         };
-        if leader.reads.open.is_empty() || !leader.is_confirmed(self.id, self.log.config()) {
+        if leader.reads.in_round.is_empty()
+            || !leader.is_round_confirmed(self.id, self.log.config())
+        {
             return;
         }
         let index = leader.reads.index;
-        for read in mem::take(&mut leader.reads.open) {
+        for read in mem::take(&mut leader.reads.in_round) {
             self.answer_read(read, index);
         }
     }
@@ -183,39 +202,44 @@
     fn answer_read(&mut self, read: Read, index: Index) {
         let ticket = read.ticket;
         match read.reader {
-            Reader::Own => self.settle_read(ticket, index),
+            Reader::Local => self.complete_when_applied(ticket, index),
             Reader::Peer(to) => self.send(to, Body::ReadAnswer { ticket, index }),
         }
     }
 
-    /// Numbers are drawn, so that an answer to this replica before a restart fits no question after it.
-    fn ask_leader(&mut self) {
+    /// Requests a read index from the leader.
+    ///
+    /// The request number is random, so that an answer to a request from before a restart
+    /// matches no request after it.
+    fn request_read_index(&mut self) {
         let Some(to) = self.leader_id() else {
             return;
         };
-        if self.asks.open.is_some() || self.asks.queued.is_empty() {
+        if self.local_reads.in_flight.is_some() || self.local_reads.queued.is_empty() {
             return;
         }
         let number = Ticket(self.rng.random());
-        self.asks.open = Some(Ask {
+        self.local_reads.in_flight = Some(ReadRequest {
             number,
-            tickets: mem::take(&mut self.asks.queued),
-            since: self.now,
+            tickets: mem::take(&mut self.local_reads.queued),
+            started_at: self.now,
         });
         self.send(to, Body::ReadAsk { ticket: number });
     }
 
-    /// Rejects the reads that another leader was asked for.
-    pub(super) fn restart_asks(&mut self) {
+    /// Rejects the reads that wait for a read index from the previous leader.
+    pub(super) fn reject_unconfirmed_reads(&mut self) {
         let reason = Rejection::NotLeader(self.leader_id());
-        self.asks.reject_asked(&reason, &mut self.out);
+        self.local_reads
+            .reject_unconfirmed(&reason, &mut self.actions);
     }
 
-    /// Rejects the reads that have waited too long.
-    pub(super) fn expire_asks(&mut self) {
-        let deadline = self.asks.deadline(&self.settings);
+    /// Rejects all reads when the oldest one times out.
+    pub(super) fn expire_reads(&mut self) {
+        let deadline = self.local_reads.deadline(&self.settings);
         if deadline.is_some_and(|moment| moment <= self.now) {
-            self.asks.reject_all(&Rejection::Timeout, &mut self.out);
+            self.local_reads
+                .reject_all(&Rejection::Timeout, &mut self.actions);
         }
     }
 }
--- a/crates/consensus/src/node/replicate.rs
+++ b/crates/consensus/src/node/replicate.rs
@@ -1,4 +1,4 @@
-//! How a leader sends its log.
+//! Log replication on the leader.
 
 use base::prelude::*;
 
@@ -10,77 +10,82 @@
 use crate::log::Log;
 use crate::message::Body;
 use crate::message::Message;
-use crate::progress::Flow;
 use crate::progress::Progress;
+use crate::progress::ReplicationState;
 use crate::settings::Settings;
 
 use super::Node;
 use super::State;
 
-/// A leader's view from which one follower is served.
-struct Feed<'a> {
+/// The parts of a leader's state needed to replicate to one follower.
+struct Replicator<'a> {
     id: ReplicaId,
     term: Term,
     log: &'a Log,
     settings: &'a Settings,
     commit: Index,
-    /// Entries beyond are in no write yet: what gathers for one write gathers for one append.
+    /// The last entry included in a write. Later entries are held back, so that a batch for
+    /// one write is also sent in one append.
     limit: Index,
     now: Moment,
-    out: &'a mut Vec<Action>,
+    actions: &'a mut Vec<Action>,
 }
 
 impl Node {
-    /// Sends each follower what it lacks and may have now.
+    /// Sends each follower the entries or snapshot chunks that flow control allows.
     pub(super) fn replicate(&mut self) {
         let State::Leader(leader) = &mut self.state else {
             return;
         };
-        let mut feed = Feed {
+        let mut replicator = Replicator {
             id: self.id,
             term: self.hard_state.term,
             log: &self.log,
             settings: &self.settings,
             commit: self.commit,
-            limit: self.persistence.written(),
+            limit: self.persistence.last_written(),
             now: self.now,
-            out: &mut self.out,
+            actions: &mut self.actions,
         };
         for (to, peer) in &mut leader.peers {
-            feed.serve(*to, peer);
+            replicator.replicate_to(*to, peer);
         }
     }
 }
 
-impl Feed<'_> {
-    fn serve(&mut self, to: ReplicaId, peer: &mut Progress) {
+impl Replicator<'_> {
+    fn replicate_to(&mut self, to: ReplicaId, peer: &mut Progress) {
         self.restart_stalled(peer);
-        if peer.next < self.log.first() && !matches!(peer.flow, Flow::Snapshot { .. }) {
-            peer.flow = Flow::Snapshot {
+        if peer.next < self.log.first() && !matches!(peer.state, ReplicationState::Snapshot { .. })
+        {
+            peer.state = ReplicationState::Snapshot {
                 snapshot: self.log.snapshot().clone(),
                 offset: 0,
-                asked: None,
+                sent_at: None,
             };
         }
-        match peer.flow {
-            Flow::Probe { asked } => self.probe(to, peer, asked),
-            Flow::Stream { .. } => self.stream(to, peer),
-            Flow::Snapshot { .. } => self.send_chunk(to, peer),
+        match peer.state {
+            ReplicationState::Probe { sent_at } => self.send_probe(to, peer, sent_at),
+            ReplicationState::Replicate { .. } => self.send_appends(to, peer),
+            ReplicationState::Snapshot { .. } => self.send_chunk(to, peer),
         }
     }
 
-    /// Goes back to probing where answers have stopped, and lets go of the snapshot of a silent one.
+    /// Returns to probing if a follower has stopped responding, and releases its snapshot.
     fn restart_stalled(&self, peer: &mut Progress) {
-        let stalled = match &peer.flow {
-            Flow::Probe { .. } => false,
-            Flow::Stream { flight, since } => !flight.is_empty() && self.is_late(*since),
-            Flow::Snapshot { .. } => {
-                self.now.since(peer.heard) >= self.settings.election_timeout * 2
+        let stalled = match &peer.state {
+            ReplicationState::Probe { .. } => false,
+            ReplicationState::Replicate {
+                in_flight,
+                last_progress,
+            } => !in_flight.is_empty() && self.is_overdue(*last_progress),
+            ReplicationState::Snapshot { .. } => {
+                self.now.since(peer.last_response) >= self.settings.election_timeout * 2
             }
         };
         if stalled {
-            let silent = matches!(peer.flow, Flow::Snapshot { .. });
-            peer.probe(if silent {
+            let in_snapshot = matches!(peer.state, ReplicationState::Snapshot { .. });
+            peer.start_probe(if in_snapshot {
                 self.log.last().index.next()
             } else {
                 peer.matched.next()
@@ -88,19 +93,19 @@
         }
     }
 
-    fn is_late(&self, since: Moment) -> bool {
-        self.now.since(since) >= self.settings.election_timeout / 2
+    fn is_overdue(&self, sent_at: Moment) -> bool {
+        self.now.since(sent_at) >= self.settings.election_timeout / 2
     }
 
-    /// The first probe carries entries; when it isn't answered, the next ones are empty.
-    fn probe(&mut self, to: ReplicaId, peer: &mut Progress, asked: Option<Moment>) {
-        if asked.is_some_and(|moment| !self.is_late(moment)) {
+    /// Sends a probe. The first one carries entries; retries are empty.
+    fn send_probe(&mut self, to: ReplicaId, peer: &mut Progress, sent_at: Option<Moment>) {
+        if sent_at.is_some_and(|moment| !self.is_overdue(moment)) {
             return;
         }
-        peer.flow = Flow::Probe {
-            asked: Some(self.now),
+        peer.state = ReplicationState::Probe {
+            sent_at: Some(self.now),
         };
-        let limit = if asked.is_none() {
+        let limit = if sent_at.is_none() {
             self.limit
         } else {
             peer.next.previous()
@@ -108,28 +113,32 @@
         self.send_append(to, peer.next, limit);
     }
 
-    fn stream(&mut self, to: ReplicaId, peer: &mut Progress) {
-        let Flow::Stream { flight, since } = &mut peer.flow else {
+    fn send_appends(&mut self, to: ReplicaId, peer: &mut Progress) {
+        let ReplicationState::Replicate {
+            in_flight,
+            last_progress,
+        } = &mut peer.state
+        else {
             return;
         };
-        while peer.next <= self.limit && flight.len() < self.settings.window {
+        while peer.next <= self.limit && in_flight.len() < self.settings.max_in_flight_appends {
             let last = self.send_append(to, peer.next, self.limit);
-            if flight.is_empty() {
-                *since = self.now;
+            if in_flight.is_empty() {
+                *last_progress = self.now;
             }
-            flight.push_back(last);
+            in_flight.push_back(last);
             peer.next = last.next();
         }
     }
 
-    /// Sends entries from `next` and returns the last one's index.
+    /// Sends entries from `next` on and returns the index of the last one sent.
     fn send_append(&mut self, to: ReplicaId, next: Index, limit: Index) -> Index {
         let index = next.previous();
         let previous = Position {
             term: self.log.term(index).unwrap_or_default(),
             index,
         };
-        let entries = self.log.slice(next, limit, self.settings.batch_bytes);
+        let entries = self.log.slice(next, limit, self.settings.max_batch_bytes);
         let last = entries.last().map_or(index, |e| e.index);
         let body = Body::Append {
             previous,
@@ -141,19 +150,22 @@
     }
 
     fn send_chunk(&mut self, to: ReplicaId, peer: &mut Progress) {
-        let Flow::Snapshot {
+        let ReplicationState::Snapshot {
             snapshot,
             offset,
-            asked,
-        } = &mut peer.flow
+            sent_at,
+        } = &mut peer.state
         else {
             return;
         };
-        if asked.is_some_and(|moment| !self.is_late(moment)) {
+        if sent_at.is_some_and(|moment| !self.is_overdue(moment)) {
             return;
         }
-        *asked = Some(self.now);
-        let end = snapshot.data.len().min(*offset + self.settings.chunk_bytes);
+        *sent_at = Some(self.now);
+        let end = snapshot
+            .data
+            .len()
+            .min(*offset + self.settings.max_chunk_bytes);
         let body = Body::Chunk {
             position: snapshot.position,
             config: snapshot.config.clone(),
@@ -171,6 +183,6 @@
             term: self.term,
             body,
         };
-        self.out.push(Action::Send(message));
+        self.actions.push(Action::Send(message));
     }
 }
--- a/crates/consensus/src/node/transfer.rs
+++ b/crates/consensus/src/node/transfer.rs
@@ -1,4 +1,4 @@
-//! Handing leadership over before a graceful stop.
+//! Leadership transfer.
 
 use crate::entry::ReplicaId;
 use crate::leader::Transfer;
@@ -8,24 +8,25 @@
 use super::State;
 
 impl Node {
-    /// Picks the voter that is furthest, and takes no proposal until it leads or time is up.
+    /// Starts a transfer to the most up-to-date active voter. Proposals are rejected until
+    /// the transfer succeeds or times out.
     pub(super) fn start_transfer(&mut self) {
-        let Some(to) = self.successor() else {
+        let Some(to) = self.transfer_target() else {
             return;
         };
-        let until = self.now + self.settings.election_timeout;
+        let deadline = self.now + self.settings.election_timeout;
         if let State::Leader(leader) = &mut self.state
             && leader.transfer.is_none()
         {
             leader.transfer = Some(Transfer {
                 to,
-                until,
-                asked: false,
+                deadline,
+                requested: false,
             });
         }
     }
 
-    fn successor(&self) -> Option<ReplicaId> {
+    fn transfer_target(&self) -> Option<ReplicaId> {
         let State::Leader(leader) = &self.state else {
             return None;
         };
@@ -37,7 +38,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Asks the chosen voter to campaign once it has the whole log.
+    /// Asks the target to campaign once it has the whole log.
     pub(super) fn continue_transfer(&mut self) {
         let last = self.log.last().index;
         let State::Leader(leader) = &mut self.state else {
@@ -47,9 +48,9 @@
             return;
         };
         let to = transfer.to;
-        let complete = leader.peers.get(&to).is_some_and(|p| p.matched == last);
-        if complete && !transfer.asked {
-            transfer.asked = true;
+        let has_whole_log = leader.peers.get(&to).is_some_and(|p| p.matched == last);
+        if has_whole_log && !transfer.requested {
+            transfer.requested = true;
             self.send(to, Body::CampaignNow);
         }
     }
--- a/crates/consensus/src/persistence.rs
+++ b/crates/consensus/src/persistence.rs
@@ -1,9 +1,8 @@
-//! What of a replica's state is synced, and the messages that wait for it.
+//! Tracks which part of a replica's state is synced, and the messages that depend on a sync.
 //!
-//! One write is in flight at most. Changes meanwhile gather into the next one,
-//! which is group commit. A message that claims something about the disk is held
-//! here until the write that makes it true is synced, so that no adapter can
-//! send it early.
+//! At most one write is in flight; changes made meanwhile are batched into the next
+//! one (group commit). A message that states something about stored data is held back
+//! until the corresponding write is synced.
 
 use std::collections::VecDeque;
 use std::mem;
@@ -21,169 +20,181 @@
 use crate::stored::Snapshot;
 
 #[derive(Debug)]
-struct Flight {
+struct InFlightWrite {
     number: WriteNumber,
-    since: Moment,
-    /// The last entry synced once the write is, lowered where entries are dropped meanwhile.
-    last: Index,
-    hard_state: bool,
-    install: Option<Snapshot>,
+    started_at: Moment,
+    /// The last entry that the write makes durable, lowered if entries are truncated meanwhile.
+    last_index: Index,
+    has_hard_state: bool,
+    received_snapshot: Option<Snapshot>,
 }
 
 #[derive(Debug)]
-struct Held {
-    after: WriteNumber,
+struct PendingMessage {
+    required_write: WriteNumber,
     message: Message,
 }
 
-/// What a synced write brought.
+/// Effects of a completed write.
 #[derive(Debug, Default)]
-pub(crate) struct Synced {
-    /// A received snapshot that is synced now.
-    pub(crate) install: Option<Snapshot>,
-    /// The messages that waited, in order.
+pub(crate) struct CompletedWrite {
+    /// A received snapshot that is now synced.
+    pub(crate) received_snapshot: Option<Snapshot>,
+    /// The messages that waited for the write, in order.
     pub(crate) messages: Vec<Message>,
 }
 
-/// The distance between the state in memory and the state on disk.
+/// The difference between the state in memory and the stored state.
 #[derive(Debug)]
 pub(crate) struct Persistence {
-    next: WriteNumber,
-    flight: Option<Flight>,
-    /// Every entry up to here is synced.
+    next_number: WriteNumber,
+    in_flight: Option<InFlightWrite>,
+    /// Every entry up to this index is synced.
     durable: Index,
-    /// The first entry that is in no write yet.
-    unwritten: Index,
-    hard_state: bool,
+    /// The first entry that has not been included in a write.
+    first_unwritten: Index,
+    hard_state_changed: bool,
     truncate: Option<Index>,
     snapshot: Option<Snapshot>,
-    install: bool,
-    held: VecDeque<Held>,
+    snapshot_received: bool,
+    pending_messages: VecDeque<PendingMessage>,
 }
 
 impl Persistence {
-    /// A disk that holds everything up to `last`.
+    /// Starts with every entry up to `last` stored.
     pub(crate) fn new(last: Index) -> Self {
         Self {
-            next: WriteNumber(1),
-            flight: None,
+            next_number: WriteNumber(1),
+            in_flight: None,
             durable: last,
-            unwritten: last.next(),
-            hard_state: false,
+            first_unwritten: last.next(),
+            hard_state_changed: false,
             truncate: None,
             snapshot: None,
-            install: false,
-            held: VecDeque::new(),
+            snapshot_received: false,
+            pending_messages: VecDeque::new(),
         }
     }
 
-    /// Every entry up to here is synced.
+    /// Every entry up to this index is synced.
     pub(crate) fn durable(&self) -> Index {
         self.durable
     }
 
-    /// Every entry up to here is synced or in the write in flight.
-    pub(crate) fn written(&self) -> Index {
-        self.unwritten.previous()
+    /// Every entry up to this index is synced or in the write in flight.
+    pub(crate) fn last_written(&self) -> Index {
+        self.first_unwritten.previous()
     }
 
     /// Whether the term and vote in memory are synced.
-    pub(crate) fn is_hard_synced(&self) -> bool {
-        !self.hard_state && !self.flight.as_ref().is_some_and(|f| f.hard_state)
+    pub(crate) fn is_hard_state_synced(&self) -> bool {
+        !self.hard_state_changed && !self.in_flight.as_ref().is_some_and(|f| f.has_hard_state)
     }
 
-    /// Whether a write has been in flight for `span`.
-    pub(crate) fn hangs(&self, now: Moment, span: Duration) -> bool {
-        let late = |flight: &Flight| now.since(flight.since) >= span;
-        self.flight.as_ref().is_some_and(late)
+    /// Whether a write has been in flight for at least `timeout`.
+    pub(crate) fn is_write_stalled(&self, now: Moment, timeout: Duration) -> bool {
+        let is_overdue = |in_flight: &InFlightWrite| now.since(in_flight.started_at) >= timeout;
+        self.in_flight.as_ref().is_some_and(is_overdue)
     }
 
-    /// The term or the vote has changed.
-    pub(crate) fn mark_hard(&mut self) {
-        self.hard_state = true;
+    /// Records that the term or the vote has changed.
+    pub(crate) fn mark_hard_state_changed(&mut self) {
+        self.hard_state_changed = true;
     }
 
-    /// Entries from `index` on were dropped from the log.
+    /// Records that entries from `index` on were removed from the log.
     pub(crate) fn truncate(&mut self, index: Index) {
-        if index < self.unwritten {
+        if index < self.first_unwritten {
             self.truncate = Some(self.truncate.map_or(index, |t| t.min(index)));
-            self.unwritten = index;
+            self.first_unwritten = index;
         }
-        self.lower(index.previous());
+        self.lower_durable(index.previous());
     }
 
-    /// Entries from `index` on are on disk and not in the log; the next write drops them.
-    pub(crate) fn drop_from(&mut self, index: Index) {
+    /// Makes the next write remove stored entries from `index` on, which are not in the log.
+    pub(crate) fn truncate_stored(&mut self, index: Index) {
         self.truncate = Some(index);
     }
 
-    /// Entries up to `index` are held by a snapshot that is synced.
-    pub(crate) fn raise(&mut self, index: Index) {
+    /// Records that a synced snapshot covers the entries up to `index`.
+    pub(crate) fn raise_durable(&mut self, index: Index) {
         self.durable = self.durable.max(index);
     }
 
-    /// A snapshot of the log itself was taken.
+    /// Schedules the write of a snapshot taken of the local state.
     pub(crate) fn compact(&mut self, snapshot: Snapshot) {
         self.snapshot = Some(snapshot);
     }
 
-    /// A received snapshot has replaced the log; `applied` was applied before.
+    /// Schedules the write of a received snapshot that replaces the log; `applied` is
+    /// the applied index before it.
     ///
-    /// Every entry on disk is dropped: one at the snapshot's index may be of
-    /// another term, and would overrule what is appended after the snapshot.
+    /// All stored entries are removed: one at the snapshot's index may have another
+    /// term, and recovery would then discard the entries appended after the snapshot.
     pub(crate) fn install(&mut self, snapshot: Snapshot, applied: Index) {
         self.truncate = Some(Index(1));
-        self.unwritten = snapshot.position.index.next();
+        self.first_unwritten = snapshot.position.index.next();
         self.snapshot = Some(snapshot);
-        self.install = true;
-        self.lower(applied);
+        self.snapshot_received = true;
+        self.lower_durable(applied);
     }
 
-    fn lower(&mut self, last: Index) {
+    fn lower_durable(&mut self, last: Index) {
         self.durable = self.durable.min(last);
-        if let Some(flight) = &mut self.flight {
-            flight.last = flight.last.min(last);
+        if let Some(in_flight) = &mut self.in_flight {
+            in_flight.last_index = in_flight.last_index.min(last);
         }
     }
 
-    /// Passes `message` on once the hard state and the entries up to `index` are synced.
-    pub(crate) fn hold(&mut self, message: Message, index: Index) -> Option<Message> {
-        let Some(after) = self.after_hard().max(self.after_entry(index)) else {
+    /// Holds `message` until the hard state and the entries up to `index` are synced;
+    /// returns it if they already are.
+    pub(crate) fn hold_until_synced(&mut self, message: Message, index: Index) -> Option<Message> {
+        let Some(required_write) = self
+            .write_with_hard_state()
+            .max(self.write_with_entry(index))
+        else {
             return Some(message);
         };
-        let fits = |h: &&mut Held| h.after == after && same_kind(&h.message, &message);
-        match self.held.iter_mut().find(fits) {
-            Some(held) => held.message.body = latest(&held.message.body, message.body),
-            None => self.held.push_back(Held { after, message }),
+        let can_merge = |p: &&mut PendingMessage| {
+            p.required_write == required_write && is_same_kind(&p.message, &message)
+        };
+        match self.pending_messages.iter_mut().find(can_merge) {
+            Some(pending) => {
+                pending.message.body = merge_bodies(&pending.message.body, message.body);
+            }
+            None => self.pending_messages.push_back(PendingMessage {
+                required_write,
+                message,
+            }),
         }
         None
     }
 
-    fn after_hard(&self) -> Option<WriteNumber> {
-        if self.hard_state {
-            return Some(self.next);
+    fn write_with_hard_state(&self) -> Option<WriteNumber> {
+        if self.hard_state_changed {
+            return Some(self.next_number);
         }
-        self.flight
+        self.in_flight
             .as_ref()
-            .filter(|f| f.hard_state)
+            .filter(|f| f.has_hard_state)
             .map(|f| f.number)
     }
 
-    fn after_entry(&self, index: Index) -> Option<WriteNumber> {
+    fn write_with_entry(&self, index: Index) -> Option<WriteNumber> {
         if index <= self.durable {
             return None;
         }
-        let flight = self.flight.as_ref().filter(|f| index <= f.last);
-        Some(flight.map_or(self.next, |f| f.number))
+        let in_flight = self.in_flight.as_ref().filter(|f| index <= f.last_index);
+        Some(in_flight.map_or(self.next_number, |f| f.number))
     }
 
-    /// Forgets held messages, which belong to a term that is over.
-    pub(crate) fn forget(&mut self) {
-        self.held.clear();
+    /// Discards held messages when their term has ended.
+    pub(crate) fn discard_pending(&mut self) {
+        self.pending_messages.clear();
     }
 
-    /// The next write, unless one is in flight or there is nothing to write.
-    pub(crate) fn flush(
+    /// Starts the next write, unless one is in flight or there is nothing to write.
+    pub(crate) fn begin_write(
         &mut self,
         log: &Log,
         hard_state: HardState,
@@ -191,57 +202,65 @@
         now: Moment,
     ) -> Option<Write> {
         let last = log.last().index;
-        let dirty = self.hard_state
+        let has_changes = self.hard_state_changed
             || self.snapshot.is_some()
             || self.truncate.is_some()
-            || self.unwritten <= last;
-        if self.flight.is_some() || !dirty {
+            || self.first_unwritten <= last;
+        if self.in_flight.is_some() || !has_changes {
             return None;
         }
         let write = Write {
-            number: self.next,
-            hard_state: self.hard_state.then_some(hard_state),
+            number: self.next_number,
+            hard_state: self.hard_state_changed.then_some(hard_state),
             snapshot: self.snapshot.take(),
             truncate: self.truncate.take(),
-            entries: log.slice(self.unwritten, last, usize::MAX),
+            entries: log.slice(self.first_unwritten, last, usize::MAX),
             commit,
         };
-        self.flight = Some(Flight {
-            number: self.next,
-            since: now,
-            last,
-            hard_state: self.hard_state,
-            install: write.snapshot.clone().filter(|_| self.install),
+        self.in_flight = Some(InFlightWrite {
+            number: self.next_number,
+            started_at: now,
+            last_index: last,
+            has_hard_state: self.hard_state_changed,
+            received_snapshot: write.snapshot.clone().filter(|_| self.snapshot_received),
         });
-        self.next.0 += 1;
-        self.unwritten = last.next();
-        self.hard_state = false;
-        self.install = false;
+        self.next_number.0 += 1;
+        self.first_unwritten = last.next();
+        self.hard_state_changed = false;
+        self.snapshot_received = false;
         Some(write)
     }
 
-    /// The write `number` is synced; nothing comes of another number.
-    pub(crate) fn synced(&mut self, number: WriteNumber) -> Synced {
-        let Some(flight) = self.flight.take_if(|f| f.number == number) else {
-            return Synced::default();
+    /// Completes the write `number`; any other number is ignored.
+    pub(crate) fn complete_write(&mut self, number: WriteNumber) -> CompletedWrite {
+        let Some(in_flight) = self.in_flight.take_if(|f| f.number == number) else {
+            return CompletedWrite::default();
         };
-        self.durable = self.durable.max(flight.last);
-        let ready = self.held.iter().take_while(|h| h.after <= number).count();
-        Synced {
-            install: flight.install,
-            messages: self.held.drain(..ready).map(|h| h.message).collect(),
+        self.durable = self.durable.max(in_flight.last_index);
+        let ready = self
+            .pending_messages
+            .iter()
+            .take_while(|p| p.required_write <= number)
+            .count();
+        CompletedWrite {
+            received_snapshot: in_flight.received_snapshot,
+            messages: self
+                .pending_messages
+                .drain(..ready)
+                .map(|p| p.message)
+                .collect(),
         }
     }
 }
 
-/// Whether one of two messages to a replica can stand for both.
-fn same_kind(a: &Message, b: &Message) -> bool {
+/// Whether two messages can be merged into one.
+fn is_same_kind(a: &Message, b: &Message) -> bool {
     let kinds = mem::discriminant(&a.body) == mem::discriminant(&b.body);
     kinds && a.to == b.to && a.term == b.term
 }
 
-/// What stands for both: an adapter whose disk hangs holds no more than one message of a kind.
-fn latest(old: &Body, new: Body) -> Body {
+/// Merges two messages of one kind, which bounds the held messages while a write is stalled.
+fn merge_bodies(old: &Body, new: Body) -> Body {
     match (old, new) {
         (Body::Accepted { matched: old }, Body::Accepted { matched }) => Body::Accepted {
             matched: matched.max(*old),
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of one follower, and how fast it may send to it.
+//! A leader's replication progress for one follower, with flow control.
 
 use std::collections::VecDeque;
 
@@ -8,112 +8,115 @@
 use crate::entry::Position;
 use crate::stored::Snapshot;
 
-/// How entries go to a follower.
+/// How the leader replicates to a follower.
 #[derive(Debug)]
-pub(crate) enum Flow {
-    /// Its log isn't known: one append at a time, sent at that moment.
-    Probe { asked: Option<Moment> },
-    /// Appends follow each other; the last index of each one on the way, and the last sign of progress.
-    Stream {
-        flight: VecDeque<Index>,
-        since: Moment,
+pub(crate) enum ReplicationState {
+    /// The match index is unknown: one append at a time.
+    Probe { sent_at: Option<Moment> },
+    /// Appends are pipelined; `in_flight` has the last index of each unacknowledged one.
+    Replicate {
+        in_flight: VecDeque<Index>,
+        last_progress: Moment,
     },
-    /// It lacks entries that are gone: a snapshot goes in parts, one at a time.
+    /// The follower needs compacted entries: a snapshot is sent, one chunk at a time.
     Snapshot {
         snapshot: Snapshot,
         offset: usize,
-        asked: Option<Moment>,
+        sent_at: Option<Moment>,
     },
 }
 
-/// One follower as the leader knows it.
+/// The replication progress of one follower.
 #[derive(Debug)]
 pub(crate) struct Progress {
-    /// Its log equals the leader's up to here, synced.
+    /// The last index at which the follower's log matches the leader's and is synced.
     pub(crate) matched: Index,
-    /// The next entry to send.
+    /// The index of the next entry to send.
     pub(crate) next: Index,
-    /// How entries go to it.
-    pub(crate) flow: Flow,
-    /// When it last answered in this term.
-    pub(crate) heard: Moment,
-    /// The last heartbeat round that it answered.
+    pub(crate) state: ReplicationState,
+    /// When the follower last responded in this term.
+    pub(crate) last_response: Moment,
+    /// The last heartbeat round that the follower answered.
     pub(crate) round: u64,
 }
 
 impl Progress {
-    /// A follower of which nothing is known; counted as heard now.
+    /// Creates the progress of a follower with an unknown log, counted as responding at `now`.
     pub(crate) fn new(next: Index, now: Moment) -> Self {
         Self {
             matched: Index::default(),
             next,
-            flow: Flow::Probe { asked: None },
-            heard: now,
+            state: ReplicationState::Probe { sent_at: None },
+            last_response: now,
             round: 0,
         }
     }
 
-    /// Its log equals the leader's up to `matched`.
-    pub(crate) fn accept(&mut self, matched: Index, now: Moment) {
+    /// Handles an acknowledgement up to `matched`.
+    pub(crate) fn handle_accepted(&mut self, matched: Index, now: Moment) {
         self.matched = self.matched.max(matched);
-        match &mut self.flow {
-            Flow::Probe { .. } => self.stream(now),
-            Flow::Stream { flight, since } => {
-                while flight.front().is_some_and(|last| *last <= matched) {
-                    flight.pop_front();
-                    *since = now;
+        match &mut self.state {
+            ReplicationState::Probe { .. } => self.start_replicate(now),
+            ReplicationState::Replicate {
+                in_flight,
+                last_progress,
+            } => {
+                while in_flight.front().is_some_and(|last| *last <= matched) {
+                    in_flight.pop_front();
+                    *last_progress = now;
                 }
                 self.next = self.next.max(self.matched.next());
             }
-            Flow::Snapshot { snapshot, .. } => {
+            ReplicationState::Snapshot { snapshot, .. } => {
                 if self.matched >= snapshot.position.index {
-                    self.stream(now);
+                    self.start_replicate(now);
                 }
             }
         }
     }
 
-    fn stream(&mut self, now: Moment) {
+    fn start_replicate(&mut self, now: Moment) {
         self.next = self.matched.next();
-        self.flow = Flow::Stream {
-            flight: VecDeque::new(),
-            since: now,
+        self.state = ReplicationState::Replicate {
+            in_flight: VecDeque::new(),
+            last_progress: now,
         };
     }
 
-    /// It has no entry `previous`; its log may be equal up to `hint`.
-    pub(crate) fn refuse(&mut self, previous: Index, hint: Index) {
-        let current = match self.flow {
-            Flow::Probe { .. } => previous == self.next.previous(),
-            Flow::Stream { .. } => previous > self.matched,
-            Flow::Snapshot { .. } => false,
+    /// Handles a refused append: the follower has no entry `previous`, and its log may match
+    /// up to `hint`.
+    pub(crate) fn handle_refused(&mut self, previous: Index, hint: Index) {
+        let is_current = match self.state {
+            ReplicationState::Probe { .. } => previous == self.next.previous(),
+            ReplicationState::Replicate { .. } => previous > self.matched,
+            ReplicationState::Snapshot { .. } => false,
         };
-        if current {
-            self.probe(previous.min(hint.next()));
+        if is_current {
+            self.start_probe(previous.min(hint.next()));
         }
     }
 
-    /// Sends one append from `next` and waits for its answer.
-    pub(crate) fn probe(&mut self, next: Index) {
+    /// Switches to probing from `next`.
+    pub(crate) fn start_probe(&mut self, next: Index) {
         self.next = next.max(self.matched.next());
-        self.flow = Flow::Probe { asked: None };
+        self.state = ReplicationState::Probe { sent_at: None };
     }
 
-    /// So much of the snapshot at `position` has come.
-    pub(crate) fn received(&mut self, position: Position, received: u64) {
-        let Flow::Snapshot {
+    /// Handles the acknowledgement of `received` bytes of the snapshot at `position`.
+    pub(crate) fn handle_chunk_reply(&mut self, position: Position, received: u64) {
+        let ReplicationState::Snapshot {
             snapshot,
             offset,
-            asked,
-        } = &mut self.flow
+            sent_at,
+        } = &mut self.state
         else {
             return;
         };
         let received = usize::try_from(received).unwrap_or(usize::MAX);
-        let fresh = received != *offset && received <= snapshot.data.len();
-        if snapshot.position == position && fresh {
+        let is_new = received != *offset && received <= snapshot.data.len();
+        if snapshot.position == position && is_new {
             *offset = received;
-            *asked = None;
+            *sent_at = None;
         }
     }
 }
--- a/crates/consensus/src/quorum.rs
+++ b/crates/consensus/src/quorum.rs
@@ -1,9 +1,9 @@
-//! Which sets of voters elect a leader, and which accept an entry.
+//! Election and commit quorums.
 //!
-//! A leader is elected by a majority of all voters. An entry is accepted by a
-//! majority of all voters and, under [`Acceptance::EveryRegion`], by a majority
-//! of the voters within each region that is not evicted. So every accepting set
-//! meets every electing set, and it also meets a majority of any one region.
+//! An election quorum is a majority of all voters. A commit quorum is a majority of
+//! all voters and, under [`Acceptance::EveryRegion`], also a majority of the voters
+//! within each region that is not evicted. Every commit quorum therefore intersects
+//! every election quorum, and also a majority of any one region.
 
 use std::collections::BTreeMap;
 
@@ -15,45 +15,51 @@
 use crate::entry::Index;
 use crate::entry::ReplicaId;
 
-/// The least number that is more than half of `voters`.
+/// Returns the smallest number that is more than half of `voters`.
 #[must_use]
 pub fn majority(voters: usize) -> usize {
     voters / 2 + 1
 }
 
-/// Whether the voters for which `has` holds elect a leader or confirm one.
-pub fn elects(config: &Config, has: impl Fn(ReplicaId) -> bool) -> bool {
-    let count = config.voters.keys().filter(|id| has(**id)).count();
+/// Whether the voters for which `is_counted` holds can elect or confirm a leader.
+pub fn has_election_quorum(config: &Config, is_counted: impl Fn(ReplicaId) -> bool) -> bool {
+    let count = config.voters.keys().filter(|id| is_counted(**id)).count();
     count >= majority(config.voters.len())
 }
 
-/// Whether the voters for which `has` holds accept an entry.
-pub fn accepts(config: &Config, has: impl Fn(ReplicaId) -> bool) -> bool {
-    elects(config, &has) && lacking_region(config, &has).is_none()
+/// Whether the voters for which `is_counted` holds can commit an entry.
+pub fn has_commit_quorum(config: &Config, is_counted: impl Fn(ReplicaId) -> bool) -> bool {
+    has_election_quorum(config, &is_counted)
+        && region_without_majority(config, &is_counted).is_none()
 }
 
-/// The first region whose majority is asked for and not among those for which `has` holds.
-pub fn lacking_region(config: &Config, has: impl Fn(ReplicaId) -> bool) -> Option<RegionName> {
-    let regions = regions(config);
+/// Returns the first region that requires a majority and lacks one among the voters for
+/// which `is_counted` holds.
+pub fn region_without_majority(
+    config: &Config,
+    is_counted: impl Fn(ReplicaId) -> bool,
+) -> Option<RegionName> {
+    let regions = voters_by_region(config);
     let lacking = regions.into_iter().find(|(_, voters)| {
-        let count = voters.iter().filter(|id| has(**id)).count();
+        let count = voters.iter().filter(|id| is_counted(**id)).count();
         count < majority(voters.len())
     });
     lacking.map(|(region, _)| region.clone())
 }
 
-/// The highest index that an accepting set has, where `matched` tells what each voter has.
-pub fn accepted(config: &Config, matched: impl Fn(ReplicaId) -> Index) -> Index {
-    let all = held_by_majority(config.voters.keys().copied(), &matched);
-    let regions = regions(config);
+/// Returns the highest index that a commit quorum has, where `matched` is each voter's
+/// match index.
+pub fn quorum_index(config: &Config, matched: impl Fn(ReplicaId) -> Index) -> Index {
+    let all = majority_index(config.voters.keys().copied(), &matched);
+    let regions = voters_by_region(config);
     regions
         .into_values()
-        .map(|voters| held_by_majority(voters.into_iter(), &matched))
+        .map(|voters| majority_index(voters.into_iter(), &matched))
         .fold(all, Index::min)
 }
 
-/// The highest index that more than half of `voters` have; 0 for no voter.
-fn held_by_majority(
+/// The highest index that a majority of `voters` has; 0 without voters.
+fn majority_index(
     voters: impl Iterator<Item = ReplicaId>,
     matched: impl Fn(ReplicaId) -> Index,
 ) -> Index {
@@ -63,8 +69,8 @@
     indexes.get(needed - 1).copied().unwrap_or_default()
 }
 
-/// The voters of each region whose majority is asked for.
-fn regions(config: &Config) -> BTreeMap<&RegionName, Vec<ReplicaId>> {
+/// The voters of each region that requires a majority.
+fn voters_by_region(config: &Config) -> BTreeMap<&RegionName, Vec<ReplicaId>> {
     let mut regions: BTreeMap<&RegionName, Vec<ReplicaId>> = BTreeMap::new();
     if config.acceptance == Acceptance::Majority {
         return regions;
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -1,32 +1,35 @@
-//! Times and bounds of a replica.
+//! Timeouts and limits of a replica.
 
 use std::time::Duration;
 
-/// Times and bounds; the same at every replica of a group.
+/// Timeouts and limits, which must be equal on all replicas of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Between two heartbeats of a leader.
+    /// The interval between two heartbeats of a leader.
     pub heartbeat_interval: Duration,
-    /// The shortest election timeout; each is drawn between it and twice it.
+    /// The minimum election timeout; each timeout is drawn between one and two times this value.
     ///
-    /// A leader that hasn't heard a quorum for so long steps down.
+    /// A leader that has received no response from a quorum for this time steps down
+    /// (check-quorum).
     pub election_timeout: Duration,
-    /// After so long without an answer to a write, a leader steps down and no one campaigns.
+    /// When a write has been in flight for this time, the replica doesn't campaign, and steps
+    /// down if it is the leader.
     pub write_timeout: Duration,
-    /// Entries in one append, in bytes; a larger entry travels alone.
-    pub batch_bytes: usize,
-    /// Appends on the way to one follower.
-    pub window: usize,
-    /// One part of a snapshot, in bytes.
-    pub chunk_bytes: usize,
-    /// Entries that a leader holds uncommitted, in bytes; proposals beyond are rejected.
-    pub open_bytes: usize,
-    /// Reads that a replica holds open; those beyond are rejected.
-    pub open_reads: usize,
-    /// Entries kept in memory in front of the snapshot for followers that are slow, in bytes.
+    /// Maximum size of the entries in one append, in bytes; a larger entry is sent alone.
+    pub max_batch_bytes: usize,
+    /// Maximum number of unacknowledged appends to one follower.
+    pub max_in_flight_appends: usize,
+    /// Maximum size of a snapshot chunk, in bytes.
+    pub max_chunk_bytes: usize,
+    /// Limit on a leader's uncommitted entries, in bytes; further proposals are rejected.
+    pub max_uncommitted_bytes: usize,
+    /// Limit on a replica's pending reads; further reads are rejected.
+    pub max_pending_reads: usize,
+    /// Maximum size of the entries before the snapshot that are retained in memory for slow
+    /// followers, in bytes.
     pub max_retained_bytes: usize,
-    /// How far behind the commit index a learner may be to become a voter, in entries.
-    pub promote_gap: u64,
+    /// Maximum lag behind the commit index at which a learner is promoted to voter, in entries.
+    pub max_promotion_lag: u64,
 }
 
 impl Default for Settings {
@@ -35,13 +38,13 @@
             heartbeat_interval: Duration::from_millis(50),
             election_timeout: Duration::from_millis(500),
             write_timeout: Duration::from_secs(2),
-            batch_bytes: 256 * 1024,
-            window: 16,
-            chunk_bytes: 256 * 1024,
-            open_bytes: 4 * 1024 * 1024,
-            open_reads: 4096,
+            max_batch_bytes: 256 * 1024,
+            max_in_flight_appends: 16,
+            max_chunk_bytes: 256 * 1024,
+            max_uncommitted_bytes: 4 * 1024 * 1024,
+            max_pending_reads: 4096,
             max_retained_bytes: 1024 * 1024,
-            promote_gap: 64,
+            max_promotion_lag: 64,
         }
     }
 }
--- a/crates/consensus/src/stored.rs
+++ b/crates/consensus/src/stored.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps over a restart.
+//! The state that a replica keeps across restarts.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -11,51 +11,52 @@
 use crate::entry::ReplicaId;
 use crate::entry::Term;
 
-/// The term and the vote in it.
+/// The current term and the vote in it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The latest term seen.
+    /// The current term.
     pub term: Term,
-    /// Whom the replica voted for in that term.
+    /// The candidate that the replica voted for in this term.
     pub vote: Option<ReplicaId>,
 }
 
-/// The applied state at one position, in place of the log up to there.
+/// The applied state at a position, which replaces the log up to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry that it holds.
+    /// The position of the last entry included.
     pub position: Position,
-    /// The group at that position.
+    /// The configuration at that position.
     pub config: Config,
-    /// The state as the adapter encoded it; empty at index 0.
+    /// The state in the adapter's encoding; empty at index 0.
     pub data: Bytes,
 }
 
-/// All that a replica finds on its disk when it starts.
+/// The stored state that a replica starts from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stored {
-    /// Minted with the data folder.
+    /// Generated when the data folder is created.
     pub id: ReplicaId,
-    /// The last hard state that was synced.
+    /// The last synced hard state.
     pub hard_state: HardState,
-    /// The last snapshot that was synced; the founding group at index 0 before the first.
+    /// The last synced snapshot; before the first one, the founding configuration at index 0.
     pub snapshot: Snapshot,
-    /// The log, without gaps; what the snapshot holds may still be in front.
+    /// The log, without gaps; it may still start with entries that the snapshot covers.
     pub entries: Vec<Entry>,
-    /// Entries up to here were known to be committed, perhaps later ones are.
+    /// The stored commit index, a lower bound of the actual one.
     pub commit: Index,
 }
 
 impl Stored {
-    /// An empty disk: the replica belongs to no group, and neither votes nor campaigns.
+    /// Creates the state of an empty disk: the replica belongs to no group and neither votes
+    /// nor campaigns.
     #[must_use]
     pub fn empty(id: ReplicaId) -> Self {
         Self::founding(id, Config::default())
     }
 
-    /// A member of a new group; every founder must be given the same group.
+    /// Creates the state of a member of a new group; all founders must get the same configuration.
     ///
-    /// The adapter saves the snapshot of index 0 before the node's first step.
+    /// The adapter must store the snapshot of index 0 before the node's first step.
     #[must_use]
     pub fn founding(id: ReplicaId, config: Config) -> Self {
         Self {
--- a/crates/consensus/tests/test_quorum.rs
+++ b/crates/consensus/tests/test_quorum.rs
@@ -1,4 +1,4 @@
-//! The rules of election and acceptance as tables.
+//! Election and commit quorums.
 
 use std::collections::BTreeMap;
 
@@ -47,7 +47,7 @@
     for (regions, acceptance, matched, expected) in cases {
         let config = config(regions, acceptance);
         let matched: BTreeMap<u64, u64> = (1..).zip(matched.iter().copied()).collect();
-        let accepted = quorum::accepted(&config, |id| Index(matched[&id.0]));
+        let accepted = quorum::quorum_index(&config, |id| Index(matched[&id.0]));
         assert_eq!(
             accepted,
             Index(expected),
@@ -63,13 +63,14 @@
         Acceptance::EveryRegion,
     );
     let west = |id: ReplicaId| id.0 <= 4;
-    assert!(!quorum::accepts(&config, west));
+    assert!(!quorum::has_commit_quorum(&config, west));
     config.evicted.insert(RegionName::new("b").expect("a name"));
-    assert!(quorum::accepts(&config, west));
-    assert!(!quorum::accepts(&config, |id| id.0 > 4));
+    assert!(quorum::has_commit_quorum(&config, west));
+    assert!(!quorum::has_commit_quorum(&config, |id| id.0 > 4));
 }
 
-/// An accepting set meets every electing set, and a majority of each region.
+/// Guards against losing committed entries: every commit quorum must intersect every
+/// election quorum and a majority of each region.
 #[test]
 fn test_quorum_sets_intersect() {
     let config = config(
@@ -77,11 +78,11 @@
         Acceptance::EveryRegion,
     );
     let has = |set: u8| move |id: ReplicaId| set & (1 << (id.0 - 1)) != 0;
-    let accepting = (0..128).filter(|set| quorum::accepts(&config, has(*set)));
+    let accepting = (0..128).filter(|set| quorum::has_commit_quorum(&config, has(*set)));
     for set in accepting {
         for other in 0..128 {
-            let elects = quorum::elects(&config, has(other));
-            assert!(!elects || set & other != 0, "{set:b} {other:b}");
+            let can_elect = quorum::has_election_quorum(&config, has(other));
+            assert!(!can_elect || set & other != 0, "{set:b} {other:b}");
             let south = (other & 0b111_0000).count_ones() >= 2;
             assert!(!south || set & other & 0b111_0000 != 0, "{set:b} {other:b}");
         }
@@ -89,13 +90,13 @@
 }
 
 quickcheck! {
-    /// The accepted index is the highest whose holders accept.
+    /// The quorum index must be the highest index that a commit quorum has.
     fn test_quorum_index_agrees_with_sets(matched: Vec<u8>) -> bool {
         let matched: Vec<u8> = matched.into_iter().chain([0; 7]).take(7).collect();
         let config = config(&["a", "a", "a", "a", "b", "b", "b"], Acceptance::EveryRegion);
         let at = |id: ReplicaId| matched[usize::try_from(id.0).expect("small") - 1];
-        let accepted = quorum::accepted(&config, |id| Index(u64::from(at(id))));
-        let holders = |index: u64| quorum::accepts(&config, |id| u64::from(at(id)) >= index);
+        let accepted = quorum::quorum_index(&config, |id| Index(u64::from(at(id))));
+        let holders = |index: u64| quorum::has_commit_quorum(&config, |id| u64::from(at(id)) >= index);
         holders(accepted.0) && !holders(accepted.0 + 1)
     }
 }
--- a/crates/consensus/tests/test_replicas/cluster.rs
+++ b/crates/consensus/tests/test_replicas/cluster.rs
@@ -1,4 +1,4 @@
-//! Replicas on plain values: a bag of messages, disks that lose what isn't synced, one clock.
+//! A simulated group: messages in transit, disks that lose unsynced writes, and a shared clock.
 
 pub mod disk;
 mod drive;
@@ -32,13 +32,13 @@
 use self::disk::Disk;
 use self::oracle::Oracle;
 
-/// How a replica reaches the others; a fault is silent.
+/// The state of a replica's network link; faults cause no errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
     Open,
-    /// Nothing reaches it and nothing leaves it.
+    /// Messages from and to the replica are lost.
     Cut,
-    /// Nothing leaves it, and everything reaches it.
+    /// Messages from the replica are lost, and messages to it arrive.
     Mute,
 }
 
@@ -46,16 +46,15 @@
 pub struct Host {
     pub node: Option<Node>,
     pub disk: Disk,
-    /// Frozen: neither steps nor ticks until it wakes.
+    /// Frozen: processes neither events nor ticks.
     pub paused: bool,
-    /// How it reaches the others.
     pub link: Link,
-    /// Its disk hangs: no write is synced, and none fails.
-    pub hung: bool,
+    /// The disk is stalled: writes neither complete nor fail.
+    pub stalled: bool,
     pub applied: Index,
 }
 
-/// What a ticket came to.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Done(Index),
@@ -64,7 +63,7 @@
 
 pub struct Cluster {
     pub hosts: BTreeMap<ReplicaId, Host>,
-    pub bag: Vec<Message>,
+    pub in_transit: Vec<Message>,
     pub oracle: Oracle,
     pub outcomes: BTreeMap<Ticket, Outcome>,
     pub rng: SmallRng,
@@ -76,15 +75,15 @@
 
 pub fn settings() -> Settings {
     Settings {
-        chunk_bytes: 40,
+        max_chunk_bytes: 40,
         max_retained_bytes: 500,
-        batch_bytes: 400,
-        window: 3,
+        max_batch_bytes: 400,
+        max_in_flight_appends: 3,
         ..Settings::default()
     }
 }
 
-/// Replicas are spread over two regions, the even ones in the second.
+/// A member in region "east" if its id is even, else in "west".
 pub fn member(id: u64) -> Member {
     let region = if id.is_multiple_of(2) { "east" } else { "west" };
     Member {
@@ -100,7 +99,7 @@
         let config = Config::of_voters((1..=voters).map(member), acceptance);
         let mut cluster = Self {
             hosts: BTreeMap::new(),
-            bag: Vec::new(),
+            in_transit: Vec::new(),
             oracle: Oracle::default(),
             outcomes: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(seed),
@@ -115,7 +114,7 @@
         cluster
     }
 
-    /// A replica with an empty disk.
+    /// Adds a replica with an empty disk.
     pub fn add_empty(&mut self, id: u64) {
         self.add_host(Stored::empty(ReplicaId(id)));
     }
@@ -127,7 +126,7 @@
             disk: Disk::new(stored),
             paused: false,
             link: Link::Open,
-            hung: false,
+            stalled: false,
             applied: Index::default(),
         };
         self.hosts.insert(id, host);
@@ -155,7 +154,7 @@
         }
     }
 
-    /// The process dies; a part of the pending write may be on disk.
+    /// Crashes the process; a random prefix of the pending write is stored.
     pub fn crash(&mut self, id: ReplicaId) {
         let parts = self.rng.random_range(0..8);
         let host = self.host(id);
@@ -176,26 +175,27 @@
         let led = node.role() == Role::Leader;
         node.step(now, event, &mut actions);
         if !led && node.role() == Role::Leader {
-            self.oracle.leads(node, &host.disk);
+            self.oracle.check_elected(node, &host.disk);
         }
         let term = node.term();
         for action in actions {
-            self.carry_out(id, term, action);
+            self.execute(id, term, action);
         }
     }
 
-    fn carry_out(&mut self, id: ReplicaId, term: Term, action: Action) {
+    fn execute(&mut self, id: ReplicaId, term: Term, action: Action) {
         let host = self.hosts.get_mut(&id).expect("a host");
         match action {
             Action::Persist(write) => {
-                self.oracle.writes(&write, |index| host.disk.term(index));
+                self.oracle
+                    .check_write(&write, |index| host.disk.term(index));
                 assert!(host.disk.pending.replace(write).is_none());
             }
             Action::Send(message) => {
-                self.oracle.sends(&message, &host.disk);
+                self.oracle.check_sent(&message, &host.disk);
                 self.sent += 1;
                 if host.link == Link::Open {
-                    self.bag.push(message);
+                    self.in_transit.push(message);
                 }
             }
             Action::Install(snapshot) => {
@@ -207,21 +207,21 @@
             Action::Commit(entries) => {
                 for entry in entries {
                     assert_eq!(entry.index, host.applied.next());
-                    assert!(host.disk.holds(entry.index), "applied before sync");
+                    assert!(host.disk.has_synced(entry.index), "applied before sync");
                     host.applied = entry.index;
-                    self.oracle.applies(&entry, term);
+                    self.oracle.check_applied(&entry, term);
                 }
             }
             Action::Committed { ticket, index } => {
-                self.oracle.commits(ticket, index);
+                self.oracle.check_committed(ticket, index);
                 self.outcomes.insert(ticket, Outcome::Done(index));
             }
             Action::ReadReady { ticket, index } => {
-                self.oracle.reads_at(ticket, index, host.applied);
+                self.oracle.check_read(ticket, index, host.applied);
                 self.outcomes.insert(ticket, Outcome::Done(index));
             }
             Action::Rejected { ticket, reason } => {
-                self.oracle.answers(ticket);
+                self.oracle.check_answered_once(ticket);
                 self.outcomes.insert(ticket, Outcome::Rejected(reason));
             }
             Action::LeaderChanged { .. } => {}
@@ -237,14 +237,14 @@
     pub fn propose(&mut self, id: ReplicaId) -> Ticket {
         let ticket = self.ticket();
         let data = Bytes::from(format!("proposal {}", ticket.0));
-        self.oracle.proposes(ticket, data.clone());
+        self.oracle.record_proposal(ticket, data.clone());
         self.step(id, Event::Propose { ticket, data });
         ticket
     }
 
     pub fn read(&mut self, id: ReplicaId) -> Ticket {
         let ticket = self.ticket();
-        self.oracle.reads(ticket);
+        self.oracle.record_read(ticket);
         self.step(id, Event::Read { ticket });
         ticket
     }
@@ -263,7 +263,7 @@
 
     pub fn sync(&mut self, id: ReplicaId) {
         let host = self.host(id);
-        if host.paused || host.hung {
+        if host.paused || host.stalled {
             return;
         }
         if let Some(write) = host.disk.sync() {
@@ -272,13 +272,13 @@
         }
     }
 
-    /// Delivers the message at `at`, which is taken from the bag; it waits for a frozen receiver.
+    /// Delivers the message at `at`, unless its receiver is frozen.
     pub fn deliver(&mut self, at: usize) {
         let waits = |id| self.hosts.get(&id).is_some_and(|h: &Host| h.paused);
-        if waits(self.bag[at].to) {
+        if waits(self.in_transit[at].to) {
             return;
         }
-        let message = self.bag.swap_remove(at);
+        let message = self.in_transit.swap_remove(at);
         let to = message.to;
         let open = |id| {
             self.hosts
@@ -294,9 +294,9 @@
         self.hosts.keys().copied().collect()
     }
 
-    /// Moves the clock; every timer that is due runs.
-    pub fn advance(&mut self, span: Duration) {
-        self.now = self.now + span;
+    /// Advances the clock and runs expired timers.
+    pub fn advance(&mut self, duration: Duration) {
+        self.now = self.now + duration;
         for id in self.ids() {
             let node = self.hosts[&id].node.as_ref();
             if node.is_some_and(|n| n.deadline() <= self.now) {
--- a/crates/consensus/tests/test_replicas/cluster/disk.rs
+++ b/crates/consensus/tests/test_replicas/cluster/disk.rs
@@ -1,4 +1,4 @@
-//! A disk on plain values: a write is synced later, or a crash keeps a part of it.
+//! A simulated disk: a write is synced later, or a crash keeps a prefix of it.
 
 use consensus::Entry;
 use consensus::Index;
@@ -6,11 +6,11 @@
 use consensus::Term;
 use consensus::Write;
 
-/// What is synced, and the write on its way.
+/// The synced state and the write in flight.
 pub struct Disk {
-    /// What a restart finds.
+    /// The synced state.
     pub stored: Stored,
-    /// Not synced yet.
+    /// The write in flight.
     pub pending: Option<Write>,
 }
 
@@ -25,18 +25,18 @@
     /// Syncs the pending write.
     pub fn sync(&mut self) -> Option<Write> {
         let write = self.pending.take()?;
-        self.keep(&write, usize::MAX);
+        self.store_parts(&write, usize::MAX);
         Some(write)
     }
 
-    /// A crash: `parts` of the pending write reached the disk, the rest is lost.
+    /// Crashes: the first `parts` of the pending write are stored, the rest is lost.
     pub fn crash(&mut self, parts: usize) {
         if let Some(write) = self.pending.take() {
-            self.keep(&write, parts);
+            self.store_parts(&write, parts);
         }
     }
 
-    fn keep(&mut self, write: &Write, parts: usize) {
+    fn store_parts(&mut self, write: &Write, parts: usize) {
         if parts > 0 {
             self.stored.hard_state = write.hard_state.unwrap_or(self.stored.hard_state);
         }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The term of a synced entry, none before the snapshot.
+    /// The term of a synced entry; `None` before the snapshot.
     pub fn term(&self, index: Index) -> Option<Term> {
         let base = self.stored.snapshot.position;
         if base.index == index {
@@ -68,7 +68,7 @@
     }
 
     /// Whether everything up to `index` is synced.
-    pub fn holds(&self, index: Index) -> bool {
+    pub fn has_synced(&self, index: Index) -> bool {
         index <= self.stored.snapshot.position.index || self.term(index).is_some()
     }
 }
--- a/crates/consensus/tests/test_replicas/cluster/drive.rs
+++ b/crates/consensus/tests/test_replicas/cluster/drive.rs
@@ -1,4 +1,4 @@
-//! A group run without new faults until something holds.
+//! Runs a group without new faults until a condition holds.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,11 +16,11 @@
 use super::Link;
 use super::Outcome;
 
-/// Long enough for whatever must come in the end.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for conditions that must hold eventually.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 impl Cluster {
-    /// A group that has a leader and one committed proposal.
+    /// Creates a group that has a leader and one committed proposal.
     pub fn elected(voters: u64) -> (Self, ReplicaId) {
         let mut cluster = Self::new(voters, Acceptance::Majority, 7);
         let leader = cluster.elect();
@@ -34,31 +34,31 @@
         ids.filter(|id| *id != leader).collect()
     }
 
-    /// Runs without faults for `span`, a millisecond a message.
-    pub fn run(&mut self, span: Duration) {
-        let end = self.now + span;
+    /// Runs without new faults for `duration`; a message takes one millisecond.
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.round(end);
         }
     }
 
-    /// Delivers and syncs all that is on the way, or moves to the next timer.
+    /// Delivers all messages and syncs all writes, or advances to the next timer.
     fn round(&mut self, end: Moment) {
         self.advance(self.pause(end));
-        for message in std::mem::take(&mut self.bag) {
-            self.bag.push(message);
-            self.deliver(self.bag.len() - 1);
+        for message in std::mem::take(&mut self.in_transit) {
+            self.in_transit.push(message);
+            self.deliver(self.in_transit.len() - 1);
         }
         for id in self.ids() {
             self.sync(id);
         }
     }
 
-    /// How long nothing happens, at least a millisecond.
+    /// The time until the next timer if the group is idle, else one millisecond.
     fn pause(&self, end: Moment) -> Duration {
         let step = Duration::from_millis(1);
         let quiet = self.hosts.values().all(|h| h.disk.pending.is_none());
-        if !quiet || !self.bag.is_empty() {
+        if !quiet || !self.in_transit.is_empty() {
             return step;
         }
         let nodes = self.hosts.values().filter(|h| !h.paused);
@@ -67,19 +67,19 @@
         next.since(self.now).max(step)
     }
 
-    /// The replica and its disk are gone for good.
-    pub fn lose(&mut self, id: ReplicaId) {
+    /// Removes a replica and its disk permanently.
+    pub fn remove_host(&mut self, id: ReplicaId) {
         self.hosts.remove(&id);
     }
 
-    /// Runs until the ticket is answered.
+    /// Runs until the request has an outcome.
     #[track_caller]
     pub fn outcome(&mut self, ticket: Ticket) -> Outcome {
-        self.run_until(PATIENCE, |c| c.outcomes.contains_key(&ticket));
+        self.run_until(TIMEOUT, |c| c.outcomes.contains_key(&ticket));
         self.outcomes[&ticket].clone()
     }
 
-    /// Runs until the ticket is done.
+    /// Runs until the request succeeds; panics if it is rejected.
     #[track_caller]
     pub fn done(&mut self, ticket: Ticket) -> Index {
         match self.outcome(ticket) {
@@ -88,21 +88,21 @@
         }
     }
 
-    /// Runs until `done` holds; panics where that takes more than `span`.
+    /// Runs until `done` holds; panics after `timeout`.
     #[track_caller]
-    pub fn run_until(&mut self, span: Duration, done: impl Fn(&Self) -> bool) {
-        let end = self.now + span;
+    pub fn run_until(&mut self, timeout: Duration, done: impl Fn(&Self) -> bool) {
+        let end = self.now + timeout;
         while !done(self) {
             assert!(
                 self.now < end,
-                "not done within {span:?}: {}",
+                "not done within {timeout:?}: {}",
                 self.statuses()
             );
             self.round(end);
         }
     }
 
-    /// One line a replica, for a failure's report.
+    /// One line per replica, for failure messages.
     fn statuses(&self) -> String {
         let nodes = self.hosts.values().filter_map(|h| h.node.as_ref());
         let line = |s: Status| {
@@ -116,7 +116,7 @@
         nodes.map(Node::status).map(line).collect()
     }
 
-    /// The running leader of the latest term.
+    /// The running leader with the highest term.
     pub fn leader(&self) -> Option<ReplicaId> {
         let nodes = self.hosts.values().filter_map(|h| h.node.as_ref());
         nodes
@@ -129,7 +129,7 @@
     /// Runs until a leader has applied an entry of its term.
     #[track_caller]
     pub fn elect(&mut self) -> ReplicaId {
-        self.run_until(PATIENCE, |c| {
+        self.run_until(TIMEOUT, |c| {
             c.leader().is_some_and(|id| {
                 let node = c.node(id.0);
                 node.term_at(node.status().applied) == Some(node.term())
@@ -138,11 +138,11 @@
         self.leader().expect("a leader")
     }
 
-    /// Ends every fault and checks that the group works again and agrees.
-    pub fn settle(&mut self) {
+    /// Ends all faults and checks that the group commits again and all members apply the entry.
+    pub fn heal_and_check(&mut self) {
         for id in self.ids() {
             let host = self.host(id);
-            (host.paused, host.hung) = (false, false);
+            (host.paused, host.stalled) = (false, false);
             host.link = Link::Open;
             self.start(id);
         }
@@ -151,7 +151,7 @@
         let leader = self.elect();
         let config = self.node(leader.0).status().config;
         let members: BTreeSet<ReplicaId> = config.members().map(|m| m.id).collect();
-        self.run_until(PATIENCE, |c| {
+        self.run_until(TIMEOUT, |c| {
             let mut hosts = c.hosts.iter().filter(|(id, _)| members.contains(id));
             hosts.all(|(_, host)| host.applied >= index)
         });
@@ -162,7 +162,7 @@
         for _ in 0..20 {
             let leader = self.elect();
             let ticket = self.propose(leader);
-            self.run_until(PATIENCE, |c| c.outcomes.contains_key(&ticket));
+            self.run_until(TIMEOUT, |c| c.outcomes.contains_key(&ticket));
             if let Outcome::Done(index) = self.outcomes[&ticket] {
                 return index;
             }
--- a/crates/consensus/tests/test_replicas/cluster/oracle.rs
+++ b/crates/consensus/tests/test_replicas/cluster/oracle.rs
@@ -1,4 +1,4 @@
-//! What must hold after every step, whatever the schedule.
+//! Safety invariants that are checked after every step.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,34 +18,35 @@
 
 use super::disk::Disk;
 
-/// Length of a snapshot, so that it takes several parts.
+/// Size of a snapshot in bytes; several chunks.
 const SNAPSHOT: usize = 100;
 
-/// All that was seen so far.
+/// The history of the group so far.
 #[derive(Default)]
 pub struct Oracle {
     /// The leader of each term.
     leaders: BTreeMap<Term, ReplicaId>,
     /// The committed entries, from index 1.
-    pub chosen: Vec<Entry>,
-    /// The term in which each of them was first applied.
+    pub committed: Vec<Entry>,
+    /// The term in which each committed entry was first applied.
     terms: Vec<Term>,
     /// The digest of the state at each index, from 0.
     digests: Vec<u64>,
-    /// Every entry that was ever written, with the term before it.
+    /// Every entry ever written, with the term of its predecessor.
     written: BTreeMap<Position, (Term, Entry)>,
     votes: BTreeMap<(ReplicaId, Term), ReplicaId>,
     data: BTreeMap<Ticket, Bytes>,
-    floors: BTreeMap<Ticket, Index>,
+    min_read_indexes: BTreeMap<Ticket, Index>,
     answered: BTreeSet<Ticket>,
 }
 
 impl Oracle {
-    /// At most one leader a term; it has all that was committed before, and its own vote is synced.
+    /// Checks that a term has at most one leader, and that the leader has all entries
+    /// committed before its term and has synced its own vote.
     ///
-    /// The leader of a past term may learn of its election late, and lacks then
-    /// what a later term has committed.
-    pub fn leads(&mut self, node: &Node, disk: &Disk) {
+    /// A candidate may win an older term late, when a later term has already committed
+    /// entries; it need not have those.
+    pub fn check_elected(&mut self, node: &Node, disk: &Disk) {
         let status = node.status();
         let hard_state = disk.stored.hard_state;
         assert_eq!(
@@ -54,7 +55,7 @@
         );
         let first = *self.leaders.entry(status.term).or_insert(status.id);
         assert_eq!(first, status.id, "two leaders in term {}", status.term);
-        for (entry, term) in self.chosen.iter().zip(&self.terms) {
+        for (entry, term) in self.committed.iter().zip(&self.terms) {
             let known = entry.index < status.first
                 || *term > status.term
                 || node.term_at(entry.index) == Some(entry.term);
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Equal position, equal content and equal entry before.
-    pub fn writes(&mut self, write: &Write, before: impl Fn(Index) -> Option<Term>) {
+    /// Checks that entries with equal positions have equal contents and predecessors.
+    pub fn check_write(&mut self, write: &Write, before: impl Fn(Index) -> Option<Term>) {
         let base = write.snapshot.as_ref().map(|s| s.position);
         let mut previous = None;
         for entry in &write.entries {
@@ -83,19 +84,23 @@
         }
     }
 
-    /// One vote a term over restarts; votes and acknowledgements are synced before they are sent.
-    pub fn sends(&mut self, message: &Message, disk: &Disk) {
+    /// Checks that a replica votes once per term, also across restarts, and that votes and
+    /// acknowledgements are synced before they are sent.
+    pub fn check_sent(&mut self, message: &Message, disk: &Disk) {
         match message.body {
-            Body::Vote { .. } => self.votes_for(message.from, message, disk),
-            Body::VoteReply { granted: true } => self.votes_for(message.to, message, disk),
+            Body::Vote { .. } => self.check_vote(message.from, message, disk),
+            Body::VoteReply { granted: true } => self.check_vote(message.to, message, disk),
             Body::Accepted { matched } => {
-                assert!(disk.holds(matched), "acknowledged {matched} before sync");
+                assert!(
+                    disk.has_synced(matched),
+                    "acknowledged {matched} before sync"
+                );
             }
             _ => {}
         }
     }
 
-    fn votes_for(&mut self, candidate: ReplicaId, message: &Message, disk: &Disk) {
+    fn check_vote(&mut self, candidate: ReplicaId, message: &Message, disk: &Disk) {
         let vote = (message.from, message.term);
         let first = *self.votes.entry(vote).or_insert(candidate);
         assert_eq!(first, candidate, "voted twice: {vote:?}");
@@ -107,14 +112,14 @@
         );
     }
 
-    /// Applied entries are the same everywhere; `term` is that of the replica that applies.
-    pub fn applies(&mut self, entry: &Entry, term: Term) {
+    /// Checks that all replicas apply the same entries; `term` is that of the applying replica.
+    pub fn check_applied(&mut self, entry: &Entry, term: Term) {
         let at = usize::try_from(entry.index.0 - 1).expect("small");
-        if at == self.chosen.len() {
-            self.chosen.push(entry.clone());
+        if at == self.committed.len() {
+            self.committed.push(entry.clone());
             self.terms.push(term);
         }
-        let first = self.chosen.get(at).expect("no gap in what is committed");
+        let first = self.committed.get(at).expect("no gap in what is committed");
         assert_eq!(first, entry, "two entries committed at one index");
     }
 
@@ -131,46 +136,47 @@
             self.digests.push(0);
         }
         while self.digests.len() as u64 <= index.0 {
-            let entry = &self.chosen[self.digests.len() - 1];
+            let entry = &self.committed[self.digests.len() - 1];
             let last = self.digests[self.digests.len() - 1];
             self.digests.push(fold(last, entry));
         }
         self.digests[usize::try_from(index.0).expect("small")]
     }
 
-    /// A proposal was made.
-    pub fn proposes(&mut self, ticket: Ticket, data: Bytes) {
+    /// Records a proposal.
+    pub fn record_proposal(&mut self, ticket: Ticket, data: Bytes) {
         self.data.insert(ticket, data);
     }
 
-    /// A read began: it may return nothing older than what is committed now.
-    pub fn reads(&mut self, ticket: Ticket) {
-        self.floors.insert(ticket, Index(self.chosen.len() as u64));
+    /// Records the start of a read, which must see at least the entries committed now.
+    pub fn record_read(&mut self, ticket: Ticket) {
+        self.min_read_indexes
+            .insert(ticket, Index(self.committed.len() as u64));
     }
 
-    /// A read is answered by a state that has `applied`.
-    pub fn reads_at(&mut self, ticket: Ticket, index: Index, applied: Index) {
-        let floor = self.floors[&ticket];
-        assert!(index >= floor, "stale read: {index} before {floor}");
+    /// Checks a completed read of the state applied up to `applied`.
+    pub fn check_read(&mut self, ticket: Ticket, index: Index, applied: Index) {
+        let min_index = self.min_read_indexes[&ticket];
+        assert!(index >= min_index, "stale read: {index} before {min_index}");
         assert!(applied >= index, "read before {index} is applied");
-        self.answers(ticket);
+        self.check_answered_once(ticket);
     }
 
-    /// A proposal is answered as committed, so it is.
-    pub fn commits(&mut self, ticket: Ticket, index: Index) {
-        self.answers(ticket);
+    /// Checks that a proposal reported as committed is committed.
+    pub fn check_committed(&mut self, ticket: Ticket, index: Index) {
+        self.check_answered_once(ticket);
         assert!(
-            index.0 <= self.chosen.len() as u64,
+            index.0 <= self.committed.len() as u64,
             "answered before commit"
         );
         if let Some(data) = self.data.get(&ticket) {
-            let entry = &self.chosen[usize::try_from(index.0 - 1).expect("small")];
+            let entry = &self.committed[usize::try_from(index.0 - 1).expect("small")];
             assert_eq!(entry.payload, Payload::Data(data.clone()));
         }
     }
 
-    /// A ticket is answered once.
-    pub fn answers(&mut self, ticket: Ticket) {
+    /// Checks that a ticket is answered only once.
+    pub fn check_answered_once(&mut self, ticket: Ticket) {
         assert!(self.answered.insert(ticket), "{ticket:?} answered twice");
     }
 }
--- a/crates/consensus/tests/test_replicas/main.rs
+++ b/crates/consensus/tests/test_replicas/main.rs
@@ -1,4 +1,4 @@
-//! Whole groups of replicas on plain values: random schedules, and tables of faults.
+//! Simulated groups of replicas: random schedules and individual faults.
 
 mod cluster;
 mod test_disks;
--- a/crates/consensus/tests/test_replicas/test_disks.rs
+++ b/crates/consensus/tests/test_replicas/test_disks.rs
@@ -1,4 +1,4 @@
-//! Disks that are lost, emptied, replaced, or fail; and who may vote after that.
+//! Lost, emptied, replaced and failing disks.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 use crate::cluster::member;
 use crate::cluster::settings;
 
-/// Long enough for many elections.
+/// Enough time for many elections.
 const LONG: Duration = Duration::from_secs(10);
 
 fn noop(term: u64, index: u64) -> Entry {
@@ -38,10 +38,11 @@
     }
 }
 
-/// One replica's disk is lost and replaced, and another is lost right after.
+/// Guards against losing committed entries when a second disk is lost right after the first
+/// lost replica has been replaced.
 #[test]
 fn test_disks_second_loss_right_after_a_repair() {
-    // Whether the first lost one leads, the second lost one leads, and the addition comes first.
+    // Whether the first and the second lost replica lead, and whether the addition comes first.
     let bits = |n: u8, bit: u8| n & (1 << bit) != 0;
     for (first_leads, second_leads, add_first) in
         (0..8).map(|n| (bits(n, 0), bits(n, 1), bits(n, 2)))
@@ -52,7 +53,7 @@
         } else {
             cluster.followers(leader)[0]
         };
-        cluster.lose(first);
+        cluster.remove_host(first);
         let leader = cluster.elect();
         cluster.compact(leader);
         cluster.add_empty(4);
@@ -65,7 +66,7 @@
             let ticket = cluster.change(leader, change);
             cluster.done(ticket);
         }
-        let chosen = cluster.oracle.chosen.clone();
+        let chosen = cluster.oracle.committed.clone();
         let leader = cluster.leader().expect("a leader");
         let second = if second_leads {
             leader
@@ -73,9 +74,9 @@
             let mut ids = cluster.ids().into_iter();
             ids.find(|id| *id != leader && id.0 != 4).expect("a voter")
         };
-        cluster.lose(second);
-        cluster.settle();
-        assert!(cluster.oracle.chosen.starts_with(&chosen));
+        cluster.remove_host(second);
+        cluster.heal_and_check();
+        assert!(cluster.oracle.committed.starts_with(&chosen));
     }
 }
 
@@ -97,14 +98,14 @@
     );
     cluster.host(added).paused = false;
     let index = cluster.done(ticket);
-    assert!(cluster.hosts[&ReplicaId(4)].disk.holds(index));
+    assert!(cluster.hosts[&ReplicaId(4)].disk.has_synced(index));
 }
 
 #[test]
 fn test_disks_emptied_replica_never_votes_as_its_old_self() {
     let (mut cluster, leader) = Cluster::elected(3);
     let old = cluster.followers(leader)[0];
-    cluster.lose(old);
+    cluster.remove_host(old);
     let stored = Stored::empty(ReplicaId(9));
     let mut node = Node::new(settings(), stored, 1, cluster.now);
     let vote = |to| {
@@ -175,7 +176,8 @@
     }
 }
 
-/// A crash in a received snapshot's write, after the snapshot and before the removal of entries.
+/// Guards against keeping superseded entries after a crash between the write of a received
+/// snapshot and their removal.
 #[test]
 fn test_disks_half_written_snapshot_overrules_the_old_log() {
     let position = Position {
@@ -200,7 +202,8 @@
     assert_eq!(write.truncate, Some(Index(1)));
 }
 
-/// A received snapshot leaves no entry behind that would overrule what follows it at a restart.
+/// Guards against superseded entries that make recovery discard those appended after a
+/// received snapshot.
 #[test]
 fn test_disks_entries_after_a_received_snapshot_survive_a_restart() {
     let cluster = Cluster::new(3, Acceptance::Majority, 1);
@@ -248,7 +251,7 @@
     assert_eq!(node.term_at(Index(3)), Some(Term(3)));
 }
 
-/// Another write's sync doesn't make the own vote count.
+/// Guards against counting the own vote when only an earlier write has been synced.
 #[test]
 fn test_disks_own_vote_counts_once_it_is_synced() {
     let cluster = Cluster::new(1, Acceptance::Majority, 1);
@@ -284,7 +287,7 @@
     assert_eq!(node.role(), Role::Follower);
 }
 
-/// A replica whose disk hangs can't sync its vote, so it leaves the others' terms alone.
+/// Guards against raising the group's term by a replica that can't sync its vote.
 #[test]
 fn test_disks_hung_replica_never_campaigns() {
     let cluster = Cluster::new(1, Acceptance::Majority, 1);
--- a/crates/consensus/tests/test_replicas/test_faults.rs
+++ b/crates/consensus/tests/test_replicas/test_faults.rs
@@ -1,4 +1,4 @@
-//! Faults one by one: cuts, freezes, lost disks, failed syncs, long absence.
+//! Individual faults: partitions, frozen replicas, stalled disks and long absences.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 use crate::cluster::Outcome;
 use crate::cluster::settings;
 
-/// Long enough for many elections.
+/// Enough time for many elections.
 const LONG: Duration = Duration::from_secs(10);
 
 fn terms(cluster: &Cluster) -> Vec<Term> {
@@ -45,7 +45,7 @@
         assert_eq!(terms(&cluster), before);
         assert_eq!(cluster.leader(), Some(leader));
         let applied = cluster.node(away.0).status().applied;
-        assert_eq!(applied.0, cluster.oracle.chosen.len() as u64);
+        assert_eq!(applied.0, cluster.oracle.committed.len() as u64);
     }
 }
 
@@ -92,11 +92,11 @@
     }
 }
 
-/// A leader whose disk hangs without an error gives way to one whose disk works.
+/// Guards against a leader that keeps leading while its disk is stalled.
 #[test]
 fn test_faults_leader_with_a_hung_disk_gives_way() {
     let (mut cluster, old) = Cluster::elected(3);
-    cluster.host(old).hung = true;
+    cluster.host(old).stalled = true;
     let lost = cluster.propose(old);
     cluster.run(LONG);
     assert_eq!(
@@ -105,10 +105,10 @@
     );
     assert!(cluster.leader().is_some_and(|id| id != old));
     cluster.commit_one();
-    cluster.settle();
+    cluster.heal_and_check();
 }
 
-/// What waits for a hung disk is one message of a kind, however long it hangs.
+/// Guards against unbounded held messages while a write is stalled.
 #[test]
 fn test_faults_hung_disk_holds_a_bounded_number_of_messages() {
     let cluster = Cluster::new(3, Acceptance::Majority, 1);
@@ -136,7 +136,7 @@
     assert_eq!(message.body, Body::HeartbeatReply { round: 999 });
 }
 
-/// A long absence costs the leader a bounded log, and ends by a snapshot.
+/// Guards against unbounded growth of the leader's log while a follower is absent.
 #[test]
 fn test_faults_long_absence_takes_bounded_memory() {
     let (mut cluster, leader) = Cluster::elected(3);
@@ -159,7 +159,7 @@
     assert!(cluster.node(away.0).status().snapshot.0 > 200);
 }
 
-/// What a follower doesn't answer is bounded by the window, then by one empty probe at a time.
+/// Guards against unbounded appends to a follower that doesn't respond.
 #[test]
 fn test_faults_silent_follower_takes_a_bounded_window() {
     let (mut cluster, leader) = Cluster::elected(3);
@@ -174,13 +174,16 @@
         let has = matches!(&m.body, Body::Append { entries, .. } if !entries.is_empty());
         has && m.to == silent
     };
-    let count = cluster.bag.iter().filter(full).count();
-    assert!(count <= settings().window + 1, "{count} appends on the way");
+    let count = cluster.in_transit.iter().filter(full).count();
+    assert!(
+        count <= settings().max_in_flight_appends + 1,
+        "{count} appends on the way"
+    );
     cluster.host(silent).paused = false;
-    cluster.settle();
+    cluster.heal_and_check();
 }
 
-/// Who hears a leader neither votes nor pre-votes for another, unless the leader hands over.
+/// Guards against votes beside a live leader, except for a leadership transfer.
 #[test]
 fn test_faults_no_vote_beside_a_live_leader() {
     let last = Position {
@@ -211,13 +214,13 @@
                 Body::PreVoteReply { granted: true } | Body::VoteReply { granted: true }
             )
         };
-        assert_eq!(cluster.bag.iter().any(granted), grants);
+        assert_eq!(cluster.in_transit.iter().any(granted), grants);
         let expected = if grants { term.next() } else { term };
         assert_eq!(cluster.node(voter.0).term(), expected);
     }
 }
 
-/// A majority that has an older term's entry doesn't commit it; one that has the own term's does.
+/// Guards against committing an older term's entry by counting its replicas (Raft, section 5.4.2).
 #[test]
 fn test_faults_older_term_commits_only_with_the_own() {
     let cluster = Cluster::new(3, Acceptance::Majority, 1);
