--- a/crates/consensus/tests/test_replicas/test_groups.rs
+++ b/crates/consensus/tests/test_replicas/test_groups.rs
@@ -1,4 +1,4 @@
-//! What a healthy group does: batches, reads, changes, hand-over, refusals.
+//! Batches, reads, configuration changes, leadership transfers and rejections.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     let mut cluster = Cluster::new(voters, acceptance, 3);
     let leader = cluster.elect();
     cluster.run(Duration::from_secs(1));
-    cluster.bag.clear();
+    cluster.in_transit.clear();
     (cluster, leader)
 }
 
@@ -29,14 +29,14 @@
     RegionName::new(name).expect("a name")
 }
 
-/// What comes while a write is in flight goes into one write and one append a follower.
+/// Guards against separate writes or appends for proposals made while a write is in flight.
 #[test]
 fn test_groups_commit_in_one_write_and_one_append() {
     let (mut cluster, leader) = group(3, Acceptance::Majority);
     let first = cluster.propose(leader);
-    cluster.bag.clear();
+    cluster.in_transit.clear();
     let tickets: Vec<_> = (0..5).map(|_| cluster.propose(leader)).collect();
-    assert!(cluster.bag.is_empty());
+    assert!(cluster.in_transit.is_empty());
     cluster.sync(leader);
     let pending = cluster.hosts[&leader].disk.pending.as_ref();
     assert_eq!(pending.expect("a write").entries.len(), tickets.len());
@@ -44,14 +44,14 @@
         Body::Append { entries, .. } => entries.len(),
         _ => 0,
     };
-    let appends: Vec<usize> = cluster.bag.iter().map(appended).collect();
+    let appends: Vec<usize> = cluster.in_transit.iter().map(appended).collect();
     assert_eq!(appends, [tickets.len(); 2]);
     for ticket in tickets.into_iter().chain([first]) {
         cluster.done(ticket);
     }
 }
 
-/// One round of heartbeats serves all the reads that came before it, at a follower one question.
+/// Guards against a heartbeat round or a read index request for each single read.
 #[test]
 fn test_groups_read_in_one_round() {
     let (mut cluster, leader) = group(3, Acceptance::Majority);
@@ -82,7 +82,7 @@
     let status = cluster.node(leader.0).status();
     assert_eq!(status.commit, commit);
     assert!(status.config.learners.contains_key(&ReplicaId(4)));
-    assert!(cluster.hosts[&ReplicaId(4)].disk.holds(status.last));
+    assert!(cluster.hosts[&ReplicaId(4)].disk.has_synced(status.last));
     for id in cluster.ids() {
         cluster.host(id).link = Link::Open;
     }
@@ -96,7 +96,7 @@
     );
 }
 
-/// A new leader changes no voters before it has committed an entry of its own term.
+/// Guards against configuration changes before the leader has committed an entry in its term.
 #[test]
 fn test_groups_new_leader_changes_nothing_before_its_first_commit() {
     let mut cluster = Cluster::new(3, Acceptance::Majority, 3);
@@ -191,7 +191,7 @@
                 cluster.propose(others[0])
             }
             "full" => {
-                for _ in 0..settings().open_bytes / 64 {
+                for _ in 0..settings().max_uncommitted_bytes / 64 {
                     cluster.propose(leader);
                 }
                 cluster.propose(leader)
@@ -217,7 +217,7 @@
     }
 }
 
-/// Cuts replicas off and waits until the leader knows.
+/// Partitions replicas and waits until the leader has noticed.
 fn cut(cluster: &mut Cluster, ids: &[ReplicaId]) {
     for id in ids {
         cluster.host(*id).link = Link::Cut;
@@ -225,14 +225,16 @@
     cluster.run(settings().election_timeout + settings().heartbeat_interval);
 }
 
-/// Under the region rule a cut region stops acceptance, and its eviction starts it again.
+/// Guards against commits without a region's majority, and against an eviction that doesn't
+/// resume them.
 #[test]
 fn test_groups_cut_region_stops_acceptance_until_evicted() {
     let mut cluster = Cluster::new(7, Acceptance::EveryRegion, 3);
     let east = |id: &ReplicaId| id.0.is_multiple_of(2);
     let cut: Vec<ReplicaId> = cluster.ids().into_iter().filter(east).collect();
     cluster.commit_one();
-    // A leader elected after the cut has committed nothing in its term.
+    // The leader must be in the east, so that the west elects one after the partition, which
+    // can't commit an entry in its term.
     while let Some(leader) = cluster.leader().filter(|id| !east(id)) {
         cluster.step(leader, Event::Transfer);
         cluster.run(settings().election_timeout);
@@ -251,7 +253,7 @@
     for id in cut {
         cluster.host(id).link = Link::Open;
     }
-    cluster.settle();
+    cluster.heal_and_check();
 }
 
 #[test]
--- a/crates/consensus/tests/test_replicas/test_schedules.rs
+++ b/crates/consensus/tests/test_replicas/test_schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules of faults; every invariant is checked after every step.
+//! Random fault schedules; all invariants are checked after every step.
 //!
 //! A failure prints its seed; `RWR_SEED=<seed>` runs that one schedule.
 
@@ -21,10 +21,10 @@
 
 /// Steps of one schedule.
 const STEPS: usize = 800;
-/// Messages on the way at most.
-const BAG: usize = 60;
+/// Maximum number of messages in transit.
+const MAX_IN_TRANSIT: usize = 60;
 
-/// The seed of a schedule; a smaller one is not a simpler one, so none is tried.
+/// The seed of a schedule. Not shrunk, because a smaller seed gives no simpler schedule.
 #[derive(Clone, Copy, Debug)]
 struct Seed(u64);
 
@@ -34,7 +34,8 @@
     }
 }
 
-/// What a family of schedules has besides lost, doubled, late and overtaking messages.
+/// Parameters of a family of schedules. All have lost, duplicated, delayed and reordered
+/// messages.
 #[derive(Clone, Copy)]
 struct Shape {
     voters: u64,
@@ -58,7 +59,7 @@
     changes: true,
 };
 
-/// Prints the seed of a schedule that fails.
+/// Prints the seed of a failed schedule.
 struct Report(u64);
 
 impl Drop for Report {
@@ -76,7 +77,7 @@
     for _ in 0..STEPS {
         step(&mut cluster, shape);
     }
-    cluster.settle();
+    cluster.heal_and_check();
     true
 }
 
@@ -93,7 +94,7 @@
         }
         174..179 => cluster.compact(id),
         179..181 => cluster.crash(id),
-        181 if cluster.rng.random() => cluster.host(id).hung = true,
+        181 if cluster.rng.random() => cluster.host(id).stalled = true,
         181 => cluster.host(id).paused = true,
         182 if cluster.rng.random() => cluster.host(id).link = Link::Mute,
         182 => cluster.host(id).link = Link::Cut,
@@ -109,27 +110,27 @@
     cluster.advance(Duration::from_millis(millis));
 }
 
-/// Starts, wakes or joins a replica again.
+/// Restarts, resumes or reconnects a replica.
 fn recover(cluster: &mut Cluster, id: ReplicaId) {
     let host = cluster.host(id);
-    (host.paused, host.hung) = (false, false);
+    (host.paused, host.stalled) = (false, false);
     host.link = Link::Open;
     cluster.start(id);
 }
 
-/// Delivers, loses or doubles a message out of the bag.
+/// Delivers, loses or duplicates a random message in transit.
 fn message(cluster: &mut Cluster) {
-    let count = cluster.bag.len();
+    let count = cluster.in_transit.len();
     if count == 0 {
         return pass(cluster, 1..10);
     }
     let at = cluster.rng.random_range(0..count);
     let fate = cluster.rng.random_range(0..20);
-    if fate == 0 || count > BAG {
-        cluster.bag.swap_remove(at);
+    if fate == 0 || count > MAX_IN_TRANSIT {
+        cluster.in_transit.swap_remove(at);
     } else if fate == 1 {
-        let copy = cluster.bag[at].clone();
-        cluster.bag.push(copy);
+        let copy = cluster.in_transit[at].clone();
+        cluster.in_transit.push(copy);
     } else {
         cluster.deliver(at);
     }
@@ -142,7 +143,7 @@
     }
 }
 
-/// Adds an empty replica, or asks again for one, or removes one, or evicts a region.
+/// Adds a new replica, repeats an addition, removes a replica, or evicts or readmits a region.
 fn change(cluster: &mut Cluster) {
     let Some(leader) = cluster.leader() else {
         return;
@@ -163,7 +164,7 @@
     cluster.change(leader, change);
 }
 
-/// Runs schedules of one family, the same ones every time unless `RWR_GEN` says which.
+/// Runs the schedules of one family; `RWR_GEN` selects another set of them.
 fn check(schedule: fn(Seed) -> bool, count: u64) {
     let number = |name| {
         let text = std::env::var(name).ok()?;
--- a/crates/consensus/tests/test_restart.rs
+++ b/crates/consensus/tests/test_restart.rs
@@ -1,4 +1,4 @@
-//! Two of three replicas that start again at the same moment.
+//! Replicas that restart from stored state.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
     }
 }
 
-/// What a replica of a founded group has on disk after its first term.
+/// The stored state of a member of an existing group after its first term.
 fn stored(id: u64) -> Stored {
     let config = Config::of_voters((1..=3).map(member), Acceptance::Majority);
     let mut stored = Stored::founding(ReplicaId(id), config);
@@ -40,7 +40,7 @@
     stored
 }
 
-/// Lets one replica act; what it sends goes to the other's queue.
+/// Steps one replica and queues its messages for the other one.
 fn act(node: &mut Node, now: Moment, event: Event, other: &mut VecDeque<Event>, to: ReplicaId) {
     let mut actions = Vec::new();
     node.step(now, event, &mut actions);
@@ -62,7 +62,7 @@
     }
 }
 
-/// Whatever their seeds, they elect one in the first campaign when both ask at once.
+/// Guards against a split vote when two of three replicas start a pre-vote at the same time.
 #[test]
 fn test_restart_two_that_ask_at_once_elect_one_at_once() {
     let ids = [ReplicaId(1), ReplicaId(2)];
@@ -74,7 +74,7 @@
             Node::new(settings.clone(), stored(2), seed + 1_000, now),
         ];
         let mut queues = [VecDeque::new(), VecDeque::new()];
-        // Both have asked before either hears of the other.
+        // Both send pre-vote requests before either receives one.
         let late = now + settings.election_timeout;
         for at in 0..2 {
             let [one, two] = &mut queues;
@@ -104,7 +104,7 @@
     }
 }
 
-/// What is applied at the first step, by the index that the disk names as committed.
+/// The entries applied at the first step, given the stored commit index.
 fn applied(commit: u64) -> Vec<u64> {
     let mut stored = stored(1);
     stored.entries = (1..=3).map(entry).collect();
@@ -120,7 +120,7 @@
     commits.flatten().collect()
 }
 
-/// A replica that is alone after a restart applies what was committed, and no more.
+/// Guards against applying entries after a restart that were not known to be committed.
 #[test]
 fn test_restart_applies_what_the_disk_says_is_committed() {
     let cases: [(u64, &[u64]); 4] = [(0, &[]), (2, &[1, 2]), (3, &[1, 2, 3]), (9, &[1, 2, 3])];
@@ -129,7 +129,7 @@
     }
 }
 
-/// Where all have restarted the last of a majority asks for votes at once.
+/// Guards against a full election timeout without a leader after all replicas have restarted.
 #[test]
 fn test_restart_first_campaign_is_soon() {
     let settings = Settings::default();
