--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,65 +1,65 @@
-//! The port to a data folder.
+//! The storage interface to a data folder.
 
 use std::io;
 
-/// Files of one flat folder, by name.
+/// The files of one flat folder, by name.
 ///
-/// Nothing is durable before its sync: bytes by [`Disk::sync`], names by
+/// File contents become durable with [`Disk::sync`], and file names with
 /// [`Disk::sync_dir`].
 pub trait Disk: Send {
-    /// The names of all files.
+    /// Returns the names of all files.
     ///
     /// # Errors
     ///
-    /// Fails when the folder can't be read.
+    /// Fails if the folder can't be read.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// A whole file.
+    /// Reads a whole file.
     ///
     /// # Errors
     ///
-    /// Fails when there is none or it can't be read.
+    /// Fails if the file doesn't exist or can't be read.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Makes an empty file, or empties it.
+    /// Creates an empty file, truncating an existing one.
     ///
     /// # Errors
     ///
-    /// Fails when it can't be made.
+    /// Fails if the file can't be created.
     fn create(&mut self, name: &str) -> io::Result<()>;
 
-    /// Adds `bytes` at the end of a file; a part may be written on failure.
+    /// Appends `bytes` to a file. On failure some of them may have been written.
     ///
     /// # Errors
     ///
-    /// Fails when not all bytes could be written.
+    /// Fails if not all bytes could be written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes a file's bytes durable.
+    /// Makes a file's contents durable.
     ///
     /// # Errors
     ///
-    /// Fails when they may be lost; they then can't be relied on for good.
+    /// Fails if unsynced bytes may be lost; a later successful sync doesn't make them durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Renames a file, replacing one of the new name.
+    /// Renames a file, replacing an existing file with the new name.
     ///
     /// # Errors
     ///
-    /// Fails when it can't be renamed.
+    /// Fails if the file can't be renamed.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// Fails when it can't be removed.
+    /// Fails if the file can't be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Makes the folder's names durable.
+    /// Makes the folder's file names durable.
     ///
     /// # Errors
     ///
-    /// Fails when they may be lost.
+    /// Fails if file names may be lost.
     fn sync_dir(&mut self) -> io::Result<()>;
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,82 +1,82 @@
-//! Why a data folder can't be used.
+//! Errors of the store.
 
 use std::io;
 
 use quick_error::quick_error;
 use strum::Display;
 
-/// What was done to a file when it failed.
+/// The file operation that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Operation {
-    /// Listing the folder.
+    /// Listing the folder's files.
     List,
-    /// Reading.
+    /// Reading a file.
     Read,
-    /// Making a file.
+    /// Creating a file or folder.
     Create,
-    /// Writing.
+    /// Writing to a file.
     Write,
-    /// Making bytes or names durable.
+    /// Syncing a file or the folder.
     Sync,
-    /// Putting a finished file in place.
+    /// Renaming a finished temporary file to its final name.
     Rename,
-    /// Removing a file that is no longer needed.
+    /// Removing an obsolete file.
     Remove,
 }
 
-/// What is wrong with a file that was read.
+/// The kind of damage found in stored data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Damage {
-    /// A frame's checksum or length is wrong, and good frames follow.
+    /// A frame's checksum or length is wrong, and the frame is not an incomplete last write.
     Frame,
-    /// A frame's checksum is right and its message isn't.
+    /// A frame's checksum is correct but its message can't be decoded.
     Message,
-    /// Entries are missing between two that are there.
+    /// Log entries are missing.
     Gap,
-    /// A segment is missing between two that are there.
+    /// A log segment is missing between two existing ones.
     Segment,
-    /// There is a log without the identity that wrote it.
+    /// The identity file is damaged, or missing although other files exist.
     Identity,
-    /// The newest snapshot can't be read.
+    /// The newest snapshot is damaged.
     Snapshot,
 }
 
 quick_error! {
-    /// Why the store stops; after any of these from a write it takes no more.
+    /// An error of the store. After a failed write the store accepts no more writes.
     #[derive(Debug)]
     pub enum StoreError {
-        /// No room is left on the disk.
+        /// The disk is full.
         Full(name: String) {
             display("{name}: the disk is full")
         }
-        /// The system refused an operation.
+        /// An I/O operation failed.
         Io(operation: Operation, name: String, err: io::Error) {
             source(err)
             display("{name}: {operation}: {err}")
         }
-        /// What was synced before can't be read any more.
+        /// Data that was synced before is damaged.
         Damaged(name: String, offset: u64, damage: Damage) {
             display("{name}: damaged at byte {offset}: {damage}")
         }
-        /// An earlier write or sync failed.
+        /// An earlier write or sync failed, so the store has stopped.
         Stopped {
             display("the store stopped after an earlier failure")
         }
-        /// Another process uses the folder.
+        /// Another process has locked the folder.
         Locked(name: String) {
             display("{name}: another process uses this data folder")
         }
-        /// The caller broke the order of entries.
+        /// An appended entry leaves a gap in the log or is already covered by the snapshot.
         Order(found: u64, last: u64) {
-            display("entry {found} can't follow entry {last}")
+            display("log entry out of order: entry {found} can't follow entry {last}")
         }
     }
 }
 
 impl StoreError {
-    /// The error of `operation` on `name`.
+    /// Creates the error for a failed `operation` on the file `name`.
     #[must_use]
     pub fn io(operation: Operation, name: &str, err: io::Error) -> Self {
         if err.kind() == io::ErrorKind::StorageFull {
--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -1,4 +1,4 @@
-//! A real folder as a [`Disk`].
+//! A [`Disk`] in a folder of the file system.
 
 use std::fs;
 use std::fs::File;
@@ -13,13 +13,12 @@
 use crate::error::Operation;
 use crate::error::StoreError;
 
-/// Held for as long as a process uses the folder.
-const LOCK: &str = "lock";
+/// Locked while a process uses the folder.
+const LOCK_FILE: &str = "lock";
 
-/// A folder that this process alone uses.
+/// A folder used exclusively by this process.
 ///
-/// The file that was last written stays open, as the log goes to the same one
-/// for long.
+/// The last written file stays open, because consecutive writes go to the same log segment.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -28,16 +27,16 @@
 }
 
 impl Folder {
-    /// Opens the folder at `path`, making it when there is none.
+    /// Opens the folder at `path`, creating it if necessary, and locks it.
     ///
     /// # Errors
     ///
-    /// Fails when it can't be made or another process holds it.
+    /// Fails if the folder can't be created or another process has locked it.
     pub fn open(path: &Path) -> Result<Self, StoreError> {
         let name = path.display().to_string();
-        let fail = |err| StoreError::io(Operation::Create, &name, err);
-        fs::create_dir_all(path).map_err(fail)?;
-        let lock = File::create(path.join(LOCK)).map_err(fail)?;
+        let io_error = |err| StoreError::io(Operation::Create, &name, err);
+        fs::create_dir_all(path).map_err(io_error)?;
+        let lock = File::create(path.join(LOCK_FILE)).map_err(io_error)?;
         match lock.try_lock() {
             Ok(()) => Ok(Self {
                 path: path.to_owned(),
@@ -45,13 +44,16 @@
                 _lock: lock,
             }),
             Err(TryLockError::WouldBlock) => Err(StoreError::Locked(name)),
-            Err(TryLockError::Error(err)) => Err(fail(err)),
+            Err(TryLockError::Error(err)) => Err(io_error(err)),
         }
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
-        let open = self.active.as_ref().is_some_and(|(held, _)| held == name);
-        if !open {
+        let is_open = self
+            .active
+            .as_ref()
+            .is_some_and(|(active_name, _)| active_name == name);
+        if !is_open {
             let file = OpenOptions::new().append(true).open(self.path.join(name))?;
             self.active = Some((name.to_owned(), file));
         }
@@ -61,8 +63,8 @@
         }
     }
 
-    fn release(&mut self, name: &str) {
-        self.active.take_if(|(held, _)| held == name);
+    fn close(&mut self, name: &str) {
+        self.active.take_if(|(active_name, _)| active_name == name);
     }
 }
 
@@ -71,7 +73,7 @@
         let mut names = Vec::new();
         for item in fs::read_dir(&self.path)? {
             let name = item?.file_name().to_string_lossy().into_owned();
-            if name != LOCK {
+            if name != LOCK_FILE {
                 names.push(name);
             }
         }
@@ -83,7 +85,7 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        self.release(name);
+        self.close(name);
         File::create(self.path.join(name)).map(drop)
     }
 
@@ -96,13 +98,13 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.release(from);
-        self.release(to);
+        self.close(from);
+        self.close(to);
         fs::rename(self.path.join(from), self.path.join(to))
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.release(name);
+        self.close(name);
         fs::remove_file(self.path.join(name))
     }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,11 +1,11 @@
 //! A replica's data folder: identity, hard state, log and snapshots.
 //!
-//! Everything goes through a [`Disk`], which tests replace by one in memory
-//! that forgets what wasn't synced and fails on demand. The log is a row of
-//! segment files that hold checksummed frames. One frame is one [`Batch`],
-//! and the next frame is begun only after the one before was synced. So a bad
-//! frame with a good one behind it is damage, and a bad one at the very end is
-//! a write that a crash cut short and that nobody was ever told of.
+//! All I/O goes through a [`Disk`]; tests use one in memory that loses unsynced data
+//! and injects faults. The log is a sequence of segment files of checksummed frames.
+//! A frame contains one [`Batch`], and a frame is synced before the next one is
+//! written. An invalid frame followed by a valid one is therefore damage, and an
+//! invalid frame at the end of the log is an incomplete write that was never
+//! acknowledged.
 //!
 //! [`Batch`]: wire::store::Batch
 
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -1,4 +1,4 @@
-//! A [`Disk`] in memory that forgets and fails on demand, for tests.
+//! A [`Disk`] in memory for tests, which loses unsynced data and injects faults.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -9,21 +9,22 @@
 
 use crate::disk::Disk;
 
-/// What goes wrong, once or from then on.
+/// A fault to inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Only so many more bytes fit.
+    /// The disk is full after this many more bytes.
     Full(u64),
-    /// The sync after so many good ones fails, and loses what it should have kept.
+    /// Syncs fail after this many successful ones; the data stays unsynced.
     Sync(u32),
-    /// At the next crash so many unsynced bytes of each file stay, and new names do.
+    /// At the next crash, this many unsynced bytes of each file survive, and unsynced file
+    /// names if it is not 0.
     Torn(usize),
-    /// Of the bytes that stay at the next crash, so many at the front read as
-    /// zeros: the write that held them was lost, and later ones were not.
+    /// Of the unsynced bytes that survive the next crash, this many at the front become
+    /// zeros, as if an earlier write was lost and later ones were not.
     Hole(usize),
 }
 
-/// One file: what a reader sees and how much of it would survive a crash.
+/// The visible and the durable contents of a file.
 #[derive(Clone, Debug, Default)]
 struct Content {
     bytes: Vec<u8>,
@@ -31,7 +32,7 @@
 }
 
 impl Content {
-    fn settle(&mut self) {
+    fn sync(&mut self) {
         let Self { bytes, durable } = self;
         durable.clone_from(bytes);
     }
@@ -40,62 +41,66 @@
 #[derive(Debug, Default)]
 struct State {
     files: BTreeMap<String, Arc<Mutex<Content>>>,
-    durable: BTreeMap<String, Arc<Mutex<Content>>>,
-    room: Option<u64>,
-    syncs: Option<u32>,
+    durable_files: BTreeMap<String, Arc<Mutex<Content>>>,
+    remaining_bytes: Option<u64>,
+    remaining_syncs: Option<u32>,
     torn_bytes: usize,
-    hole: usize,
-    count: u64,
+    hole_bytes: usize,
+    sync_count: u64,
 }
 
-/// A folder in memory; clones share it, as processes one after another would.
+/// A folder in memory, shared by its clones, as by consecutive processes.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDisk {
     state: Arc<Mutex<State>>,
 }
 
 impl MemoryDisk {
-    /// Arms a fault.
+    /// Arms a fault, which stays until the next crash.
     pub fn arm(&self, fault: Fault) {
         let mut state = self.state();
         match fault {
-            Fault::Full(room) => state.room = Some(room),
-            Fault::Sync(good) => state.syncs = Some(good),
-            Fault::Torn(keep) => state.torn_bytes = keep,
-            Fault::Hole(bytes) => state.hole = bytes,
+            Fault::Full(bytes) => state.remaining_bytes = Some(bytes),
+            Fault::Sync(count) => state.remaining_syncs = Some(count),
+            Fault::Torn(bytes) => state.torn_bytes = bytes,
+            Fault::Hole(bytes) => state.hole_bytes = bytes,
         }
     }
 
-    /// Loses all that wasn't synced and disarms every fault.
+    /// Loses unsynced data, except what armed faults keep, and disarms all faults.
     pub fn crash(&self) {
         let mut state = self.state();
         let torn_bytes = std::mem::take(&mut state.torn_bytes);
-        let hole = std::mem::take(&mut state.hole);
-        let durable = state.durable.clone();
-        let seen = std::mem::replace(&mut state.files, durable);
+        let hole_bytes = std::mem::take(&mut state.hole_bytes);
+        let durable = state.durable_files.clone();
+        let visible = std::mem::replace(&mut state.files, durable);
         if torn_bytes > 0 {
-            for (name, file) in seen {
+            for (name, file) in visible {
                 state.files.entry(name).or_insert(file);
             }
         }
         for file in state.files.values() {
             let mut content = lock(file);
             let durable = content.durable.clone();
-            let kept = durable.len();
-            let end = content.bytes.len().min(kept + torn_bytes);
-            let mut tail = content.bytes.get(kept..end).unwrap_or_default().to_vec();
-            let lost = hole.min(tail.len());
+            let durable_length = durable.len();
+            let end = content.bytes.len().min(durable_length + torn_bytes);
+            let mut tail = content
+                .bytes
+                .get(durable_length..end)
+                .unwrap_or_default()
+                .to_vec();
+            let lost = hole_bytes.min(tail.len());
             tail[..lost].fill(0);
             content.bytes.clone_from(&durable);
             content.bytes.extend(tail);
-            content.settle();
+            content.sync();
         }
-        state.durable = state.files.clone();
-        state.room = None;
-        state.syncs = None;
+        state.durable_files = state.files.clone();
+        state.remaining_bytes = None;
+        state.remaining_syncs = None;
     }
 
-    /// Inverts the lowest bit of one byte, counted from the end when negative.
+    /// Flips the lowest bit of the byte at `offset`, which counts from the end if negative.
     pub fn flip(&self, name: &str, offset: i64) {
         let state = self.state();
         let Some(file) = state.files.get(name) else {
@@ -103,18 +108,18 @@
         };
         let mut content = lock(file);
         let length = i64::try_from(content.bytes.len()).unwrap_or(i64::MAX);
-        let place = if offset < 0 { length + offset } else { offset };
-        let place = usize::try_from(place).unwrap_or(usize::MAX);
-        if let Some(byte) = content.bytes.get_mut(place) {
+        let index = if offset < 0 { length + offset } else { offset };
+        let index = usize::try_from(index).unwrap_or(usize::MAX);
+        if let Some(byte) = content.bytes.get_mut(index) {
             *byte ^= 1;
         }
-        content.settle();
+        content.sync();
     }
 
-    /// How many syncs succeeded.
+    /// Returns the number of successful syncs.
     #[must_use]
     pub fn syncs(&self) -> u64 {
-        self.state().count
+        self.state().sync_count
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -128,12 +133,12 @@
 
     fn count_sync(&self) -> io::Result<()> {
         let mut state = self.state();
-        match &mut state.syncs {
+        match &mut state.remaining_syncs {
             Some(0) => return Err(io::Error::other("injected sync failure")),
-            Some(good) => *good -= 1,
+            Some(remaining) => *remaining -= 1,
             None => {}
         }
-        state.count += 1;
+        state.sync_count += 1;
         Ok(())
     }
 }
@@ -160,9 +165,9 @@
         let file = self.file(name)?;
         let mut state = self.state();
         let mut fits = bytes.len();
-        if let Some(room) = &mut state.room {
-            fits = fits.min(usize::try_from(*room).unwrap_or(usize::MAX));
-            *room -= fits as u64;
+        if let Some(remaining_bytes) = &mut state.remaining_bytes {
+            fits = fits.min(usize::try_from(*remaining_bytes).unwrap_or(usize::MAX));
+            *remaining_bytes -= fits as u64;
         }
         lock(&file).bytes.extend_from_slice(&bytes[..fits]);
         if fits < bytes.len() {
@@ -174,7 +179,7 @@
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let file = self.file(name)?;
         self.count_sync()?;
-        lock(&file).settle();
+        lock(&file).sync();
         Ok(())
     }
 
@@ -197,7 +202,7 @@
     fn sync_dir(&mut self) -> io::Result<()> {
         self.count_sync()?;
         let mut state = self.state();
-        state.durable = state.files.clone();
+        state.durable_files = state.files.clone();
         Ok(())
     }
 }
--- a/crates/store/src/replay.rs
+++ b/crates/store/src/replay.rs
@@ -1,4 +1,4 @@
-//! Rebuilds the log from its batches.
+//! Rebuilds the log from its stored batches.
 
 use std::collections::VecDeque;
 
@@ -8,37 +8,36 @@
 
 use crate::error::Damage;
 
-/// The log as far as it was read.
+/// The log rebuilt from the batches applied so far.
 ///
-/// Invariant: the entries follow each other without a gap, from after `floor`
-/// or above.
+/// Invariant: the entries are consecutive.
 #[derive(Debug, Default)]
 pub struct Replay {
     /// The newest hard state.
     pub state: HardState,
-    /// Entries that are not void.
+    /// The entries that were not truncated or superseded.
     pub entries: VecDeque<Entry>,
-    /// Entries up to here were known to be committed.
+    /// The stored commit index.
     pub commit: u64,
-    floor: u64,
+    snapshot_index: u64,
 }
 
 impl Replay {
-    /// Starts with a snapshot up to `floor`, 0 without one.
+    /// Starts from a snapshot up to `snapshot_index`, or 0 without one.
     #[must_use]
-    pub fn new(floor: u64) -> Self {
+    pub fn new(snapshot_index: u64) -> Self {
         Self {
-            floor,
+            snapshot_index,
             ..Self::default()
         }
     }
 
-    /// Takes the next batch.
+    /// Applies the next batch.
     ///
     /// # Errors
     ///
-    /// Fails on a gap that no snapshot covers.
-    pub fn take(&mut self, batch: Batch) -> Result<(), Damage> {
+    /// Fails on a gap that the snapshot doesn't cover.
+    pub fn apply(&mut self, batch: Batch) -> Result<(), Damage> {
         if let Some(state) = batch.state {
             self.state = state;
         }
@@ -49,21 +48,21 @@
         batch.entries.into_iter().try_for_each(|e| self.push(e))
     }
 
-    /// Ends with the entries after a snapshot of the given term.
+    /// Returns the hard state and the entries after the snapshot, whose last entry has `term`.
     ///
-    /// Entries after the snapshot are void when the log held another entry at
-    /// its index: the snapshot came from a leader that had overruled them.
+    /// If the log has an entry with another term at the snapshot's index, the snapshot
+    /// came from a leader and supersedes all entries of the log.
     #[must_use]
     pub fn finish(mut self, term: u64) -> (HardState, Vec<Entry>) {
-        let overruled = self
+        let is_superseded = self
             .entries
             .iter()
-            .any(|e| e.index == self.floor && e.term != term);
-        if overruled {
+            .any(|e| e.index == self.snapshot_index && e.term != term);
+        if is_superseded {
             self.entries.clear();
         }
-        let floor = self.floor;
-        self.entries.retain(|e| e.index > floor);
+        let snapshot_index = self.snapshot_index;
+        self.entries.retain(|e| e.index > snapshot_index);
         (self.state, self.entries.into())
     }
 
@@ -72,8 +71,8 @@
         let expected = self.entries.back().map(|last| last.index + 1);
         match expected {
             Some(next) if next == entry.index => {}
-            // A snapshot from a leader replaced everything before this entry.
-            _ if entry.index <= self.floor + 1 => self.entries.clear(),
+            // A snapshot received from a leader replaced all entries before this one.
+            _ if entry.index <= self.snapshot_index + 1 => self.entries.clear(),
             _ => return Err(Damage::Gap),
         }
         self.entries.push_back(entry);
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Files that are put in place whole: identity and snapshots.
+//! The identity and snapshot files, which are written atomically.
 
 use prost::Message;
 use wire::store::Identity;
@@ -9,89 +9,93 @@
 use crate::error::Operation;
 use crate::error::StoreError;
 use crate::frame;
-use crate::frame::Found;
+use crate::frame::ReadResult;
 
-/// Name of the identity file.
+/// The name of the identity file.
 pub const IDENTITY: &str = "identity";
-/// Ending of files that aren't finished.
-pub const UNFINISHED: &str = ".tmp";
-const PREFIX: &str = "snapshot-";
+/// The suffix of temporary files.
+pub const TEMP_SUFFIX: &str = ".tmp";
+const SNAPSHOT_PREFIX: &str = "snapshot-";
 
-/// Writes `bytes` as file `name`: all of it or, after a crash, none.
+/// Atomically writes `bytes` to the file `name` and syncs it.
 ///
 /// # Errors
 ///
-/// Fails when any step does; the file may then be there or not.
-pub fn place(disk: &mut dyn Disk, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
-    let unfinished = format!("{name}{UNFINISHED}");
-    step(Operation::Create, &unfinished, disk.create(&unfinished))?;
-    step(
-        Operation::Write,
-        &unfinished,
-        disk.append(&unfinished, bytes),
-    )?;
-    step(Operation::Sync, &unfinished, disk.sync(&unfinished))?;
-    step(Operation::Rename, name, disk.rename(&unfinished, name))?;
-    step(Operation::Sync, name, disk.sync_dir())
+/// Fails if any step fails; the file may or may not have been replaced.
+pub fn write_atomic(disk: &mut dyn Disk, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
+    let temp_name = format!("{name}{TEMP_SUFFIX}");
+    with_context(Operation::Create, &temp_name, disk.create(&temp_name))?;
+    with_context(Operation::Write, &temp_name, disk.append(&temp_name, bytes))?;
+    with_context(Operation::Sync, &temp_name, disk.sync(&temp_name))?;
+    with_context(Operation::Rename, name, disk.rename(&temp_name, name))?;
+    with_context(Operation::Sync, name, disk.sync_dir())
 }
 
-/// The identity, minted as `mint` in a folder without files.
+/// Loads the identity, or stores `new_id` as the identity of an empty folder.
 ///
 /// # Errors
 ///
-/// Fails when it is damaged, or missing beside a log.
-pub fn identity(disk: &mut dyn Disk, names: &[String], mint: u64) -> Result<u64, StoreError> {
+/// Fails if the identity is damaged, or missing in a folder with other files.
+pub fn load_or_create_identity(
+    disk: &mut dyn Disk,
+    names: &[String],
+    new_id: u64,
+) -> Result<u64, StoreError> {
     if names.iter().any(|n| n == IDENTITY) {
         return Ok(load::<Identity>(disk, IDENTITY, Damage::Identity)?.id);
     }
     if !names.is_empty() {
         return Err(StoreError::Damaged(IDENTITY.into(), 0, Damage::Identity));
     }
-    place(disk, IDENTITY, &framed(&Identity { id: mint }))?;
-    Ok(mint)
+    write_atomic(disk, IDENTITY, &encode_frame(&Identity { id: new_id }))?;
+    Ok(new_id)
 }
 
-/// The newest snapshot; older ones are removed.
+/// Loads the newest snapshot and removes older ones.
 ///
 /// # Errors
 ///
-/// Fails when the newest is damaged: the log before it is gone.
-pub fn newest(disk: &mut dyn Disk, names: &[String]) -> Result<Option<Snapshot>, StoreError> {
-    let mut found: Vec<&String> = names.iter().filter(|n| n.starts_with(PREFIX)).collect();
-    found.sort();
-    let Some(name) = found.pop() else {
+/// Fails if the newest snapshot is damaged. Older ones can't replace it, because the log
+/// that it covers may have been removed.
+pub fn load_newest(disk: &mut dyn Disk, names: &[String]) -> Result<Option<Snapshot>, StoreError> {
+    let mut candidates: Vec<&String> = names
+        .iter()
+        .filter(|n| n.starts_with(SNAPSHOT_PREFIX))
+        .collect();
+    candidates.sort();
+    let Some(name) = candidates.pop() else {
         return Ok(None);
     };
     let snapshot = load(disk, name, Damage::Snapshot)?;
-    for old in found {
-        step(Operation::Remove, old, disk.remove(old))?;
+    for old in candidates {
+        with_context(Operation::Remove, old, disk.remove(old))?;
     }
     Ok(Some(snapshot))
 }
 
-/// Puts a snapshot in place and removes the one before it.
+/// Stores a snapshot and removes the `previous` one.
 ///
 /// # Errors
 ///
-/// Fails when any step does.
+/// Fails if any step fails.
 pub fn save(
     disk: &mut dyn Disk,
     snapshot: &Snapshot,
-    before: Option<u64>,
+    previous: Option<u64>,
 ) -> Result<(), StoreError> {
-    place(disk, &file_name(snapshot.index), &framed(snapshot))?;
-    if let Some(old) = before.filter(|b| *b != snapshot.index).map(file_name) {
-        step(Operation::Remove, &old, disk.remove(&old))?;
+    write_atomic(disk, &file_name(snapshot.index), &encode_frame(snapshot))?;
+    if let Some(old) = previous.filter(|b| *b != snapshot.index).map(file_name) {
+        with_context(Operation::Remove, &old, disk.remove(&old))?;
     }
     Ok(())
 }
 
-/// Adds what was done, and to which file, to a failure.
+/// Adds the operation and the file name to an I/O error.
 ///
 /// # Errors
 ///
-/// Passes the failure on.
-pub fn step<T>(
+/// Returns the error of `result` with its context.
+pub fn with_context<T>(
     operation: Operation,
     name: &str,
     result: std::io::Result<T>,
@@ -100,10 +104,10 @@
 }
 
 fn file_name(index: u64) -> String {
-    format!("{PREFIX}{index:020}")
+    format!("{SNAPSHOT_PREFIX}{index:020}")
 }
 
-fn framed(message: &impl Message) -> Vec<u8> {
+fn encode_frame(message: &impl Message) -> Vec<u8> {
     let mut bytes = Vec::new();
     frame::write(&mut bytes, 0, 0, &message.encode_to_vec());
     bytes
@@ -114,8 +118,8 @@
     name: &str,
     damage: Damage,
 ) -> Result<M, StoreError> {
-    let bytes = step(Operation::Read, name, disk.read(name))?;
-    let Found::Frame(payload, _) = frame::read(&bytes, 0, 0) else {
+    let bytes = with_context(Operation::Read, name, disk.read(name))?;
+    let ReadResult::Frame(payload, _) = frame::read(&bytes, 0, 0) else {
         return Err(StoreError::Damaged(name.into(), 0, damage));
     };
     M::decode(payload).map_err(|_| StoreError::Damaged(name.into(), 0, damage))
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The durable log with its hard state and snapshots.
+//! The durable log with the hard state and snapshots.
 
 use prost::Message;
 use wire::store::Batch;
@@ -11,17 +11,17 @@
 use crate::error::Operation;
 use crate::error::StoreError;
 use crate::frame;
-use crate::frame::Found;
+use crate::frame::ReadResult;
 use crate::replay::Replay;
 use crate::snapshot;
-use crate::snapshot::step;
+use crate::snapshot::with_context;
 
-const PREFIX: &str = "log-";
+const LOG_PREFIX: &str = "log-";
 
-/// Sizes of the store.
+/// Options of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Bytes after which the log goes on in a new segment.
+    /// The size in bytes from which the log continues in a new segment.
     pub segment_bytes: u64,
 }
 
@@ -33,86 +33,86 @@
     }
 }
 
-/// What a data folder held when it was opened.
+/// The contents of a data folder when it was opened.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recovered {
-    /// Minted with the folder.
+    /// The replica's identity, generated when the folder was created.
     pub id: u64,
-    /// The newest hard state.
+    /// The last hard state.
     pub state: HardState,
     /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
-    /// The entries after it, without a gap.
+    /// The entries after the snapshot, without gaps.
     pub entries: Vec<Entry>,
-    /// Entries up to this index were known to be committed, perhaps later ones are.
+    /// The stored commit index, a lower bound of the actual one.
     pub commit: u64,
-    /// Bytes of a write that a crash had cut short.
+    /// The number of bytes of an incomplete last write, which were discarded.
     pub torn_bytes: u64,
 }
 
-/// One file of the log.
+/// One segment file of the log.
 #[derive(Clone, Copy, Debug)]
 struct Segment {
     number: u64,
     length: u64,
-    /// Highest index that was ever written to it.
-    highest: u64,
+    /// The highest entry index ever written to the segment.
+    highest_index: u64,
 }
 
 impl Segment {
     fn name(&self) -> String {
-        format!("{PREFIX}{:020}", self.number)
+        format!("{LOG_PREFIX}{:020}", self.number)
     }
 }
 
-/// A data folder that is open for writing.
+/// An open data folder.
 ///
-/// Invariants: whatever [`Store::append`] and [`Store::save`] returned `Ok`
-/// for survives a crash; after a failed write or sync nothing more is written.
+/// Invariants: data for which [`Store::append`] or [`Store::save`] returned `Ok`
+/// survives a crash; after a failed write or sync nothing more is written.
 pub struct Store {
     disk: Box<dyn Disk>,
     options: Options,
     segments: Vec<Segment>,
     state: HardState,
-    last: u64,
-    /// Index of the snapshot in place.
-    held: Option<u64>,
+    last_index: u64,
+    /// The index of the stored snapshot.
+    snapshot_index: Option<u64>,
     stopped: bool,
 }
 
 impl Store {
-    /// Opens a folder and reads what it holds; an empty one gets the identity `mint`.
+    /// Opens a folder and reads its contents; an empty one gets the identity `new_id`.
     ///
     /// # Errors
     ///
-    /// Fails on damage anywhere but in an unfinished write at the very end.
+    /// Fails on I/O errors and on damage other than an incomplete write at the end of the log.
     pub fn open(
         mut disk: Box<dyn Disk>,
         options: Options,
-        mint: u64,
+        new_id: u64,
     ) -> Result<(Self, Recovered), StoreError> {
-        let names = clean(&mut *disk)?;
-        let id = snapshot::identity(&mut *disk, &names, mint)?;
-        let kept = snapshot::newest(&mut *disk, &names)?;
-        let floor = kept.as_ref().map_or(0, |s| s.index);
-        let mut log = LogReader::new(&mut *disk, floor);
+        let names = remove_temp_files(&mut *disk)?;
+        let id = snapshot::load_or_create_identity(&mut *disk, &names, new_id)?;
+        let loaded = snapshot::load_newest(&mut *disk, &names)?;
+        let compacted_index = loaded.as_ref().map_or(0, |s| s.index);
+        let mut log = LogReader::new(&mut *disk, compacted_index);
         log.read_all(&names)?;
         let (segments, torn_bytes) = (log.segments, log.torn_bytes);
         let commit = log.replay.commit;
-        let (state, entries) = log.replay.finish(kept.as_ref().map_or(0, |s| s.term));
+        let (state, entries) = log.replay.finish(loaded.as_ref().map_or(0, |s| s.term));
         let store = Self {
             disk,
             options,
             segments,
             state,
-            last: entries.last().map_or(floor, |e| e.index),
-            held: kept.as_ref().map(|s| s.index),
+            last_index: entries.last().map_or(compacted_index, |e| e.index),
+            snapshot_index: loaded.as_ref().map(|s| s.index),
             stopped: false,
         };
         let recovered = Recovered {
             id,
             state,
-            snapshot: kept,
+            snapshot: loaded,
             entries,
             commit,
             torn_bytes,
@@ -124,44 +124,44 @@
     ///
     /// # Errors
     ///
-    /// Fails when the batch may not survive a crash; the store then stops.
+    /// Fails if the batch may not survive a crash; the store then stops.
     pub fn append(&mut self, batch: &Batch) -> Result<(), StoreError> {
-        self.guard(|store| store.append_batch(batch))
+        self.stop_on_error(|store| store.append_batch(batch))
     }
 
-    /// Puts a snapshot in place and removes the log that it covers.
+    /// Stores a snapshot and removes log segments that it covers.
     ///
     /// # Errors
     ///
-    /// Fails when it may not survive a crash; the store then stops.
+    /// Fails if the snapshot may not survive a crash; the store then stops.
     pub fn save(&mut self, snapshot: &Snapshot) -> Result<(), StoreError> {
-        self.guard(|store| store.save_snapshot(snapshot))
+        self.stop_on_error(|store| store.save_snapshot(snapshot))
     }
 
-    /// Index of the last entry.
+    /// Returns the index of the last entry.
     #[must_use]
     pub fn last_index(&self) -> u64 {
-        self.last
+        self.last_index
     }
 
-    /// Bytes of the log's files.
+    /// Returns the size of the log's files in bytes.
     #[must_use]
     pub fn log_bytes(&self) -> u64 {
         self.segments.iter().map(|s| s.length).sum()
     }
 
-    fn floor(&self) -> u64 {
-        self.held.unwrap_or_default()
+    fn compacted_index(&self) -> u64 {
+        self.snapshot_index.unwrap_or_default()
     }
 
-    fn guard(
+    fn stop_on_error(
         &mut self,
-        work: impl FnOnce(&mut Self) -> Result<(), StoreError>,
+        operation: impl FnOnce(&mut Self) -> Result<(), StoreError>,
     ) -> Result<(), StoreError> {
         if self.stopped {
             return Err(StoreError::Stopped);
         }
-        let result = work(self);
+        let result = operation(self);
         self.stopped = result.is_err();
         result
     }
@@ -169,11 +169,11 @@
     fn append_batch(&mut self, batch: &Batch) -> Result<(), StoreError> {
         let last = self.check_order(batch)?;
         let state = batch.state.unwrap_or(self.state);
-        let segment = self.segment()?;
+        let segment = self.active_segment()?;
         let name = segment.name();
         let mut bytes = Vec::new();
         if segment.length == 0 {
-            // The segments before may be removed, so each one repeats the state.
+            // Earlier segments may be removed, so each segment repeats the hard state.
             let first = Batch {
                 state: Some(state),
                 ..batch.clone()
@@ -187,43 +187,43 @@
                 &batch.encode_to_vec(),
             );
         }
-        step(Operation::Write, &name, self.disk.append(&name, &bytes))?;
-        step(Operation::Sync, &name, self.disk.sync(&name))?;
-        self.note(bytes.len(), last.max(self.last));
+        with_context(Operation::Write, &name, self.disk.append(&name, &bytes))?;
+        with_context(Operation::Sync, &name, self.disk.sync(&name))?;
+        self.record_write(bytes.len(), last.max(self.last_index));
         self.state = state;
-        self.last = last;
-        self.mark(&name)
+        self.last_index = last;
+        self.write_sync_marker(&name)
     }
 
-    /// Writes an empty frame, which shows that the one before it was synced.
+    /// Writes an empty frame as a marker that the frame before it was synced.
     ///
-    /// It isn't synced itself: it reaches the disk with the next sync or soon
-    /// after, and until then a damaged last frame counts as a torn one.
-    fn mark(&mut self, name: &str) -> Result<(), StoreError> {
+    /// The marker itself is only synced with the next frame; until then, a damaged last
+    /// frame is treated as an incomplete write.
+    fn write_sync_marker(&mut self, name: &str) -> Result<(), StoreError> {
         let Some(segment) = self.segments.last() else {
             return Ok(());
         };
         let mut bytes = Vec::new();
         frame::write(&mut bytes, segment.number, segment.length, &[]);
-        step(Operation::Write, name, self.disk.append(name, &bytes))?;
-        self.note(bytes.len(), 0);
+        with_context(Operation::Write, name, self.disk.append(name, &bytes))?;
+        self.record_write(bytes.len(), 0);
         Ok(())
     }
 
-    fn note(&mut self, bytes: usize, highest: u64) {
+    fn record_write(&mut self, bytes: usize, highest_index: u64) {
         if let Some(segment) = self.segments.last_mut() {
             segment.length += bytes as u64;
-            segment.highest = segment.highest.max(highest);
+            segment.highest_index = segment.highest_index.max(highest_index);
         }
     }
 
     fn check_order(&self, batch: &Batch) -> Result<u64, StoreError> {
-        let mut last = self.last;
+        let mut last = self.last_index;
         if batch.truncate > 0 {
-            last = last.min(batch.truncate - 1).max(self.floor());
+            last = last.min(batch.truncate - 1).max(self.compacted_index());
         }
         for entry in &batch.entries {
-            if entry.index > last + 1 || entry.index <= self.floor() {
+            if entry.index > last + 1 || entry.index <= self.compacted_index() {
                 return Err(StoreError::Order(entry.index, last));
             }
             last = entry.index;
@@ -231,73 +231,74 @@
         Ok(last)
     }
 
-    fn segment(&mut self) -> Result<Segment, StoreError> {
+    fn active_segment(&mut self) -> Result<Segment, StoreError> {
         match self.segments.last() {
             Some(last) if last.length < self.options.segment_bytes => Ok(*last),
             last => {
                 let number = last.map_or(1, |s| s.number + 1);
-                self.begin(number)
+                self.start_segment(number)
             }
         }
     }
 
-    /// Begins a segment; the one before has to be whole to its last mark.
-    fn begin(&mut self, number: u64) -> Result<Segment, StoreError> {
+    /// Starts a new segment after syncing the last marker of the previous one.
+    fn start_segment(&mut self, number: u64) -> Result<Segment, StoreError> {
         if let Some(before) = self.segments.last().map(Segment::name) {
-            step(Operation::Sync, &before, self.disk.sync(&before))?;
+            with_context(Operation::Sync, &before, self.disk.sync(&before))?;
         }
         let segment = Segment {
             number,
             length: 0,
-            highest: 0,
+            highest_index: 0,
         };
         let name = segment.name();
-        step(Operation::Create, &name, self.disk.create(&name))?;
-        step(Operation::Sync, &name, self.disk.sync_dir())?;
+        with_context(Operation::Create, &name, self.disk.create(&name))?;
+        with_context(Operation::Sync, &name, self.disk.sync_dir())?;
         self.segments.push(segment);
         Ok(segment)
     }
 
     fn save_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), StoreError> {
-        snapshot::save(&mut *self.disk, snapshot, self.held)?;
-        self.held = Some(snapshot.index);
-        self.last = self.last.max(snapshot.index);
+        snapshot::save(&mut *self.disk, snapshot, self.snapshot_index)?;
+        self.snapshot_index = Some(snapshot.index);
+        self.last_index = self.last_index.max(snapshot.index);
         self.compact()
     }
 
-    /// Removes the oldest segments that hold nothing after the snapshot.
+    /// Removes the oldest segments without entries after the snapshot.
     ///
-    /// The hard state must go into a segment that stays first.
+    /// If the newest segment has none either, a new segment with the hard state is
+    /// written first.
     fn compact(&mut self) -> Result<(), StoreError> {
-        let floor = self.floor();
-        let covered = |s: &Segment| s.highest <= floor;
-        if self.segments.last().is_some_and(covered) {
+        let compacted_index = self.compacted_index();
+        let is_covered = |s: &Segment| s.highest_index <= compacted_index;
+        if self.segments.last().is_some_and(is_covered) {
             let number = self.segments.last().map_or(1, |s| s.number + 1);
-            self.begin(number)?;
+            self.start_segment(number)?;
             self.append_batch(&Batch::default())?;
         }
         let count = self
             .segments
             .iter()
             .take(self.segments.len().saturating_sub(1))
-            .take_while(|s| s.highest <= floor)
+            .take_while(|s| s.highest_index <= compacted_index)
             .count();
         for segment in self.segments.drain(..count) {
             let name = segment.name();
-            step(Operation::Remove, &name, self.disk.remove(&name))?;
+            with_context(Operation::Remove, &name, self.disk.remove(&name))?;
         }
         Ok(())
     }
 }
 
-/// Removes unfinished files and lists the others.
-fn clean(disk: &mut dyn Disk) -> Result<Vec<String>, StoreError> {
-    let names = step(Operation::List, "", disk.list())?;
-    let (unfinished, names): (Vec<_>, Vec<_>) = names
+/// Removes temporary files and returns the names of the others.
+fn remove_temp_files(disk: &mut dyn Disk) -> Result<Vec<String>, StoreError> {
+    let names = with_context(Operation::List, "", disk.list())?;
+    let (temp_names, names): (Vec<_>, Vec<_>) = names
         .into_iter()
-        .partition(|n| n.ends_with(snapshot::UNFINISHED));
-    for name in unfinished {
-        step(Operation::Remove, &name, disk.remove(&name))?;
+        .partition(|n| n.ends_with(snapshot::TEMP_SUFFIX));
+    for name in temp_names {
+        with_context(Operation::Remove, &name, disk.remove(&name))?;
     }
     Ok(names)
 }
@@ -311,30 +312,30 @@
 }
 
 impl<'a> LogReader<'a> {
-    fn new(disk: &'a mut dyn Disk, floor: u64) -> Self {
+    fn new(disk: &'a mut dyn Disk, compacted_index: u64) -> Self {
         Self {
             disk,
-            replay: Replay::new(floor),
+            replay: Replay::new(compacted_index),
             segments: Vec::new(),
             torn_bytes: 0,
         }
     }
 
     fn read_all(&mut self, names: &[String]) -> Result<(), StoreError> {
-        let mut found: Vec<u64> = names
+        let mut numbers: Vec<u64> = names
             .iter()
-            .filter_map(|n| n.strip_prefix(PREFIX)?.parse().ok())
+            .filter_map(|n| n.strip_prefix(LOG_PREFIX)?.parse().ok())
             .collect();
-        found.sort_unstable();
-        let newest = found.last().copied().unwrap_or_default();
-        for number in found {
-            let missing = self.segments.last().is_some_and(|s| s.number + 1 != number);
+        numbers.sort_unstable();
+        let newest = numbers.last().copied().unwrap_or_default();
+        for number in numbers {
+            let is_missing = self.segments.last().is_some_and(|s| s.number + 1 != number);
             let segment = Segment {
                 number,
                 length: 0,
-                highest: 0,
+                highest_index: 0,
             };
-            if missing {
+            if is_missing {
                 return Err(damaged(&segment, 0, Damage::Segment));
             }
             self.read_segment(segment, number == newest)?;
@@ -344,51 +345,63 @@
 
     fn read_segment(&mut self, mut segment: Segment, newest: bool) -> Result<(), StoreError> {
         let name = segment.name();
-        let mut bytes = step(Operation::Read, &name, self.disk.read(&name))?;
+        let mut bytes = with_context(Operation::Read, &name, self.disk.read(&name))?;
         let mut offset = 0;
-        let mut marked = true;
+        let mut is_marked = true;
         loop {
             match frame::read(&bytes, segment.number, offset) {
-                Found::Frame(payload, next) => {
-                    marked = payload.is_empty();
+                ReadResult::Frame(payload, next) => {
+                    is_marked = payload.is_empty();
                     let batch = Batch::decode(payload)
                         .map_err(|_| damaged(&segment, offset, Damage::Message))?;
-                    let highest = batch.entries.iter().map(|e| e.index).max();
-                    segment.highest = segment.highest.max(highest.unwrap_or_default());
+                    let highest_index = batch.entries.iter().map(|e| e.index).max();
+                    segment.highest_index =
+                        segment.highest_index.max(highest_index.unwrap_or_default());
                     self.replay
-                        .take(batch)
+                        .apply(batch)
                         .map_err(|damage| damaged(&segment, offset, damage))?;
                     offset = next;
                 }
-                Found::End => break,
-                Found::Bad
-                    if newest && !marked && frame::lost_mark(&bytes, segment.number, offset) =>
+                ReadResult::End => break,
+                ReadResult::Invalid
+                    if newest
+                        && !is_marked
+                        && frame::is_marker_lost(&bytes, segment.number, offset) =>
                 {
-                    let mut mark = Vec::new();
-                    frame::write(&mut mark, segment.number, offset as u64, &[]);
-                    bytes.splice(offset..offset + frame::HEAD, mark);
+                    let mut marker = Vec::new();
+                    frame::write(&mut marker, segment.number, offset as u64, &[]);
+                    bytes.splice(offset..offset + frame::HEADER_BYTES, marker);
                 }
-                Found::Bad if newest && !frame::any_after(&bytes, segment.number, offset) => break,
-                Found::Bad => return Err(damaged(&segment, offset, Damage::Frame)),
+                ReadResult::Invalid
+                    if newest && !frame::has_frame_after(&bytes, segment.number, offset) =>
+                {
+                    break;
+                }
+                ReadResult::Invalid => return Err(damaged(&segment, offset, Damage::Frame)),
             }
         }
         if newest {
-            self.renew(&name, &bytes[..offset], bytes.len())?;
+            self.rewrite_segment(&name, &bytes[..offset], bytes.len())?;
         }
         segment.length = offset as u64;
         self.segments.push(segment);
         Ok(())
     }
 
-    /// Writes the good part of the newest segment anew.
+    /// Rewrites the valid part of the newest segment.
     ///
-    /// This cuts a torn tail. It also makes durable what a process before this
-    /// one wrote and couldn't sync: the system may show such bytes to readers
-    /// although the disk doesn't have them.
-    fn renew(&mut self, name: &str, good: &[u8], length: usize) -> Result<(), StoreError> {
-        self.torn_bytes = (length - good.len()) as u64;
+    /// This removes an incomplete last write. It also makes durable what an earlier
+    /// process wrote but couldn't sync, which may be readable from the page cache
+    /// without being on the disk.
+    fn rewrite_segment(
+        &mut self,
+        name: &str,
+        valid: &[u8],
+        length: usize,
+    ) -> Result<(), StoreError> {
+        self.torn_bytes = (length - valid.len()) as u64;
         if length > 0 {
-            snapshot::place(self.disk, name, good)?;
+            snapshot::write_atomic(self.disk, name, valid)?;
         }
         Ok(())
     }
--- a/crates/store/tests/test_store.rs
+++ b/crates/store/tests/test_store.rs
@@ -1,4 +1,4 @@
-//! What a data folder keeps, cuts and refuses under faults.
+//! Recovery of a data folder after crashes, failed writes and damage.
 
 use quickcheck::TestResult;
 use quickcheck::quickcheck;
@@ -51,7 +51,7 @@
     Store::open(Box::new(disk.clone()), options, 42)
 }
 
-/// A folder that holds entries 1 to `count`, one a batch.
+/// A folder with entries 1 to `count`, each in a batch of its own.
 fn filled(count: u64, options: Options) -> (MemoryDisk, Store) {
     let disk = MemoryDisk::default();
     let (mut store, _) = open(&disk, options).expect("opens");
@@ -76,8 +76,8 @@
     assert_eq!(indices(&found), [1, 2, 3, 4, 5]);
 }
 
-/// A power loss may keep a later write and lose an earlier one, neither synced:
-/// here the mark behind entry 3 is lost, and the frame of entry 4 stays.
+/// Guards against reporting damage when a power loss reorders unsynced writes: the marker
+/// after entry 3 is lost, and the frame of entry 4 survives.
 #[test]
 fn test_store_crash_keeps_a_frame_and_loses_the_mark_before_it() {
     let (disk, mut store) = filled(3, Options::default());
@@ -87,7 +87,7 @@
         .expect_err("the sync fails, as the power is lost");
     drop(store);
     disk.arm(Fault::Torn(4096));
-    disk.arm(Fault::Hole(store::frame::HEAD));
+    disk.arm(Fault::Hole(store::frame::HEADER_BYTES));
     disk.crash();
     let (mut store, found) = open(&disk, Options::default()).expect("opens");
     assert_eq!(indices(&found), [1, 2, 3, 4]);
@@ -106,7 +106,7 @@
     assert_eq!(found.id, 42);
 }
 
-/// A write fails: the error, and how many entries a restart may find.
+/// A failing write: the fault, whether the error is a full disk, and the unsynced bytes kept.
 struct WriteCase {
     name: &'static str,
     fault: Fault,
@@ -170,8 +170,7 @@
     disk.arm(Fault::Sync(0));
     store.append(&batch(2, [4])).expect_err("sync fails");
     drop(store);
-    // The process restarts without a crash of the machine: the system still
-    // shows the bytes that it couldn't sync.
+    // Only the process restarts, so the unsynced bytes are still readable.
     disk.arm(Fault::Sync(100));
     let (_, found) = open(&disk, Options::default()).expect("opens");
     disk.crash();
@@ -179,13 +178,13 @@
     assert_eq!(indices(&found), indices(&later));
 }
 
-/// One damaged byte: where, and what opening says; `None` when it is a torn tail.
+/// One flipped bit and the damage reported by `open`; `None` if it counts as an incomplete write.
 struct FlipCase {
     name: &'static str,
     file: &'static str,
     offset: i64,
     damage: Option<Damage>,
-    left: u64,
+    expected_entries: u64,
 }
 
 #[test]
@@ -196,42 +195,42 @@
             file: FIRST,
             offset: 0,
             damage: Some(Damage::Frame),
-            left: 0,
+            expected_entries: 0,
         },
         FlipCase {
             name: "first frame's length",
             file: FIRST,
             offset: 5,
             damage: Some(Damage::Frame),
-            left: 0,
+            expected_entries: 0,
         },
         FlipCase {
             name: "first frame's payload",
             file: FIRST,
             offset: 20,
             damage: Some(Damage::Frame),
-            left: 0,
+            expected_entries: 0,
         },
         FlipCase {
             name: "last frame's payload, its mark on disk",
             file: FIRST,
             offset: -14,
             damage: Some(Damage::Frame),
-            left: 0,
+            expected_entries: 0,
         },
         FlipCase {
             name: "the mark alone",
             file: FIRST,
             offset: -1,
             damage: None,
-            left: 3,
+            expected_entries: 3,
         },
         FlipCase {
             name: "identity",
             file: "identity",
             offset: -1,
             damage: Some(Damage::Identity),
-            left: 0,
+            expected_entries: 0,
         },
     ];
     for case in cases {
@@ -244,7 +243,12 @@
                 assert_eq!(found, damage, "{}", case.name);
             }
             (Ok((_, found)), None) => {
-                assert_eq!(found.entries.len() as u64, case.left, "{}", case.name);
+                assert_eq!(
+                    found.entries.len() as u64,
+                    case.expected_entries,
+                    "{}",
+                    case.name
+                );
             }
             (Ok(_), Some(damage)) => panic!("{}: opened in spite of {damage}", case.name),
             (Err(err), _) => panic!("{}: {err}", case.name),
@@ -310,7 +314,7 @@
         disk.arm(Fault::Torn(10));
         disk.crash();
         let (_, found) = open(&disk, SMALL).expect(name);
-        // The old one, or the new one where its name outlived the crash.
+        // Recovery finds the old snapshot, or the new one if its name survived the crash.
         let old = found.snapshot == Some(snapshot(1, 1)) && indices(&found) == [2, 3];
         let new = found.snapshot == Some(snapshot(3, 1)) && found.entries.is_empty();
         assert!(old || (new && named), "{name}: {found:?}");
@@ -371,30 +375,30 @@
 }
 
 quickcheck! {
-    /// Any schedule of writes, snapshots and crashes with torn tails leaves
-    /// what was acknowledged, and nothing that was never written.
+    /// Guards against losing acknowledged entries, and against recovering entries that were
+    /// never written, under random writes, snapshots and crashes.
     fn test_store_any_schedule_keeps_what_was_acknowledged(steps: Vec<(u8, u8)>) -> TestResult {
         let disk = MemoryDisk::default();
         let (mut store, _) = open(&disk, SMALL).expect("opens");
         let mut model: Vec<Entry> = Vec::new();
-        let mut floor = 0_u64;
+        let mut snapshot_index = 0_u64;
         for (term, (kind, size)) in (1_u64..).zip(steps) {
-            let last = floor + model.len() as u64;
+            let last = snapshot_index + model.len() as u64;
             match kind % 6 {
                 0..=2 => {
-                    let back = u64::from(size % 4).min(model.len() as u64);
-                    let first = last + 1 - back;
-                    let more = batch(term, first..=first + u64::from(size / 64));
-                    store.append(&more).expect("appends");
-                    model.truncate(model.len() - usize::try_from(back).expect("small"));
-                    model.extend(more.entries);
+                    let overwritten = u64::from(size % 4).min(model.len() as u64);
+                    let first = last + 1 - overwritten;
+                    let appended = batch(term, first..=first + u64::from(size / 64));
+                    store.append(&appended).expect("appends");
+                    model.truncate(model.len() - usize::try_from(overwritten).expect("small"));
+                    model.extend(appended.entries);
                 }
                 3 if !model.is_empty() => {
-                    let keep = usize::from(size) % model.len();
-                    let end = model[model.len() - 1 - keep].clone();
+                    let retained = usize::from(size) % model.len();
+                    let end = model[model.len() - 1 - retained].clone();
                     store.save(&snapshot(end.index, end.term)).expect("saves");
-                    floor = end.index;
-                    model.drain(..model.len() - keep);
+                    snapshot_index = end.index;
+                    model.drain(..model.len() - retained);
                 }
                 4 => {
                     disk.arm(Fault::Full(u64::from(size)));
@@ -410,9 +414,9 @@
                 disk.crash();
                 let (opened, found) = open(&disk, SMALL).expect("opens");
                 store = opened;
-                // A write that wasn't acknowledged may have become whole.
-                let extra = found.entries.len() > model.len();
-                if extra {
+                // An unacknowledged write may have been written completely.
+                let has_extra = found.entries.len() > model.len();
+                if has_extra {
                     model.push(entry(last + 1, term));
                 }
                 if found.entries != model {
@@ -424,7 +428,7 @@
     }
 }
 
-/// It costs no sync of its own, so it may be behind; it never is ahead of the log.
+/// Guards against losing the stored commit index when its batch survives a crash.
 #[test]
 fn test_store_commit_index_survives_with_the_write_that_carries_it() {
     let (disk, mut store) = filled(3, SMALL);
