--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -94,8 +94,8 @@
     ) {
         self.peers.retain(|peer, _| config.member(*peer).is_some());
         for member in config.members().filter(|m| m.id != id) {
-            let fresh = || Progress::new(last.next(), now);
-            self.peers.entry(member.id).or_insert_with(fresh);
+            let new_progress = || Progress::new(last.next(), now);
+            self.peers.entry(member.id).or_insert_with(new_progress);
         }
     }
 
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -14,6 +14,7 @@
 #[derive(Debug)]
 pub(crate) struct Log {
     snapshot: Snapshot,
+    /// The position before the first entry in memory.
     start: Position,
     entries: VecDeque<Entry>,
     bytes: usize,
--- a/crates/consensus/src/node/read.rs
+++ b/crates/consensus/src/node/read.rs
@@ -24,7 +24,7 @@
 struct ReadRequest {
     number: Ticket,
     tickets: Vec<Ticket>,
-    started_at: Moment,
+    sent_at: Moment,
 }
 
 /// A read whose index is known but not applied locally yet.
@@ -32,7 +32,7 @@
 struct ConfirmedRead {
     ticket: Ticket,
     index: Index,
-    started_at: Moment,
+    confirmed_at: Moment,
 }
 
 /// Reads of this replica's adapter: queued, waiting for a read index, or waiting for its entry
@@ -55,9 +55,9 @@
 
     /// When the oldest read times out.
     pub(super) fn deadline(&self, settings: &Settings) -> Option<Moment> {
-        let confirmed = self.confirmed.iter().map(|r| r.started_at);
+        let confirmed = self.confirmed.iter().map(|r| r.confirmed_at);
         let first = confirmed
-            .chain(self.in_flight.iter().map(|request| request.started_at))
+            .chain(self.in_flight.iter().map(|request| request.sent_at))
             .min()?;
         Some(first + settings.election_timeout * 2)
     }
@@ -146,11 +146,11 @@
 
     /// Completes a read once its index is applied locally.
     fn complete_when_applied(&mut self, ticket: Ticket, index: Index) {
-        let started_at = self.now;
+        let confirmed_at = self.now;
         self.local_reads.confirmed.push(ConfirmedRead {
             ticket,
             index,
-            started_at,
+            confirmed_at,
         });
         self.local_reads
             .complete_applied(self.applied, &mut self.actions);
@@ -222,7 +222,7 @@
         self.local_reads.in_flight = Some(ReadRequest {
             number,
             tickets: mem::take(&mut self.local_reads.queued),
-            started_at: self.now,
+            sent_at: self.now,
         });
         self.send(to, Body::ReadAsk { ticket: number });
     }
