--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -178,7 +178,7 @@
         info!(self.log, "recovered"; "id" => recovered.id, "term" => recovered.state.term,
             "snapshot" => stored.snapshot.position.index.0, "entries" => stored.entries.len(),
             "commit" => stored.commit.0,
-            "torn" => recovered.torn);
+            "torn" => recovered.torn_bytes);
         let stored_index = stored.snapshot.position.index.0;
         let (driver, inbox) = Driver::new();
         let (views, view) = watch::channel(View::default());
@@ -247,9 +247,9 @@
         let snapshot_bytes = usize::try_from(sizes.snapshot.0).unwrap_or(usize::MAX);
         let preset = consensus::Settings::default();
         let settings = consensus::Settings {
-            heartbeat: self.settings.timing.heartbeat,
-            election: self.settings.timing.election,
-            keep_bytes: preset.keep_bytes.min(snapshot_bytes / 2),
+            heartbeat_interval: self.settings.timing.heartbeat,
+            election_timeout: self.settings.timing.election,
+            max_retained_bytes: preset.max_retained_bytes.min(snapshot_bytes / 2),
             ..preset
         };
         let peers = Peers::new(
@@ -355,7 +355,7 @@
 /// Reads what the disk held into the log's own types.
 fn stored(recovered: &Recovered) -> Result<Stored, ConvertError> {
     let mut stored = Stored::empty(ReplicaId(recovered.id));
-    stored.hard = HardState {
+    stored.hard_state = HardState {
         term: Term(recovered.state.term),
         vote: Some(ReplicaId(recovered.state.vote)).filter(|id| id.0 != 0),
     };
