--- a/crates/directory/examples/spread/fleet.rs
+++ b/crates/directory/examples/spread/fleet.rs
@@ -174,7 +174,7 @@
         }
         let now = self.directories[i].shared().clock.now();
         self.directories[i].shared().step(|inner, _| {
-            let current = inner.standing.is_current(now);
+            let current = inner.freshness.is_current(now);
             if current { inner.version() } else { 0 }
         })
     }
--- a/crates/directory/src/answer.rs
+++ b/crates/directory/src/answer.rs
@@ -66,7 +66,7 @@
         result,
         candidates: inner.placed.hosts(),
         version: inner.version(),
-        age_ms: inner.standing.age(now).map(crate::convert::millis),
+        age_ms: inner.freshness.age(now).map(crate::convert::millis),
     }
 }
 
@@ -81,7 +81,7 @@
     let catalogue = inner
         .catalogue
         .as_ref()
-        .filter(|_| inner.standing.is_current(now));
+        .filter(|_| inner.freshness.is_current(now));
     let Some(catalogue) = catalogue else {
         let detail = "no catalogue was confirmed by a quorum lately";
         return Err(Refusal::new(Reason::NotReady, detail));
--- a/crates/directory/src/convert.rs
+++ b/crates/directory/src/convert.rs
@@ -11,8 +11,8 @@
 use members::Key;
 use members::Phase;
 use members::Record;
-use members::homes::Place;
-use members::homes::Vouch;
+use members::homes::HomeStatus;
+use members::homes::Location;
 use wire::directory as w;
 
 /// On the wire: no age is known.
@@ -154,15 +154,15 @@
 
 /// A home's delta for the wire.
 #[must_use]
-pub fn to_delta(home: &HostName, place: &Place, delta: &Delta) -> w::Delta {
+pub fn to_delta(home: &HostName, location: &Location, delta: &Delta) -> w::Delta {
     let puts = delta.records.iter().filter_map(to_change);
     let ends = delta.removed.iter().filter_map(to_removal);
     let hosts = delta.records.iter().filter_map(host_change);
     let host_ends = delta.removed.iter().filter_map(host_removal);
     w::Delta {
         home: home.to_string(),
-        domain: place.domain.to_string(),
-        address: place.address.to_string(),
+        domain: location.domain.to_string(),
+        address: location.address.to_string(),
         epoch: delta.epoch,
         from: delta.from,
         cursor: delta.cursor,
@@ -201,7 +201,7 @@
     /// The home.
     pub home: HostName,
     /// Where it takes announcements.
-    pub place: Place,
+    pub location: Location,
     /// The delta.
     pub delta: Delta,
 }
@@ -237,7 +237,7 @@
     };
     Some(HomeDelta {
         home: HostName::new(&d.home).ok()?,
-        place: place(&d.domain, &d.address)?,
+        location: location(&d.domain, &d.address)?,
         delta,
     })
 }
@@ -247,8 +247,8 @@
     Some(Key::Instance(service, InstanceId::new(&i.id).ok()?))
 }
 
-fn place(domain: &str, address: &str) -> Option<Place> {
-    Some(Place {
+fn location(domain: &str, address: &str) -> Option<Location> {
+    Some(Location {
         domain: DomainName::new(domain).ok()?,
         address: address.parse().ok()?,
     })
@@ -256,11 +256,11 @@
 
 /// A statement about a home for the wire.
 #[must_use]
-pub fn to_vouch(v: &Vouch) -> w::Vouch {
+pub fn to_status(v: &HomeStatus) -> w::Vouch {
     w::Vouch {
         home: v.home.to_string(),
-        domain: v.place.domain.to_string(),
-        address: v.place.address.to_string(),
+        domain: v.location.domain.to_string(),
+        address: v.location.address.to_string(),
         epoch: v.epoch,
         cursor: v.cursor,
         age_ms: v.age.map_or(UNKNOWN_AGE, millis),
@@ -269,10 +269,10 @@
 
 /// A statement about a home from the wire; `None` when a field has no meaning.
 #[must_use]
-pub fn of_vouch(v: &w::Vouch) -> Option<Vouch> {
-    Some(Vouch {
+pub fn of_status(v: &w::Vouch) -> Option<HomeStatus> {
+    Some(HomeStatus {
         home: HostName::new(&v.home).ok()?,
-        place: place(&v.domain, &v.address)?,
+        location: location(&v.domain, &v.address)?,
         epoch: v.epoch,
         cursor: v.cursor,
         age: (v.age_ms != UNKNOWN_AGE).then(|| span(v.age_ms)),
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -83,7 +83,7 @@
 /// Asks one replica; returns whether a quorum stood behind its answer.
 async fn ask(shared: &Shared, link: &ControlLink) -> Result<bool, LinkError> {
     let (have, current) =
-        shared.step(|inner, now| (inner.version(), inner.standing.is_current(now)));
+        shared.step(|inner, now| (inner.version(), inner.freshness.is_current(now)));
     let hold = if current { HOLD } else { Duration::ZERO };
     let ask = Follow {
         have,
--- a/crates/directory/src/http.rs
+++ b/crates/directory/src/http.rs
@@ -98,8 +98,8 @@
         return Err(Refusal::new(Reason::Stopping, "the directory stops"));
     }
     shared.step(|inner, now| {
-        let current = inner.standing.is_current(now);
-        let age = inner.standing.age(now).filter(|_| current);
+        let current = inner.freshness.is_current(now);
+        let age = inner.freshness.age(now).filter(|_| current);
         let detail = "no catalogue was confirmed by a quorum lately";
         let age = age.ok_or_else(|| Refusal::new(Reason::NotReady, detail))?;
         Ok(State {
--- a/crates/directory/src/lease.rs
+++ b/crates/directory/src/lease.rs
@@ -2,8 +2,8 @@
 
 use announce::Reason;
 use announce::Refusal;
+use members::Accepted;
 use members::AnnounceError;
-use members::Heard;
 use members::Instance;
 use serde::Deserialize;
 use serde::Serialize;
@@ -30,12 +30,12 @@
     let told = instance.clone();
     let heard = shared.step(|inner, now| inner.members.announce(instance, now));
     match heard {
-        Ok(Heard::Changed) => {
+        Ok(Accepted::Changed) => {
             info!(shared.log, "announced"; "service" => %told.service, "id" => %told.id,
                 "address" => %told.address, "domain" => %told.domain, "slots" => told.slots,
                 "phase" => %told.phase, "incarnation" => told.incarnation, "sequence" => told.sequence);
         }
-        Ok(Heard::Renewed | Heard::Repeated) => {}
+        Ok(Accepted::Renewed | Accepted::Repeated) => {}
         Err(err) => {
             warn!(shared.log, "announcement refused"; "service" => %told.service, "id" => %told.id,
                 "incarnation" => told.incarnation, "sequence" => told.sequence, "error" => %err);
--- a/crates/directory/src/peers.rs
+++ b/crates/directory/src/peers.rs
@@ -14,7 +14,7 @@
 use base::prelude::*;
 use cadence::Counted;
 use members::Confirmed;
-use members::homes::Vouch;
+use members::homes::HomeStatus;
 use members::ring::Ring;
 use slog::debug;
 use tokio::sync::mpsc;
@@ -51,9 +51,9 @@
             () = shared.stop.cancelled() => return,
         }
         while let Ok((peer, answered)) = told.try_recv() {
-            ring.note(peer, answered);
+            ring.record(peer, answered);
         }
-        let next = ring.pick();
+        let next = ring.next_peer();
         let peer = peers.iter().find(|peer| Some(peer.address()) == next);
         if let Some(peer) = peer {
             let (shared, peer, tell) = (shared.clone(), peer.clone(), tell.clone());
@@ -113,24 +113,24 @@
 
 /// The own points, and what the peer lacks by the points it told.
 fn full(inner: &mut Inner, now: Moment, told: &Exchange) -> Exchange {
-    let theirs: Vec<Vouch> = told.vouches.iter().filter_map(convert::of_vouch).collect();
+    let theirs: Vec<HomeStatus> = told.vouches.iter().filter_map(convert::of_status).collect();
     Exchange {
-        vouches: vouches(inner, now),
+        vouches: statuses(inner, now),
         deltas: deltas(inner, &theirs),
         ..short(inner)
     }
 }
 
-fn vouches(inner: &Inner, now: Moment) -> Vec<wire::directory::Vouch> {
-    let vouches = inner.members.vouches(now);
-    vouches.iter().map(convert::to_vouch).collect()
+fn statuses(inner: &Inner, now: Moment) -> Vec<wire::directory::Vouch> {
+    let statuses = inner.members.statuses(now);
+    statuses.iter().map(convert::to_status).collect()
 }
 
-fn deltas(inner: &Inner, theirs: &[Vouch]) -> Vec<wire::directory::Delta> {
+fn deltas(inner: &Inner, theirs: &[HomeStatus]) -> Vec<wire::directory::Delta> {
     let found = inner.members.deltas(theirs);
     let delta = |(home, delta): &(HostName, members::Delta)| {
-        let place = &inner.members.homes().get(home)?.place;
-        Some(convert::to_delta(home, place, delta))
+        let location = &inner.members.homes().get(home)?.location;
+        Some(convert::to_delta(home, location, delta))
     };
     found.iter().filter_map(delta).collect()
 }
@@ -139,15 +139,19 @@
     for found in reply.deltas.iter().filter_map(convert::of_delta) {
         inner
             .members
-            .merge_delta(&found.home, found.place, &found.delta);
+            .merge_delta(&found.home, found.location, &found.delta);
     }
 }
 
 /// Deltas first: a statement counts only for a copy that is as new.
 fn take_full(inner: &mut Inner, sent: Moment, reply: &Exchange) {
     take_deltas(inner, reply);
-    let vouches: Vec<Vouch> = reply.vouches.iter().filter_map(convert::of_vouch).collect();
-    inner.members.merge_vouches(&vouches, sent);
+    let statuses: Vec<HomeStatus> = reply
+        .vouches
+        .iter()
+        .filter_map(convert::of_status)
+        .collect();
+    inner.members.merge_statuses(&statuses, sent);
     inner.members.merge_ages(reply.digest, &reply.ages, sent);
 }
 
@@ -173,10 +177,11 @@
         if ask.digest == reply.digest {
             reply.ages = inner.members.ages(now).into();
         } else {
-            reply.vouches = vouches(inner, now);
+            reply.vouches = statuses(inner, now);
         }
         if !ask.vouches.is_empty() {
-            let theirs: Vec<Vouch> = ask.vouches.iter().filter_map(convert::of_vouch).collect();
+            let theirs: Vec<HomeStatus> =
+                ask.vouches.iter().filter_map(convert::of_status).collect();
             reply.deltas = deltas(inner, &theirs);
         }
         add_confirmation(inner, now, ask, &mut reply);
@@ -185,7 +190,7 @@
 }
 
 fn add_confirmation(inner: &Inner, now: Moment, ask: &Exchange, reply: &mut Exchange) {
-    let Some(best) = inner.standing.best() else {
+    let Some(best) = inner.freshness.latest() else {
         return;
     };
     reply.confirmed = best.version;
@@ -206,8 +211,8 @@
         }
         sleep(GATHER).await;
         let result = push_once(&shared, &peer, told).await;
-        if let Ok(Some(point)) = result {
-            told = point;
+        if let Ok(Some(position)) = result {
+            told = position;
         } else {
             sleep(PAUSE).await;
         }
@@ -222,23 +227,23 @@
     told: (u64, u64),
 ) -> Result<Option<(u64, u64)>, LinkError> {
     let found = shared.step(|inner, _| {
-        let point = inner.members.own_point();
-        let cursor = if told.0 == point.0 { told.1 } else { 0 };
-        let delta = inner.members.own_since(cursor)?;
+        let position = inner.members.own_position();
+        let cursor = if told.0 == position.0 { told.1 } else { 0 };
+        let delta = inner.members.own_delta(cursor)?;
         let home = inner.members.me().clone();
-        let delta = convert::to_delta(&home, inner.members.place(), &delta);
+        let delta = convert::to_delta(&home, inner.members.location(), &delta);
         let ask = Exchange {
             digest: 0,
             deltas: vec![delta],
             ..short(inner)
         };
-        Some((point, ask))
+        Some((position, ask))
     });
-    let Some((point, ask)) = found else {
+    let Some((position, ask)) = found else {
         return Ok(None);
     };
     call(shared, peer, ask).await?;
-    Ok(Some(point))
+    Ok(Some(position))
 }
 
 fn note(shared: &Shared, peer: &DirectoryLink, kind: &'static str, result: Result<(), LinkError>) {
--- a/crates/directory/src/server.rs
+++ b/crates/directory/src/server.rs
@@ -7,7 +7,7 @@
 use std::time::UNIX_EPOCH;
 
 use cadence::StatsdClient;
-use members::homes::Place;
+use members::homes::Location;
 use quick_error::quick_error;
 use salvo::Server;
 use salvo::conn::tcp::TcpAcceptor;
@@ -130,11 +130,11 @@
     pub fn serve(self) -> Result<Directory, StartError> {
         let address = self.http_address;
         let rpc_address = self.rpc();
-        let place = Place {
+        let location = Location {
             domain: self.settings.domain.clone(),
             address,
         };
-        let shared = Shared::new(self.settings, place, epoch(), self.log, self.metrics);
+        let shared = Shared::new(self.settings, location, epoch(), self.log, self.metrics);
         let shared = Arc::new(shared);
         let wrap = |err| StartError::Listen(address, err);
         let acceptor = TcpAcceptor::try_from(self.http).map_err(wrap)?;
--- a/crates/directory/src/settings.rs
+++ b/crates/directory/src/settings.rs
@@ -160,7 +160,7 @@
         Limits {
             lease: self.leases.lease,
             home_lease: self.leases.home,
-            records: usize::try_from(self.leases.records).unwrap_or(usize::MAX),
+            max_records: usize::try_from(self.leases.records).unwrap_or(usize::MAX),
             ..Limits::default()
         }
     }
--- a/crates/directory/src/shared.rs
+++ b/crates/directory/src/shared.rs
@@ -10,9 +10,9 @@
 use base::prelude::*;
 use cadence::StatsdClient;
 use members::Confirmed;
+use members::Freshness;
 use members::Members;
-use members::Standing;
-use members::homes::Place;
+use members::homes::Location;
 use slog::Logger;
 use slog::info;
 use tokio::sync::watch;
@@ -42,7 +42,7 @@
     /// Who is there.
     pub members: Members,
     /// How current the catalogue is.
-    pub standing: Standing,
+    pub freshness: Freshness,
     /// The catalogue; present exactly when its version was confirmed.
     pub catalogue: Option<Arc<Catalogue>>,
     /// Where services are placed.
@@ -61,7 +61,7 @@
     /// Nothing is taken whose moment lies before the start, and no confirmation
     /// of another version than the one held.
     pub fn confirm(&mut self, found: Confirmed, catalogue: Option<Catalogue>) -> bool {
-        if self.standing.is_early(found) {
+        if self.freshness.predates_start(found) {
             return false;
         }
         let newer = catalogue.filter(|c| c.version == found.version && c.version > self.version());
@@ -71,18 +71,18 @@
         }
         let held = self.catalogue.as_ref().map(|c| c.version);
         if held == Some(found.version) {
-            self.standing.merge(found);
+            self.freshness.merge(found);
         }
         rose
     }
 
     fn stamp(&self, now: Moment) -> Stamp {
         Stamp {
-            own: self.members.own_point(),
+            own: self.members.own_position(),
             instances: self.members.instances().cursor(),
             hosts: self.members.hosts().cursor(),
             version: self.version(),
-            current: self.standing.is_current(now),
+            current: self.freshness.is_current(now),
         }
     }
 }
@@ -108,7 +108,7 @@
     #[must_use]
     pub fn new(
         settings: Settings,
-        place: Place,
+        location: Location,
         epoch: u64,
         log: Logger,
         metrics: StatsdClient,
@@ -117,8 +117,8 @@
         let now = clock.now();
         let host = settings.host.clone();
         let inner = Inner {
-            members: Members::new(host, place, epoch, settings.limits(), now),
-            standing: Standing::new(now, settings.leases.confirmation),
+            members: Members::new(host, location, epoch, settings.limits(), now),
+            freshness: Freshness::new(now, settings.leases.confirmation),
             catalogue: None,
             placed: Placed::default(),
         };
--- a/crates/directory/src/sweep.rs
+++ b/crates/directory/src/sweep.rs
@@ -60,7 +60,7 @@
 
 fn gauges(inner: &Inner, now: Moment) -> [(&'static str, u64); 4] {
     let count = |n: usize| u64::try_from(n).unwrap_or(u64::MAX);
-    let age = inner.standing.age(now).map_or(u32::MAX, convert::millis);
+    let age = inner.freshness.age(now).map_or(u32::MAX, convert::millis);
     [
         (names::INSTANCES, count(inner.members.instances().len())),
         (names::HOSTS, count(inner.members.hosts().len())),
--- a/crates/directory/src/sync.rs
+++ b/crates/directory/src/sync.rs
@@ -34,7 +34,7 @@
 impl DirectoryApi for Api {
     async fn sync(self, _: Context, ask: Sync) -> SyncReply {
         let shared = &self.0;
-        hear(shared, &ask);
+        record_host(shared, &ask);
         wait(shared, &ask).await;
         let _ = shared.metrics.incr(names::SYNC);
         shared.step(|inner, now| reply(inner, now, &ask))
@@ -62,7 +62,7 @@
 }
 
 /// Takes what the gateway says of its host.
-fn hear(shared: &Shared, ask: &Sync) {
+fn record_host(shared: &Shared, ask: &Sync) {
     let Some(host) = ask.host.as_ref() else {
         return;
     };
@@ -71,8 +71,8 @@
         return;
     };
     let told = host.clone();
-    match shared.step(|inner, now| inner.members.hear_host(host, now)) {
-        Ok(members::Heard::Changed) => {
+    match shared.step(|inner, now| inner.members.announce_host(host, now)) {
+        Ok(members::Accepted::Changed) => {
             info!(shared.log, "host"; "name" => %told.host, "domain" => %told.domain,
                 "gateway" => %told.gateway, "phase" => %told.phase, "version" => told.version,
                 "incarnation" => told.incarnation);
@@ -90,8 +90,8 @@
     let was = changed.borrow_and_update().current;
     let news = |inner: &Inner, now: Moment| {
         let instances = inner.members.instances();
-        let moved = (ask.epoch, ask.cursor) != instances.point();
-        moved || inner.version() > ask.have || inner.standing.is_current(now) != was
+        let moved = (ask.epoch, ask.cursor) != instances.position();
+        moved || inner.version() > ask.have || inner.freshness.is_current(now) != was
     };
     while !shared.stop.is_cancelled() && !shared.step(|inner, now| news(inner, now)) {
         tokio::select! {
@@ -108,9 +108,9 @@
 fn reply(inner: &Inner, now: Moment, ask: &Sync) -> SyncReply {
     let instances = inner.members.instances();
     let same = ask.epoch == instances.epoch();
-    let delta = instances.since(if same { ask.cursor } else { 0 });
-    let best = inner.standing.best();
-    let age = inner.standing.age(now).unwrap_or_default();
+    let delta = instances.delta_since(if same { ask.cursor } else { 0 });
+    let best = inner.freshness.latest();
+    let age = inner.freshness.age(now).unwrap_or_default();
     let newer = inner.catalogue.as_ref().filter(|c| c.version > ask.have);
     let mut changes = Vec::new();
     if let Some(delta) = &delta {
--- a/crates/directory/tests/common/mod.rs
+++ b/crates/directory/tests/common/mod.rs
@@ -304,7 +304,7 @@
     let now = directory.shared().clock.now();
     directory
         .shared()
-        .step(|inner, _| (inner.version(), inner.standing.is_current(now)))
+        .step(|inner, _| (inner.version(), inner.freshness.is_current(now)))
 }
 
 /// The hosts that a caller is told, or none.
--- a/crates/members/examples/ages.rs
+++ b/crates/members/examples/ages.rs
@@ -1,8 +1,8 @@
-//! How old directories' word of each other grows, by the number of directories,
-//! the order of asking and the share that doesn't answer.
+//! Measures how stale the directories' knowledge of each other becomes, by the number of
+//! directories, the polling order and the share that does not answer.
 //!
-//! Prints key=value lines. Each directory asks one other every 250 ms at a phase
-//! of its own; ages only come in answers.
+//! Prints key=value lines. Each directory polls one peer every 250 ms at its own phase;
+//! ages are only taken from replies.
 
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// One directory's way of asking.
+/// The polling state of one directory.
 struct Asker {
     phase: usize,
     round: Vec<usize>,
@@ -39,7 +39,7 @@
         let peers: Vec<SocketAddr> = (0..hosts).map(address).collect();
         let mut ring = Ring::new(address(me), &peers);
         for _ in 0..random.random_range(0..8) {
-            ring.pick();
+            ring.next_peer();
         }
         Self {
             phase: random.random_range(0..PERIOD_MS / STEP_MS) * STEP_MS,
@@ -57,7 +57,7 @@
     }
 
     fn by_ring(&mut self, me: usize) -> usize {
-        let peer = self.ring.pick();
+        let peer = self.ring.next_peer();
         peer.map_or(me, |peer| usize::from(peer.port()) - 1000)
     }
 }
@@ -66,11 +66,11 @@
     SocketAddr::from(([127, 0, 0, 1], u16::try_from(1000 + i).expect("few")))
 }
 
-/// One line; the last `dead` percent of the hosts never answer.
+/// Prints one line; the last `dead` percent of the hosts never answer.
 fn print(order: &str, hosts: usize, dead: usize) {
     let mut random = StdRng::seed_from_u64(1);
     let live = hosts - hosts * dead / 100;
-    // When each directory last knew each other to be alive.
+    // `known[a][b]`: when directory `a` last knew `b` to be alive.
     let mut known = vec![vec![0_usize; live]; live];
     let mut askers: Vec<Asker> = (0..live)
         .map(|i| Asker::new(i, hosts, &mut random))
@@ -86,14 +86,14 @@
                 "ring" => askers[i].by_ring(i),
                 _ => askers[i].shuffled(i, hosts, &mut random),
             };
-            askers[i].ring.note(address(peer), peer < live);
+            askers[i].ring.record(address(peer), peer < live);
             if peer >= live {
                 continue;
             }
             known[peer][peer] = now;
-            let told = known[peer].clone();
-            for (own, told) in known[i].iter_mut().zip(told) {
-                *own = (*own).max(told);
+            let reported = known[peer].clone();
+            for (own, reported) in known[i].iter_mut().zip(reported) {
+                *own = (*own).max(reported);
             }
         }
         if now >= WARM_UP_MS && now % 100 == 0 {
--- a/crates/members/src/confirm.rs
+++ b/crates/members/src/confirm.rs
@@ -1,74 +1,74 @@
-//! How current the catalogue is: the version a quorum confirmed, and when.
+//! Freshness of the catalogue: the version that a quorum confirmed, and when.
 //!
-//! A confirmation says: `version` was the latest accepted at `moment` or later.
-//! The moment is on the receiver's own clock and is when the request was sent,
-//! less the age that an answering peer stated, so it errs only towards older,
-//! however long a message was on its way and however clocks differ.
+//! A confirmation states that `version` was the latest accepted one at `moment` or later.
+//! The moment is on the receiver's clock: the time at which the request was sent, less the
+//! age that the answering peer reported. Message delay and clock differences can therefore
+//! only make a confirmation look older than it is, never newer.
 
 use std::time::Duration;
 
 use base::prelude::*;
 
-/// A confirmed version with its moment; a later one is greater.
+/// A confirmed version and its moment, ordered by version, then moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Confirmed {
     /// Catalogue version.
     pub version: u64,
-    /// It was the latest then or later.
+    /// A time at or before which the version was still the latest one.
     pub moment: Moment,
 }
 
-/// What this process may say of its catalogue.
+/// The confirmed catalogue version of this process and the age of its confirmation.
 ///
-/// Invariant: the version never goes back. Taking the greatest of (version,
-/// moment) is commutative, associative and idempotent.
+/// Invariant: the version never decreases. Merging takes the maximum of (version, moment),
+/// which is commutative, associative and idempotent.
 #[derive(Clone, Copy, Debug)]
-pub struct Standing {
+pub struct Freshness {
     start: Moment,
     lease: Duration,
-    best: Option<Confirmed>,
+    latest: Option<Confirmed>,
 }
 
-impl Standing {
-    /// Nothing confirmed yet; the process started at `start`.
+impl Freshness {
+    /// Creates a state without a confirmation for a process that started at `start`.
     #[must_use]
     pub fn new(start: Moment, lease: Duration) -> Self {
         Self {
             start,
             lease,
-            best: None,
+            latest: None,
         }
     }
 
-    /// Takes a confirmation; returns whether the version rose.
+    /// Merges a confirmation; returns whether the version increased.
     ///
-    /// One from before the start is ignored: a version accepted between it and
-    /// the start may have been in force here.
-    pub fn merge(&mut self, found: Confirmed) -> bool {
-        if self.is_early(found) {
+    /// Confirmations from before the start are ignored: a version accepted between them and the
+    /// start may already have been in force here.
+    pub fn merge(&mut self, confirmation: Confirmed) -> bool {
+        if self.predates_start(confirmation) {
             return false;
         }
-        let rose = self.best.is_none_or(|b| found.version > b.version);
-        self.best = self.best.max(Some(found));
-        rose
+        let increased = self.latest.is_none_or(|b| confirmation.version > b.version);
+        self.latest = self.latest.max(Some(confirmation));
+        increased
     }
 
-    /// Whether the confirmation may be from before the process's start.
+    /// Whether the confirmation may be from before the start of the process.
     #[must_use]
-    pub fn is_early(&self, found: Confirmed) -> bool {
-        found.moment < self.start
+    pub fn predates_start(&self, confirmation: Confirmed) -> bool {
+        confirmation.moment < self.start
     }
 
-    /// The best confirmation.
+    /// The confirmation with the greatest (version, moment).
     #[must_use]
-    pub fn best(&self) -> Option<Confirmed> {
-        self.best
+    pub fn latest(&self) -> Option<Confirmed> {
+        self.latest
     }
 
-    /// Time since the best confirmation's moment.
+    /// Time since the moment of the latest confirmation.
     #[must_use]
     pub fn age(&self, now: Moment) -> Option<Duration> {
-        self.best.map(|b| now.since(b.moment))
+        self.latest.map(|b| now.since(b.moment))
     }
 
     /// Whether the version was confirmed within the lease; otherwise the process is fenced.
--- a/crates/members/src/floor.rs
+++ b/crates/members/src/floor.rs
@@ -1,8 +1,7 @@
-//! What a view has shown of a key, below which it never goes back.
+//! The lowest rank that a view accepts for each key.
 //!
-//! A home that ends its lease of a new incarnation, while another still holds
-//! one of an old, must not bring the old one back; nor may an incarnation that
-//! has left return.
+//! When a home ends its lease of a new incarnation while another home still leases an old
+//! one, the old incarnation must not reappear; nor may an incarnation that is gone.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,12 +11,12 @@
 use crate::record::Key;
 use crate::record::Rank;
 
-/// The part of a rank that is remembered: the greatest incarnation, and whether it has left.
+/// The part of a rank that is retained: the greatest incarnation, and whether it is gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Floor {
-    /// Start of the announcer.
+    /// Incarnation of the announcer.
     pub incarnation: u64,
-    /// It has left.
+    /// Whether the incarnation is gone.
     pub gone: bool,
 }
 
@@ -30,7 +29,7 @@
     }
 }
 
-/// The floor of each key, with when it was last raised or confirmed.
+/// The floor of each key, and when it was last raised or confirmed.
 #[derive(Clone, Debug, Default)]
 pub struct Floors {
     floors: BTreeMap<Key, (Floor, Moment)>,
@@ -50,9 +49,9 @@
         self.floors.get(key).map(|(floor, _)| *floor)
     }
 
-    /// Forgets keys that aren't `kept` and were last touched `span` ago.
-    pub fn forget(&mut self, span: Duration, now: Moment, kept: impl Fn(&Key) -> bool) {
-        let stays = |key: &Key, at: Moment| now.since(at) < span || kept(key);
-        self.floors.retain(|key, (_, at)| stays(key, *at));
+    /// Forgets keys that were not touched within `retention` and for which `in_use` is false.
+    pub fn forget(&mut self, retention: Duration, now: Moment, in_use: impl Fn(&Key) -> bool) {
+        let keep = |key: &Key, at: Moment| now.since(at) < retention || in_use(key);
+        self.floors.retain(|key, (_, at)| keep(key, *at));
     }
 }
--- a/crates/members/src/gossip.rs
+++ b/crates/members/src/gossip.rs
@@ -1,8 +1,8 @@
-//! What directories say to each other about the homes, kept short.
+//! Compact encoding of the homes' ages for exchanges between directories.
 //!
-//! Two directories that know the same homes at the same points have equal
-//! [`digest`]s; then one byte a home tells its age. Only where digests differ
-//! are points sent in full, and then the deltas that the other lacks.
+//! Two directories that know the same homes at the same positions have equal [`digest`]s;
+//! then one byte per home carries its age. Only when the digests differ are positions sent
+//! in full, followed by the deltas that the other side lacks.
 
 use std::time::Duration;
 
@@ -10,20 +10,20 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::homes::Home;
+use crate::homes::HomeStatus;
 use crate::homes::Homes;
-use crate::homes::Vouch;
 
-/// Unit of an age in one byte.
+/// Unit of an age that is encoded in one byte.
 pub const AGE_STEP: Duration = Duration::from_millis(20);
-/// The byte of an age that is unknown or over 254 steps.
+/// Encodes an age that is unknown or exceeds 254 steps.
 pub const AGE_UNKNOWN: u8 = u8::MAX;
 
-/// A digest of the known homes and their points.
+/// Digest of the known homes and their positions.
 #[must_use]
 pub fn digest(homes: &Homes) -> u64 {
     let mut hash = Xxh3::new();
     for (name, home) in homes.iter() {
-        let (epoch, cursor) = home.partition.point();
+        let (epoch, cursor) = home.partition.position();
         hash.update(name.as_str().as_bytes());
         hash.update(&[0]);
         hash.update(&epoch.to_le_bytes());
@@ -32,45 +32,49 @@
     hash.digest()
 }
 
-/// The age of each home, sorted by name, in steps rounded up.
+/// Encoded age of each home, sorted by name, rounded up to whole steps.
 #[must_use]
 pub fn ages(homes: &Homes, me: &HostName, now: Moment) -> Vec<u8> {
-    let age = |name: &HostName, vouched: Option<Moment>| {
+    let age = |name: &HostName, last_seen: Option<Moment>| {
         if name == me {
             return 0;
         }
-        vouched.map_or(AGE_UNKNOWN, |moment| steps(now.since(moment)))
+        last_seen.map_or(AGE_UNKNOWN, |moment| encode_age(now.since(moment)))
     };
-    homes.iter().map(|(n, h)| age(n, h.vouched)).collect()
+    homes.iter().map(|(n, h)| age(n, h.last_seen)).collect()
 }
 
-/// The age that a byte stands for.
+/// Decodes an age; `None` when it is unknown.
 #[must_use]
-pub fn age_of(byte: u8) -> Option<Duration> {
+pub fn decode_age(byte: u8) -> Option<Duration> {
     (byte != AGE_UNKNOWN).then(|| AGE_STEP * u32::from(byte))
 }
 
-/// Each home's point and age in full.
+/// Position and age of each home.
 ///
-/// A home that was never vouched for is told too: it may be the listener itself,
-/// which must learn of a later point of its own.
+/// Includes homes that were never seen alive: the receiver may be that home, restarted, and
+/// must learn of a later position of its own.
 #[must_use]
-pub fn vouches(homes: &Homes, me: &HostName, now: Moment) -> Vec<Vouch> {
-    let vouch = |(name, home): (&HostName, &Home)| {
-        let (epoch, cursor) = home.partition.point();
-        let vouched = if name == me { Some(now) } else { home.vouched };
-        Vouch {
+pub fn statuses(homes: &Homes, me: &HostName, now: Moment) -> Vec<HomeStatus> {
+    let status = |(name, home): (&HostName, &Home)| {
+        let (epoch, cursor) = home.partition.position();
+        let last_seen = if name == me {
+            Some(now)
+        } else {
+            home.last_seen
+        };
+        HomeStatus {
             home: name.clone(),
-            place: home.place.clone(),
+            location: home.location.clone(),
             epoch,
             cursor,
-            age: vouched.map(|moment| now.since(moment)),
+            age: last_seen.map(|moment| now.since(moment)),
         }
     };
-    homes.iter().map(vouch).collect()
+    homes.iter().map(status).collect()
 }
 
-fn steps(age: Duration) -> u8 {
+fn encode_age(age: Duration) -> u8 {
     let steps = age.as_millis().div_ceil(AGE_STEP.as_millis());
     u8::try_from(steps).unwrap_or(AGE_UNKNOWN)
 }
--- a/crates/members/src/homes.rs
+++ b/crates/members/src/homes.rs
@@ -1,8 +1,8 @@
-//! The homes that are known: each one's partition and when it was last heard of.
+//! The known homes: each one's partition and when it was last seen alive.
 //!
-//! A home is heard of by statements: "at point (epoch, cursor) it was alive so
-//! long ago". A statement counts only for a copy that is at least as new, for a
-//! newer point may have removed what the copy still holds.
+//! A [`HomeStatus`] reports that a home was alive some time ago at the position (epoch,
+//! cursor). It counts only for a copy that is at least as new, because a newer position may
+//! have removed records that the copy still contains.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,42 +16,42 @@
 use crate::record::Key;
 use crate::record::Record;
 
-/// Where a home can be reached by those who announce.
+/// Failure domain and announcement address of a home.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// Its failure domain.
+pub struct Location {
+    /// Failure domain.
     pub domain: DomainName,
-    /// Where it takes announcements.
+    /// Address that takes announcements.
     pub address: SocketAddr,
 }
 
-/// One directory's partition as it is known here.
+/// One directory's partition as known to this directory.
 #[derive(Clone, Debug)]
 pub struct Home {
-    /// Where it takes announcements.
-    pub place: Place,
-    /// The copy, or the table itself of this directory's own home.
+    /// Where the home takes announcements.
+    pub location: Location,
+    /// A copy, or the partition itself for this directory's own home.
     pub partition: Partition,
-    /// The latest moment at which it was certainly alive.
-    pub vouched: Option<Moment>,
-    /// When this start of the home was first learned of.
-    pub learned: Moment,
-    /// The copy counts.
+    /// The latest moment at which the home is known to have been alive.
+    pub last_seen: Option<Moment>,
+    /// When this epoch of the home was first seen.
+    pub first_seen: Moment,
+    /// Whether the records of the partition count as leased.
     pub alive: bool,
 }
 
-/// "This home was alive `age` ago, and stood at this point."
+/// A report that a home was alive `age` ago, and its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Vouch {
+pub struct HomeStatus {
     /// The home.
     pub home: HostName,
-    /// Where it takes announcements.
-    pub place: Place,
-    /// Its start.
+    /// Where the home takes announcements.
+    pub location: Location,
+    /// Epoch of the home.
     pub epoch: u64,
-    /// Its latest change that the speaker knows.
+    /// Latest cursor of the home that the sender knows.
     pub cursor: u64,
-    /// Time since it was certainly alive, if that is known at all.
+    /// Time since the home was known to be alive; `None` when unknown.
     pub age: Option<Duration>,
 }
 
@@ -62,24 +62,24 @@
 }
 
 impl Homes {
-    /// Adds a home, or leaves a known one as it is.
-    pub fn learn(&mut self, name: &HostName, place: Place, now: Moment) -> &mut Home {
+    /// Returns the home `name`, adding it when unknown; `location` is ignored otherwise.
+    pub fn get_or_insert(&mut self, name: &HostName, location: Location, now: Moment) -> &mut Home {
         self.homes.entry(name.clone()).or_insert_with(|| Home {
-            place,
+            location,
             partition: Partition::new(0),
-            vouched: None,
-            learned: now,
+            last_seen: None,
+            first_seen: now,
             alive: false,
         })
     }
 
-    /// One home.
+    /// The home `name`.
     #[must_use]
     pub fn get(&self, name: &HostName) -> Option<&Home> {
         self.homes.get(name)
     }
 
-    /// One home, to change it.
+    /// The home `name`, mutable.
     pub fn get_mut(&mut self, name: &HostName) -> Option<&mut Home> {
         self.homes.get_mut(name)
     }
@@ -89,12 +89,12 @@
         self.homes.iter()
     }
 
-    /// Notes that a home was alive at `moment`; returns the keys that count again.
-    pub fn vouch(&mut self, name: &HostName, moment: Moment) -> BTreeSet<Key> {
+    /// Records that a home was alive at `moment`; returns the keys that became visible by it.
+    pub fn mark_alive(&mut self, name: &HostName, moment: Moment) -> BTreeSet<Key> {
         let Some(home) = self.homes.get_mut(name) else {
             return BTreeSet::new();
         };
-        home.vouched = home.vouched.max(Some(moment));
+        home.last_seen = home.last_seen.max(Some(moment));
         if home.alive {
             return BTreeSet::new();
         }
@@ -102,24 +102,24 @@
         home.partition.keys().cloned().collect()
     }
 
-    /// Moves a copy on; a new start of the home counts only once vouched for.
+    /// Applies a delta; a new epoch of the home counts only after a status confirms it alive.
     pub fn merge(&mut self, name: &HostName, delta: &Delta, now: Moment) -> BTreeSet<Key> {
         let Some(home) = self.homes.get_mut(name) else {
             return BTreeSet::new();
         };
-        if home.partition.takes(delta) && delta.epoch != home.partition.epoch() {
+        if home.partition.accepts(delta) && delta.epoch != home.partition.epoch() {
             home.alive = false;
-            home.vouched = None;
-            home.learned = now;
+            home.last_seen = None;
+            home.first_seen = now;
         }
         home.partition.merge(delta)
     }
 
-    /// Lets homes not heard of for `lease` count no more; returns them with their keys.
+    /// Deactivates homes not seen alive within `lease`; returns them with their keys.
     pub fn expire(&mut self, me: &HostName, lease: Duration, now: Moment) -> Expired {
         let mut expired = Expired::default();
         for (name, home) in &mut self.homes {
-            let late = home.vouched.is_none_or(|v| now.since(v) > lease);
+            let late = home.last_seen.is_none_or(|v| now.since(v) > lease);
             if name == me || !home.alive || !late {
                 continue;
             }
@@ -130,12 +130,12 @@
         expired
     }
 
-    /// Drops homes not heard of for `span` and returns the keys they held.
-    pub fn forget(&mut self, me: &HostName, span: Duration, now: Moment) -> BTreeSet<Key> {
+    /// Drops homes not seen alive within `retention` and returns the keys they contained.
+    pub fn forget(&mut self, me: &HostName, retention: Duration, now: Moment) -> BTreeSet<Key> {
         let mut keys = BTreeSet::new();
         self.homes.retain(|name, home| {
-            let since = home.vouched.unwrap_or(home.learned);
-            let keep = name == me || home.alive || now.since(since) < span;
+            let since = home.last_seen.unwrap_or(home.first_seen);
+            let keep = name == me || home.alive || now.since(since) < retention;
             if !keep {
                 keys.extend(home.partition.keys().cloned());
             }
@@ -144,27 +144,27 @@
         keys
     }
 
-    /// The record of `key` with the highest rank, from any home.
+    /// The record of `key` with the highest rank in any partition, dead homes included.
     #[must_use]
-    pub fn best(&self, key: &Key) -> Option<&Record> {
+    pub fn highest_ranked(&self, key: &Key) -> Option<&Record> {
         let records = self.homes.values().filter_map(|h| h.partition.get(key));
         records.max_by_key(|record| record.rank())
     }
 
-    /// Whether a home that counts keeps a lease of `key` in this incarnation.
+    /// Whether a live home leases `key` in this incarnation.
     #[must_use]
-    pub fn keeps(&self, key: &Key, incarnation: u64) -> bool {
+    pub fn has_lease(&self, key: &Key, incarnation: u64) -> bool {
         let counts = self.homes.values().filter(|home| home.alive);
         let mut found = counts.filter_map(|home| home.partition.get(key));
         found.any(|r| !r.is_gone() && r.rank().incarnation == incarnation)
     }
 }
 
-/// What [`Homes::expire`] ended.
+/// Homes deactivated by [`Homes::expire`].
 #[derive(Clone, Debug, Default)]
 pub struct Expired {
-    /// Homes that count no more.
+    /// Names of the homes.
     pub homes: Vec<HostName>,
-    /// The keys they held.
+    /// Keys in their partitions.
     pub keys: BTreeSet<Key>,
 }
--- a/crates/members/src/lease.rs
+++ b/crates/members/src/lease.rs
@@ -1,4 +1,4 @@
-//! Leases of what this directory hears itself.
+//! Leases of the instances and hosts that announce themselves to this directory.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 use crate::record::Key;
 use crate::record::Rank;
 
-/// What an accepted announcement did.
+/// Effect of an accepted announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// It said something new.
+pub enum Accepted {
+    /// The announcement changed the record.
     Changed,
-    /// It renewed the lease.
+    /// The announcement only renewed the lease.
     Renewed,
-    /// It was heard before and renewed nothing.
+    /// The announcement was a duplicate and renewed nothing.
     Repeated,
 }
 
@@ -24,17 +24,17 @@
     /// Why an announcement was refused.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum AnnounceError {
-        /// A newer one was heard.
+        /// A newer announcement was already received.
         Older(known: Rank) {
-            display("incarnation {} sequence {} was heard before", known.incarnation, known.sequence)
+            display("incarnation {} sequence {} was already received", known.incarnation, known.sequence)
         }
-        /// The incarnation has left for good.
+        /// The incarnation is gone, which is final.
         Left(incarnation: u64) {
-            display("incarnation {incarnation} has left; start with a greater one")
+            display("incarnation {incarnation} is gone; restart with a greater incarnation")
         }
-        /// No room for another instance.
-        Full(most: usize) {
-            display("{most} records are kept here, and no more")
+        /// The limit on records is reached.
+        Full(limit: usize) {
+            display("limit of {limit} records reached")
         }
     }
 }
@@ -42,45 +42,45 @@
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     rank: Rank,
-    heard: Moment,
+    last_heartbeat: Moment,
     live: bool,
 }
 
-/// When each key was last heard, and with what rank.
+/// The latest rank and heartbeat of each key.
 ///
-/// A key is remembered for a while after its lease ran out, so that an
-/// announcement that was delayed on its way brings nothing back.
+/// A key is retained for a while after its lease expires, so that a delayed announcement
+/// cannot bring an expired record back.
 #[derive(Clone, Debug, Default)]
 pub struct Leases {
     leases: BTreeMap<Key, Lease>,
 }
 
 impl Leases {
-    /// The highest rank heard of `key`.
+    /// The highest rank received for `key`.
     #[must_use]
     pub fn rank(&self, key: &Key) -> Option<Rank> {
         self.leases.get(key).map(|lease| lease.rank)
     }
 
-    /// Whether the key's lease runs.
+    /// Whether the lease of `key` has not expired.
     #[must_use]
     pub fn is_live(&self, key: &Key) -> bool {
         self.leases.get(key).is_some_and(|lease| lease.live)
     }
 
-    /// When the key was last heard.
+    /// When the latest announcement of `key` was received.
     #[must_use]
-    pub fn heard(&self, key: &Key) -> Option<Moment> {
-        self.leases.get(key).map(|lease| lease.heard)
+    pub fn last_heartbeat(&self, key: &Key) -> Option<Moment> {
+        self.leases.get(key).map(|lease| lease.last_heartbeat)
     }
 
-    /// Number of keys kept, with those that are only remembered.
+    /// Number of keys, including retained ones without a lease.
     #[must_use]
     pub fn len(&self) -> usize {
         self.leases.len()
     }
 
-    /// Whether no key is kept.
+    /// Whether there is no key.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.leases.is_empty()
@@ -90,17 +90,17 @@
     pub fn renew(&mut self, key: Key, rank: Rank, now: Moment) {
         let lease = Lease {
             rank,
-            heard: now,
+            last_heartbeat: now,
             live: !rank.gone,
         };
         self.leases.insert(key, lease);
     }
 
-    /// Ends the leases not renewed for `span` and returns their keys.
-    pub fn expire(&mut self, span: Duration, now: Moment) -> Vec<Key> {
+    /// Expires the leases not renewed within `timeout` and returns their keys.
+    pub fn expire(&mut self, timeout: Duration, now: Moment) -> Vec<Key> {
         let mut expired = Vec::new();
         for (key, lease) in &mut self.leases {
-            if lease.live && now.since(lease.heard) >= span {
+            if lease.live && now.since(lease.last_heartbeat) >= timeout {
                 lease.live = false;
                 expired.push(key.clone());
             }
@@ -108,10 +108,10 @@
         expired
     }
 
-    /// Forgets keys without a lease, last heard `span` ago, and returns them.
-    pub fn forget(&mut self, span: Duration, now: Moment) -> Vec<Key> {
-        let old = |lease: &Lease| !lease.live && now.since(lease.heard) >= span;
-        let keys = self.leases.iter().filter(|(_, lease)| old(lease));
+    /// Forgets keys without a lease, last announced `retention` ago, and returns them.
+    pub fn forget(&mut self, retention: Duration, now: Moment) -> Vec<Key> {
+        let unused = |lease: &Lease| !lease.live && now.since(lease.last_heartbeat) >= retention;
+        let keys = self.leases.iter().filter(|(_, lease)| unused(lease));
         let keys: Vec<Key> = keys.map(|(key, _)| key.clone()).collect();
         for key in &keys {
             self.leases.remove(key);
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -1,15 +1,15 @@
-//! Who is there: instances of upstreams and the system's own hosts, with leases.
+//! Membership: instances of upstreams and the system's entry hosts, with leases.
 //!
-//! Pure state machines. A directory that hears an instance or a gateway keeps
-//! its lease and is its *home*. The home publishes one [`partition::Partition`]:
-//! the records whose leases it keeps, numbered by a cursor. Other directories
-//! keep copies. A heartbeat changes no partition, so it travels no further than
-//! the home; what travels is each change, once, and for each home a short
-//! statement how long ago it was heard. A copy counts only while its home was
-//! heard of lately: a home that was cut off or died can't keep its records alive.
+//! Pure state machines. The directory that receives the announcements of an instance or a
+//! gateway keeps its lease and is its *home*. The home publishes a [`partition::Partition`]
+//! with the records that it leases, numbered by a cursor; other directories keep copies.
+//! Heartbeats change no partition and are not replicated. Directories replicate each change
+//! once, and report for each home how long ago it was seen alive. A copy counts only while
+//! its home was seen within the home lease, so a home that is partitioned off or has died
+//! cannot keep its records alive.
 //!
-//! [`members::Members`] puts the partitions together and decides what is alive.
-//! [`confirm::Standing`] keeps the catalogue version and when a quorum confirmed it.
+//! [`members::Members`] merges the partitions and decides which records are live.
+//! [`confirm::Freshness`] keeps the catalogue version and when a quorum confirmed it.
 
 pub mod confirm;
 pub mod floor;
@@ -22,12 +22,12 @@
 pub mod ring;
 
 pub use confirm::Confirmed;
-pub use confirm::Standing;
+pub use confirm::Freshness;
+pub use lease::Accepted;
 pub use lease::AnnounceError;
-pub use lease::Heard;
 pub use members::Limits;
 pub use members::Members;
-pub use members::Swept;
+pub use members::SweepResult;
 pub use partition::Delta;
 pub use partition::Partition;
 pub use record::Host;
--- a/crates/members/src/members.rs
+++ b/crates/members/src/members.rs
@@ -1,4 +1,4 @@
-//! The whole membership of one directory: its own leases, the homes, the view.
+//! The membership of one directory: its own leases, the known homes and the merged view.
 
 mod exchange;
 
@@ -11,9 +11,9 @@
 use crate::floor::Floors;
 use crate::homes::Home;
 use crate::homes::Homes;
-use crate::homes::Place;
+use crate::homes::Location;
+use crate::lease::Accepted;
 use crate::lease::AnnounceError;
-use crate::lease::Heard;
 use crate::lease::Leases;
 use crate::partition::Delta;
 use crate::partition::Partition;
@@ -23,19 +23,19 @@
 use crate::record::Rank;
 use crate::record::Record;
 
-/// Spans and bounds.
+/// Timeouts and bounds of the membership.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Lease of what this directory hears itself.
+    /// Lease of an instance or host that announces itself to this directory.
     pub lease: Duration,
-    /// How long a home counts after it was last heard of.
+    /// How long a home counts after it was last seen alive.
     pub home_lease: Duration,
-    /// How long ended leases and silent homes are remembered.
-    pub memory: Duration,
-    /// A sweep later than this after the one before means that this process stood still.
-    pub pause: Duration,
-    /// Most records that this directory keeps leases of.
-    pub records: usize,
+    /// How long ended leases and dead homes are retained.
+    pub retention: Duration,
+    /// A longer gap between two sweeps means that this process was suspended.
+    pub max_sweep_gap: Duration,
+    /// Maximum number of records that this directory leases.
+    pub max_records: usize,
 }
 
 impl Default for Limits {
@@ -43,124 +43,126 @@
         Self {
             lease: Duration::from_millis(1500),
             home_lease: Duration::from_secs(3),
-            memory: Duration::from_mins(1),
-            pause: Duration::from_secs(1),
-            records: 8192,
+            retention: Duration::from_mins(1),
+            max_sweep_gap: Duration::from_secs(1),
+            max_records: 8192,
         }
     }
 }
 
-/// What a sweep ended.
+/// Result of [`Members::sweep`].
 #[derive(Clone, Debug, Default)]
-pub struct Swept {
-    /// Own leases that ran out.
+pub struct SweepResult {
+    /// Own leases that expired.
     pub leases: Vec<Key>,
-    /// Homes that count no more.
+    /// Homes that were deactivated.
     pub homes: Vec<HostName>,
-    /// This process stood still, so that nothing was ended.
+    /// Whether nothing was expired because this process had been suspended.
     pub paused: bool,
 }
 
-/// Who is there, as one directory knows it.
+/// The membership as one directory knows it.
 ///
-/// Invariant: `instances` and `hosts` hold exactly the living records of `homes`.
+/// Invariant: `instances` and `hosts` contain exactly the live records of `homes`.
 #[derive(Clone, Debug)]
 pub struct Members {
     me: HostName,
-    place: Place,
+    location: Location,
     limits: Limits,
     leases: Leases,
     homes: Homes,
     floors: Floors,
     instances: Partition,
     hosts: Partition,
-    swept: Moment,
-    /// Nothing expires before; set after a standstill.
-    grace: Moment,
+    last_sweep: Moment,
+    /// Nothing expires before this moment; set after the process was suspended.
+    grace_until: Moment,
 }
 
 impl Members {
-    /// Knows only itself; `epoch` must be greater than that of earlier starts
-    /// where possible, and is raised when a peer remembers a later one.
+    /// Creates a membership with only this directory as a home.
+    ///
+    /// `epoch` should be greater than those of earlier starts; it is raised when a peer reports
+    /// a later position of this home.
     #[must_use]
-    pub fn new(me: HostName, place: Place, epoch: u64, limits: Limits, now: Moment) -> Self {
+    pub fn new(me: HostName, location: Location, epoch: u64, limits: Limits, now: Moment) -> Self {
         let mut homes = Homes::default();
-        let home = homes.learn(&me, place.clone(), now);
+        let home = homes.get_or_insert(&me, location.clone(), now);
         home.partition = Partition::new(epoch);
         home.alive = true;
         Self {
             me,
-            place,
+            location,
             limits,
             leases: Leases::default(),
             homes,
             floors: Floors::default(),
             instances: Partition::new(epoch),
             hosts: Partition::new(epoch),
-            swept: now,
-            grace: now,
+            last_sweep: now,
+            grace_until: now,
         }
     }
 
-    /// Takes an instance's announcement.
+    /// Accepts an instance's announcement.
     ///
     /// # Errors
     ///
-    /// Fails when a newer one was heard, its incarnation has left, or there is no room.
-    pub fn announce(&mut self, instance: Instance, now: Moment) -> Result<Heard, AnnounceError> {
-        self.hear(Record::Instance(instance), now)
+    /// Fails when a newer one was received, its incarnation is gone, or the table is full.
+    pub fn announce(&mut self, instance: Instance, now: Moment) -> Result<Accepted, AnnounceError> {
+        self.accept(Record::Instance(instance), now)
     }
 
-    /// Takes a gateway's description of its host.
+    /// Accepts a gateway's description of its host.
     ///
     /// # Errors
     ///
-    /// Fails when a newer one was heard or there is no room.
-    pub fn hear_host(&mut self, host: Host, now: Moment) -> Result<Heard, AnnounceError> {
-        self.hear(Record::Host(host), now)
+    /// Fails when a newer one was received or the table is full.
+    pub fn announce_host(&mut self, host: Host, now: Moment) -> Result<Accepted, AnnounceError> {
+        self.accept(Record::Host(host), now)
     }
 
-    fn hear(&mut self, record: Record, now: Moment) -> Result<Heard, AnnounceError> {
+    fn accept(&mut self, record: Record, now: Moment) -> Result<Accepted, AnnounceError> {
         let key = record.key();
-        if self.is_repeated(&key, &record)? {
-            return Ok(Heard::Repeated);
+        if self.is_duplicate(&key, &record)? {
+            return Ok(Accepted::Repeated);
         }
         let known = self.leases.rank(&key).is_some();
-        if !known && self.leases.len() >= self.limits.records {
-            return Err(AnnounceError::Full(self.limits.records));
+        if !known && self.leases.len() >= self.limits.max_records {
+            return Err(AnnounceError::Full(self.limits.max_records));
         }
         self.leases.renew(key.clone(), record.rank(), now);
-        if !self.says_new(&key, &record) {
-            return Ok(Heard::Renewed);
+        if !self.is_change(&key, &record) {
+            return Ok(Accepted::Renewed);
         }
         self.own_mut().put(record);
         self.refresh(&key);
-        Ok(Heard::Changed)
+        Ok(Accepted::Changed)
     }
 
-    /// Checks the order; true when exactly this was heard here before.
-    fn is_repeated(&self, key: &Key, record: &Record) -> Result<bool, AnnounceError> {
+    /// Checks the rank; returns whether the announcement is a duplicate.
+    fn is_duplicate(&self, key: &Key, record: &Record) -> Result<bool, AnnounceError> {
         let rank = record.rank();
-        let best = self.homes.best(key);
-        let heard = self.leases.rank(key);
-        let Some(known) = heard.max(best.map(Record::rank)) else {
+        let best = self.homes.highest_ranked(key);
+        let received = self.leases.rank(key);
+        let Some(known) = received.max(best.map(Record::rank)) else {
             return self.check_floor(key, rank).map(|()| false);
         };
-        let left_before = known.gone && rank.gone && known.incarnation == rank.incarnation;
-        let again = heard == Some(rank) && rank == known && self.leases.is_live(key);
-        if left_before || again {
+        let already_gone = known.gone && rank.gone && known.incarnation == rank.incarnation;
+        let duplicate = received == Some(rank) && rank == known && self.leases.is_live(key);
+        if already_gone || duplicate {
             return Ok(true);
         }
         self.check_floor(key, rank)?;
-        let ended = heard == Some(rank);
-        let differs = best.is_some_and(|b| b.rank() == rank && !b.same(record));
-        if rank < known || ended || differs {
+        let expired_here = received == Some(rank);
+        let conflicting = best.is_some_and(|b| b.rank() == rank && !b.eq_ignoring_sequence(record));
+        if rank < known || expired_here || conflicting {
             return Err(AnnounceError::Older(known));
         }
         Ok(false)
     }
 
-    /// Refuses what the view would not show.
+    /// Refuses ranks below the floor, which the view would not show.
     fn check_floor(&self, key: &Key, rank: Rank) -> Result<(), AnnounceError> {
         let Some(floor) = self.floors.get(key) else {
             return Ok(());
@@ -179,48 +181,52 @@
         Ok(())
     }
 
-    /// Whether others must learn of it: the view or this home's record says something else.
+    /// Whether the record differs from the view or from this home's record.
     ///
-    /// Each home tells each change itself, so that the end of another's lease
-    /// uncovers nothing that is out of date.
-    fn says_new(&self, key: &Key, record: &Record) -> bool {
-        let kept = self.own_record(key).is_some_and(|r| r.same(record));
-        let seen = self.view(key).is_some_and(|r| r.same(record));
-        !(kept && seen)
+    /// Each home publishes every change itself, so that no outdated record becomes visible when
+    /// the lease at another home ends.
+    fn is_change(&self, key: &Key, record: &Record) -> bool {
+        let published = self
+            .own_record(key)
+            .is_some_and(|r| r.eq_ignoring_sequence(record));
+        let visible = self
+            .view(key)
+            .is_some_and(|r| r.eq_ignoring_sequence(record));
+        !(published && visible)
     }
 
-    /// Ends leases and homes whose time is over.
-    pub fn sweep(&mut self, now: Moment) -> Swept {
-        let mut swept = Swept::default();
-        if now.since(self.swept) > self.limits.pause {
-            self.grace = now + self.limits.pause;
+    /// Expires leases and homes.
+    pub fn sweep(&mut self, now: Moment) -> SweepResult {
+        let mut result = SweepResult::default();
+        if now.since(self.last_sweep) > self.limits.max_sweep_gap {
+            self.grace_until = now + self.limits.max_sweep_gap;
         }
-        self.swept = now;
-        if now < self.grace {
-            swept.paused = true;
-            return swept;
+        self.last_sweep = now;
+        if now < self.grace_until {
+            result.paused = true;
+            return result;
         }
-        swept.leases = self.leases.expire(self.limits.lease, now);
-        for key in &swept.leases {
+        result.leases = self.leases.expire(self.limits.lease, now);
+        for key in &result.leases {
             self.own_mut().remove(key);
             self.refresh(key);
         }
-        for key in self.leases.forget(self.limits.memory, now) {
+        for key in self.leases.forget(self.limits.retention, now) {
             self.own_mut().remove(&key);
             self.refresh(&key);
         }
         let expired = self.homes.expire(&self.me, self.limits.home_lease, now);
         self.refresh_all(&expired.keys);
-        swept.homes = expired.homes;
-        let forgotten = self.homes.forget(&self.me, self.limits.memory, now);
+        result.homes = expired.homes;
+        let forgotten = self.homes.forget(&self.me, self.limits.retention, now);
         self.refresh_all(&forgotten);
         let homes = &self.homes;
-        let known = |key: &Key| homes.best(key).is_some();
-        self.floors.forget(self.limits.memory, now, known);
-        swept
+        let known = |key: &Key| homes.highest_ranked(key).is_some();
+        self.floors.forget(self.limits.retention, now, known);
+        result
     }
 
-    /// This directory's name.
+    /// Name of this directory.
     #[must_use]
     pub fn me(&self) -> &HostName {
         &self.me
@@ -228,54 +234,57 @@
 
     /// Where this directory takes announcements.
     #[must_use]
-    pub fn place(&self) -> &Place {
-        &self.place
+    pub fn location(&self) -> &Location {
+        &self.location
     }
 
-    /// Epoch and cursor of the table of what this directory keeps the leases of.
+    /// Epoch and cursor of this directory's own partition.
     #[must_use]
-    pub fn own_point(&self) -> (u64, u64) {
+    pub fn own_position(&self) -> (u64, u64) {
         let own = self.homes.get(&self.me);
-        own.map(|home| home.partition.point()).unwrap_or_default()
+        own.map(|home| home.partition.position())
+            .unwrap_or_default()
     }
 
-    /// What a copy of the own table at `cursor` of this epoch lacks.
+    /// The delta for a copy of the own partition at `cursor` of the same epoch.
     #[must_use]
-    pub fn own_since(&self, cursor: u64) -> Option<Delta> {
-        self.homes.get(&self.me)?.partition.since(cursor)
+    pub fn own_delta(&self, cursor: u64) -> Option<Delta> {
+        self.homes.get(&self.me)?.partition.delta_since(cursor)
     }
 
-    /// The living instances, numbered for gateways.
+    /// The live instances.
     #[must_use]
     pub fn instances(&self) -> &Partition {
         &self.instances
     }
 
-    /// The living hosts, numbered.
+    /// The live hosts.
     #[must_use]
     pub fn hosts(&self) -> &Partition {
         &self.hosts
     }
 
-    /// The known homes.
+    /// The known homes, this directory included.
     #[must_use]
     pub fn homes(&self) -> &Homes {
         &self.homes
     }
 
-    /// Time since `key` was certainly there, by the home that heard it last.
+    /// Time since `key` was last known to be alive, by the most recent evidence of any home.
     #[must_use]
     pub fn age(&self, key: &Key, now: Moment) -> Option<Duration> {
-        let own = self.leases.heard(key);
+        let own = self.leases.last_heartbeat(key);
         let holds = |home: &&Home| home.alive && home.partition.get(key).is_some();
         let others = self.homes.iter().map(|(_, home)| home).filter(holds);
-        let vouched = others.filter_map(|home| home.vouched).max();
-        own.max(vouched).map(|moment| now.since(moment))
+        let last_seen = others.filter_map(|home| home.last_seen).max();
+        own.max(last_seen).map(|moment| now.since(moment))
     }
 
     fn own_mut(&mut self) -> &mut Partition {
-        let place = self.place.clone();
-        let home = self.homes.learn(&self.me, place, self.swept);
+        let location = self.location.clone();
+        let home = self
+            .homes
+            .get_or_insert(&self.me, location, self.last_sweep);
         &mut home.partition
     }
 
@@ -296,27 +305,30 @@
         }
     }
 
-    /// The record to show: the best one, unless it fell below the floor, has
-    /// left, or no home that counts keeps its lease.
-    fn living(&mut self, key: &Key) -> Option<Record> {
-        let best = self.homes.best(key)?.clone();
-        let own = Floor::from(best.rank());
-        let floor = self.floors.raise(key, own, self.swept);
-        let shown = own == floor && !floor.gone;
-        let kept = shown && self.homes.keeps(key, floor.incarnation);
-        kept.then_some(best)
+    /// The record to show: the one with the highest rank, unless it is below the floor, gone,
+    /// or without a lease at a live home.
+    fn visible_record(&mut self, key: &Key) -> Option<Record> {
+        let best = self.homes.highest_ranked(key)?.clone();
+        let rank = Floor::from(best.rank());
+        let floor = self.floors.raise(key, rank, self.last_sweep);
+        let shown = rank == floor && !floor.gone;
+        let leased = shown && self.homes.has_lease(key, floor.incarnation);
+        leased.then_some(best)
     }
 
-    /// Brings the view of `key` in line with the homes.
+    /// Updates the view of `key` from the homes.
     fn refresh(&mut self, key: &Key) {
-        let living = self.living(key);
+        let visible_record = self.visible_record(key);
         let view = match key {
             Key::Instance(..) => &mut self.instances,
             Key::Host(_) => &mut self.hosts,
         };
-        match living {
+        match visible_record {
             None => view.remove(key),
-            Some(record) if view.get(key).is_some_and(|r| r.same(&record)) => {}
+            Some(record)
+                if view
+                    .get(key)
+                    .is_some_and(|r| r.eq_ignoring_sequence(&record)) => {}
             Some(record) => view.put(record),
         }
     }
--- a/crates/members/src/record.rs
+++ b/crates/members/src/record.rs
@@ -1,4 +1,4 @@
-//! What is announced: instances and hosts, and the order of their announcements.
+//! Announced records: instances and hosts, and the order of their announcements.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,29 +8,29 @@
 use strum::EnumString;
 use strum::IntoStaticStr;
 
-/// What an instance says of itself.
+/// Phase of an instance, as announced by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Phase {
-    /// Takes no work yet.
+    /// Does not take requests yet.
     Starting,
-    /// Takes work.
+    /// Takes requests.
     Ready,
-    /// Finishes its work and takes none that is new.
+    /// Finishes requests in flight and takes no new ones.
     Draining,
-    /// Has left; final for its incarnation.
+    /// Shut down; final for its incarnation.
     Gone,
 }
 
-/// What a gateway says of its host.
+/// Phase of a host, as reported by its gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum HostPhase {
     /// Takes callers.
     Serving,
-    /// Finishes its calls and takes no new callers.
+    /// Finishes calls in flight and takes no new callers.
     Stopping,
-    /// Can't confirm its catalogue and refuses new work.
+    /// Cannot confirm its catalogue and refuses new calls.
     Fenced,
 }
 
@@ -45,11 +45,11 @@
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Requests it works on at once.
+    /// Requests that the instance serves concurrently.
     pub slots: u32,
-    /// Connections it takes.
+    /// Maximum number of connections.
     pub connections: u32,
-    /// What it says of itself.
+    /// Current phase.
     pub phase: Phase,
     /// Grows with each start of the instance.
     pub incarnation: u64,
@@ -57,7 +57,7 @@
     pub sequence: u64,
 }
 
-/// One entry host, as its gateway described it.
+/// One entry host, as described by its gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Host {
     /// The host.
@@ -66,7 +66,7 @@
     pub domain: DomainName,
     /// Where callers connect.
     pub gateway: SocketAddr,
-    /// What it says of itself.
+    /// Current phase.
     pub phase: HostPhase,
     /// Grows with each start of the gateway.
     pub incarnation: u64,
@@ -76,7 +76,7 @@
     pub version: u64,
 }
 
-/// Names a record.
+/// Identifies a record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Key {
     /// An instance.
@@ -94,20 +94,20 @@
     }
 }
 
-/// The order of announcements of one key; a lower rank never overrides a higher.
+/// The order of announcements of one key; a lower rank never overrides a higher one.
 ///
-/// Within an incarnation `gone` goes before the sequence: leaving is final.
+/// Within an incarnation, `gone` takes precedence over the sequence, because it is final.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Rank {
-    /// Start of the announcer.
+    /// Incarnation of the announcer.
     pub incarnation: u64,
-    /// It has left.
+    /// Whether the incarnation is gone.
     pub gone: bool,
     /// Announcement within the incarnation.
     pub sequence: u64,
 }
 
-/// What a partition holds.
+/// A record of a partition.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Record {
     /// An instance.
@@ -117,7 +117,7 @@
 }
 
 impl Record {
-    /// The record's key.
+    /// Key of the record.
     #[must_use]
     pub fn key(&self) -> Key {
         match self {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The record's place in the order of announcements.
+    /// Rank of the announcement.
     #[must_use]
     pub fn rank(&self) -> Rank {
         let (incarnation, sequence) = match self {
@@ -140,15 +140,15 @@
         }
     }
 
-    /// Whether it says that its subject has left.
+    /// Whether the record says that its subject is gone.
     #[must_use]
     pub fn is_gone(&self) -> bool {
         matches!(self, Self::Instance(i) if i.phase == Phase::Gone)
     }
 
-    /// Whether both say the same, whatever their sequences.
+    /// Whether both are equal apart from their sequences.
     #[must_use]
-    pub fn same(&self, other: &Self) -> bool {
+    pub fn eq_ignoring_sequence(&self, other: &Self) -> bool {
         match (self, other) {
             (Self::Instance(a), Self::Instance(b)) => {
                 let a = Instance {
--- a/crates/members/src/ring.rs
+++ b/crates/members/src/ring.rs
@@ -1,18 +1,17 @@
-//! Which directory to ask next.
+//! Selects the directory to poll next.
 //!
-//! All directories stand in one ring, sorted by address. Each asks, in turn,
-//! the ones 1, 2, 4, 8 and so on places before it. What one knows reaches any
-//! other within as many hops as its distance has binary digits, so the oldest
-//! word of anyone stays young without a random tail. A directory that doesn't
-//! answer is left out of the ring and tried again now and then.
+//! All directories form a ring, sorted by address. Each polls, in turn, the peers 1, 2, 4, 8
+//! and so on positions before it. Information therefore reaches any other directory within
+//! as many hops as its distance has binary digits, which bounds the age without the tail of
+//! a random order. A peer that does not answer is left out and retried occasionally.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Turns between two tries of one that doesn't answer.
-pub const RETRY: usize = 8;
+/// Turns between two retries of peers that do not answer.
+pub const RETRY_TURNS: usize = 8;
 
-/// The order in which one directory asks the others.
+/// The order in which one directory polls its peers.
 #[derive(Clone, Debug)]
 pub struct Ring {
     me: SocketAddr,
@@ -22,7 +21,7 @@
 }
 
 impl Ring {
-    /// The ring of `me` and `peers`.
+    /// Creates the ring of `me` and `peers`.
     #[must_use]
     pub fn new(me: SocketAddr, peers: &[SocketAddr]) -> Self {
         let peers: BTreeSet<SocketAddr> = peers.iter().copied().filter(|a| *a != me).collect();
@@ -34,8 +33,8 @@
         }
     }
 
-    /// Notes whether `peer` answered.
-    pub fn note(&mut self, peer: SocketAddr, answered: bool) {
+    /// Records whether `peer` answered.
+    pub fn record(&mut self, peer: SocketAddr, answered: bool) {
         if answered {
             self.failing.remove(&peer);
         } else {
@@ -43,30 +42,30 @@
         }
     }
 
-    /// Who to ask now; `None` without peers.
-    pub fn pick(&mut self) -> Option<SocketAddr> {
+    /// The peer to poll now; `None` without peers.
+    pub fn next_peer(&mut self) -> Option<SocketAddr> {
         let turn = self.turn;
         self.turn = turn.wrapping_add(1);
-        if turn % RETRY == RETRY - 1 && !self.failing.is_empty() {
-            let which = turn / RETRY % self.failing.len();
-            return self.failing.iter().nth(which).copied();
+        if turn % RETRY_TURNS == RETRY_TURNS - 1 && !self.failing.is_empty() {
+            let index = turn / RETRY_TURNS % self.failing.len();
+            return self.failing.iter().nth(index).copied();
         }
-        self.before(turn)
+        self.peer_before(turn)
     }
 
-    /// The one that answers and stands a power of two places before.
-    fn before(&self, turn: usize) -> Option<SocketAddr> {
+    /// The answering peer at the power-of-two distance of this turn.
+    fn peer_before(&self, turn: usize) -> Option<SocketAddr> {
         let answering = self.peers.iter().filter(|a| !self.failing.contains(a));
         let mut live: Vec<SocketAddr> = answering.copied().collect();
         if live.is_empty() {
-            let which = turn.checked_rem(self.peers.len())?;
-            return self.peers.get(which).copied();
+            let index = turn.checked_rem(self.peers.len())?;
+            return self.peers.get(index).copied();
         }
-        let place = live.partition_point(|a| *a < self.me);
-        live.insert(place, self.me);
+        let position = live.partition_point(|a| *a < self.me);
+        live.insert(position, self.me);
         let digits = usize::try_from((live.len() - 1).ilog2() + 1).ok()?;
         let distance = 1 << (turn % digits);
-        live.get((place + live.len() - distance) % live.len())
+        live.get((position + live.len() - distance) % live.len())
             .copied()
     }
 }
--- a/crates/members/tests/test_confirm.rs
+++ b/crates/members/tests/test_confirm.rs
@@ -1,10 +1,10 @@
-//! The spread of confirmations: never back, whatever the order.
+//! Confirmations must merge in any order, and the version must never decrease.
 
 use std::time::Duration;
 
 use base::prelude::*;
 use members::Confirmed;
-use members::Standing;
+use members::Freshness;
 use quickcheck::quickcheck;
 
 use crate::common::at;
@@ -20,11 +20,11 @@
 }
 
 fn merged(found: &[(u8, u8)]) -> Option<Confirmed> {
-    let mut standing = Standing::new(at(START), LEASE);
+    let mut freshness = Freshness::new(at(START), LEASE);
     for found in found {
-        standing.merge(confirmed(*found));
+        freshness.merge(confirmed(*found));
     }
-    standing.best()
+    freshness.latest()
 }
 
 quickcheck! {
@@ -39,11 +39,11 @@
     }
 
     fn test_confirm_version_never_goes_back(found: Vec<(u8, u8)>) -> bool {
-        let mut standing = Standing::new(at(START), LEASE);
+        let mut freshness = Freshness::new(at(START), LEASE);
         let mut last = 0;
         found.iter().all(|f| {
-            standing.merge(confirmed(*f));
-            let version = standing.best().map_or(0, |b| b.version);
+            freshness.merge(confirmed(*f));
+            let version = freshness.latest().map_or(0, |b| b.version);
             std::mem::replace(&mut last, version) <= version
         })
     }
@@ -53,7 +53,7 @@
 
 #[test]
 fn test_confirm_cases() {
-    // Confirmations as (version, moment); now; the version held; whether it is current.
+    // Confirmations as (version, moment); now; expected version; expected to be current.
     let cases: [Case; 6] = [
         (&[], 100, None, false),
         (&[(5, 99)], 100, None, false),
@@ -63,23 +63,23 @@
         (&[(5, 150), (4, 200)], 3151, Some(5), false),
     ];
     for (found, now, version, current) in cases {
-        let mut standing = Standing::new(at(START), LEASE);
+        let mut freshness = Freshness::new(at(START), LEASE);
         for found in found {
-            standing.merge(confirmed(*found));
+            freshness.merge(confirmed(*found));
         }
-        assert_eq!(standing.best().map(|b| b.version), version, "{found:?}");
-        assert_eq!(standing.is_current(at(now)), current, "{found:?} at {now}");
+        assert_eq!(freshness.latest().map(|b| b.version), version, "{found:?}");
+        assert_eq!(freshness.is_current(at(now)), current, "{found:?} at {now}");
     }
 }
 
 #[test]
 fn test_confirm_fenced_until_confirmed_again() {
-    let mut standing = Standing::new(Moment::ZERO, LEASE);
-    standing.merge(confirmed((1, 10)));
-    assert!(!standing.is_current(at(3011)));
-    standing.merge(Confirmed {
+    let mut freshness = Freshness::new(Moment::ZERO, LEASE);
+    freshness.merge(confirmed((1, 10)));
+    assert!(!freshness.is_current(at(3011)));
+    freshness.merge(Confirmed {
         version: 1,
         moment: at(3011),
     });
-    assert!(standing.is_current(at(3011)));
+    assert!(freshness.is_current(at(3011)));
 }
--- a/crates/members/tests/test_gossip.rs
+++ b/crates/members/tests/test_gossip.rs
@@ -1,9 +1,8 @@
-//! Directories that exchange over loss, delay, repetition, cuts and restarts.
+//! Simulates directories under message loss, delay, duplication, partitions and restarts.
 //!
-//! Schedules are random; after every step no view may show an instance that
-//! nobody has heard for longer than its lease and the home's lease together, or
-//! an incarnation older than one it showed. When the network heals, all views
-//! agree with the truth.
+//! After every step of a random schedule, no view may show an instance whose last heartbeat
+//! is older than its lease and the home lease together, or an older incarnation than before.
+//! After the network heals, all views must converge.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +12,7 @@
 use members::Members;
 use members::Phase;
 use members::Record;
-use members::homes::Vouch;
+use members::homes::HomeStatus;
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
@@ -29,43 +28,43 @@
 const STEP: u64 = 50;
 const AGE_STEP_MS: u64 = 20;
 
-/// An answer that is on its way.
+/// A reply in transit.
 #[derive(Clone)]
-struct Flying {
+struct InTransit {
     to: usize,
     sent: Moment,
-    due: Moment,
+    deliver_at: Moment,
     digest: u64,
     ages: Vec<u8>,
-    vouches: Vec<Vouch>,
+    statuses: Vec<HomeStatus>,
     deltas: Vec<(HostName, Delta)>,
 }
 
-/// One announcer.
+/// State of one announcing instance.
 #[derive(Clone, Copy, Default)]
 struct Announcer {
     incarnation: u64,
     sequence: u64,
     draining: bool,
     running: bool,
-    heard: Option<Moment>,
+    last_heartbeat: Option<Moment>,
 }
 
-struct World {
+struct Simulation {
     random: StdRng,
     now: Moment,
     nodes: Vec<Members>,
     announcers: [Announcer; INSTANCES],
-    flying: Vec<Flying>,
+    in_transit: Vec<InTransit>,
     shown: BTreeMap<(usize, usize), u64>,
-    cut: Option<usize>,
+    isolated: Option<usize>,
 }
 
 fn id(i: usize) -> String {
     format!("i{i}")
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let node = |i| common::directory(&format!("n{i}"), 1 << 15, Moment::ZERO);
         Self {
@@ -73,9 +72,9 @@
             now: Moment::ZERO,
             nodes: (0..NODES).map(node).collect(),
             announcers: [Announcer::default(); INSTANCES],
-            flying: Vec::new(),
+            in_transit: Vec::new(),
             shown: BTreeMap::new(),
-            cut: None,
+            isolated: None,
         }
     }
 
@@ -86,7 +85,7 @@
             40..70 => self.ask(),
             70..80 => self.push(),
             80..85 => self.toggle(),
-            85..88 => self.cut_or_heal(),
+            85..88 => self.isolate_or_heal(),
             88..90 => self.restart(),
             _ => {}
         }
@@ -117,13 +116,14 @@
         } else {
             Phase::Ready
         };
-        let said = common::instance(&id(i), phase, announcer.incarnation, announcer.sequence);
-        if self.nodes[node].announce(said, self.now).is_ok() {
-            announcer.heard = Some(self.now);
+        let announcement =
+            common::instance(&id(i), phase, announcer.incarnation, announcer.sequence);
+        if self.nodes[node].announce(announcement, self.now).is_ok() {
+            announcer.last_heartbeat = Some(self.now);
         }
     }
 
-    /// Stops, starts anew, or drains one announcer.
+    /// Stops, restarts or drains one announcer.
     fn toggle(&mut self) {
         let i = self.random.random_range(0..INSTANCES);
         let announcer = &mut self.announcers[i];
@@ -138,64 +138,64 @@
         }
     }
 
-    fn cut_or_heal(&mut self) {
-        self.cut = match self.cut {
+    fn isolate_or_heal(&mut self) {
+        self.isolated = match self.isolated {
             Some(_) => None,
             None => Some(self.random.random_range(0..NODES)),
         };
     }
 
-    /// A directory loses all it knew; its clock may have been set back.
+    /// Restarts a directory without its state; its clock may have been set back.
     fn restart(&mut self) {
         let node = self.random.random_range(0..NODES);
         let epoch = self.random.random_range(0..1 << 16);
         self.nodes[node] = common::directory(&format!("n{node}"), epoch, self.now);
         self.shown.retain(|(n, _), _| *n != node);
-        self.flying.retain(|flying| flying.to != node);
+        self.in_transit.retain(|in_transit| in_transit.to != node);
     }
 
     fn pair(&mut self) -> Option<(usize, usize)> {
         let from = self.random.random_range(0..NODES);
         let to = self.random.random_range(0..NODES);
-        let cut = self.cut == Some(from) || self.cut == Some(to);
-        (from != to && !cut).then_some((from, to))
+        let isolated = self.isolated == Some(from) || self.isolated == Some(to);
+        (from != to && !isolated).then_some((from, to))
     }
 
-    /// One asks another; the answer is lost, late, or comes twice.
+    /// One directory pulls from another; the reply is lost, delayed or duplicated.
     fn ask(&mut self) {
         let Some((asker, peer)) = self.pair() else {
             return;
         };
         let answer = self.answer(asker, peer);
         for _ in 0..self.random.random_range(0..3) {
-            let late = common::ms(self.random.random_range(0..40) * STEP);
-            let due = self.now + late;
-            self.flying.push(Flying {
-                due,
+            let delay = common::ms(self.random.random_range(0..40) * STEP);
+            let deliver_at = self.now + delay;
+            self.in_transit.push(InTransit {
+                deliver_at,
                 ..answer.clone()
             });
         }
     }
 
-    fn answer(&self, asker: usize, peer: usize) -> Flying {
-        let (asking, told) = (&self.nodes[asker], &self.nodes[peer]);
-        let equal = asking.digest() == told.digest();
-        Flying {
+    fn answer(&self, asker: usize, peer: usize) -> InTransit {
+        let (asking, answering) = (&self.nodes[asker], &self.nodes[peer]);
+        let equal = asking.digest() == answering.digest();
+        InTransit {
             to: asker,
             sent: self.now,
-            due: self.now,
-            digest: told.digest(),
+            deliver_at: self.now,
+            digest: answering.digest(),
             ages: if equal {
-                told.ages(self.now)
+                answering.ages(self.now)
             } else {
                 Vec::new()
             },
-            vouches: if equal {
+            statuses: if equal {
                 Vec::new()
             } else {
-                told.vouches(self.now)
+                answering.statuses(self.now)
             },
-            deltas: told.deltas(&asking.vouches(self.now)),
+            deltas: answering.deltas(&asking.statuses(self.now)),
         }
     }
 
@@ -203,49 +203,52 @@
         let Some((home, peer)) = self.pair() else {
             return;
         };
-        let cursor = self.nodes[home].own_point().1;
-        let back = self.random.random_range(0..3);
-        let Some(delta) = self.nodes[home].own_since(cursor.saturating_sub(back)) else {
+        let cursor = self.nodes[home].own_position().1;
+        let behind = self.random.random_range(0..3);
+        let Some(delta) = self.nodes[home].own_delta(cursor.saturating_sub(behind)) else {
             return;
         };
-        let (me, place) = (
+        let (me, location) = (
             self.nodes[home].me().clone(),
-            self.nodes[home].place().clone(),
+            self.nodes[home].location().clone(),
         );
-        self.nodes[peer].merge_delta(&me, place, &delta);
+        self.nodes[peer].merge_delta(&me, location, &delta);
     }
 
     fn deliver(&mut self) {
-        let (due, rest) = self.flying.drain(..).partition(|f| f.due <= self.now);
-        self.flying = rest;
-        let due: Vec<Flying> = due;
-        for flying in due {
-            if self.cut == Some(flying.to) {
+        let (deliver_at, rest) = self
+            .in_transit
+            .drain(..)
+            .partition(|f| f.deliver_at <= self.now);
+        self.in_transit = rest;
+        let deliver_at: Vec<InTransit> = deliver_at;
+        for in_transit in deliver_at {
+            if self.isolated == Some(in_transit.to) {
                 continue;
             }
-            let node = &mut self.nodes[flying.to];
-            let place = node.place().clone();
-            for (home, delta) in &flying.deltas {
-                node.merge_delta(home, place.clone(), delta);
+            let node = &mut self.nodes[in_transit.to];
+            let location = node.location().clone();
+            for (home, delta) in &in_transit.deltas {
+                node.merge_delta(home, location.clone(), delta);
             }
-            node.merge_vouches(&flying.vouches, flying.sent);
-            node.merge_ages(flying.digest, &flying.ages, flying.sent);
+            node.merge_statuses(&in_transit.statuses, in_transit.sent);
+            node.merge_ages(in_transit.digest, &in_transit.ages, in_transit.sent);
         }
     }
 
     fn check(&mut self) -> Result<(), String> {
         let limits = Limits::default();
-        let most = limits.lease + limits.home_lease + common::ms(STEP + AGE_STEP_MS);
+        let max_age = limits.lease + limits.home_lease + common::ms(STEP + AGE_STEP_MS);
         for (n, node) in self.nodes.iter().enumerate() {
             for (i, announcer) in self.announcers.iter().enumerate() {
                 let Some(Record::Instance(seen)) = node.instances().get(&common::key(&id(i)))
                 else {
                     continue;
                 };
-                let heard = announcer.heard.unwrap_or_default();
-                if self.now.since(heard) > most {
+                let last_heartbeat = announcer.last_heartbeat.unwrap_or_default();
+                if self.now.since(last_heartbeat) > max_age {
                     return Err(format!(
-                        "node {n} shows i{i} at {:?}, last heard at {heard:?}",
+                        "node {n} shows i{i} at {:?}, last heard at {last_heartbeat:?}",
                         self.now
                     ));
                 }
@@ -264,10 +267,10 @@
         Ok(())
     }
 
-    /// All announce and exchange without a fault for long enough.
+    /// Lets all announce and exchange without faults until the views must have converged.
     fn heal(&mut self) {
-        self.cut = None;
-        self.flying.clear();
+        self.isolated = None;
+        self.in_transit.clear();
         for round in 0..160 {
             self.now = self.now + common::ms(STEP);
             if round % 8 == 0 {
@@ -276,14 +279,14 @@
             for asker in 0..NODES {
                 let peer = (asker + 1 + round % (NODES - 1)) % NODES;
                 let answer = self.answer(asker, peer);
-                self.flying.push(answer);
+                self.in_transit.push(answer);
             }
             self.deliver();
             self.sweep();
         }
     }
 
-    fn check_truth(&self) -> Result<(), String> {
+    fn check_converged(&self) -> Result<(), String> {
         for (n, node) in self.nodes.iter().enumerate() {
             for (i, announcer) in self.announcers.iter().enumerate() {
                 let phase = if announcer.draining {
@@ -291,11 +294,11 @@
                 } else {
                     Phase::Ready
                 };
-                let truth = announcer.running.then_some(phase);
+                let expected = announcer.running.then_some(phase);
                 let seen = common::phase(node, &id(i));
-                if seen != truth {
+                if seen != expected {
                     return Err(format!(
-                        "healed: node {n} shows i{i} as {seen:?}, it is {truth:?}"
+                        "healed: node {n} shows i{i} as {seen:?}, it is {expected:?}"
                     ));
                 }
             }
@@ -305,16 +308,16 @@
 }
 
 fn run(seed: u64) -> Result<(), String> {
-    let mut world = World::new(seed);
+    let mut simulation = Simulation::new(seed);
     for step in 0..STEPS {
-        world.step();
-        world
+        simulation.step();
+        simulation
             .check()
             .map_err(|err| format!("seed {seed} step {step}: {err}"))?;
     }
-    world.heal();
-    world
-        .check_truth()
+    simulation.heal();
+    simulation
+        .check_converged()
         .map_err(|err| format!("seed {seed}: {err}"))
 }
 
--- a/crates/members/tests/test_partition.rs
+++ b/crates/members/tests/test_partition.rs
@@ -1,15 +1,15 @@
-//! Copies of a home's table over loss, repetition and reordering.
+//! Copies of a partition must converge over loss, duplication and reordering of deltas.
 
 use members::Delta;
 use members::Partition;
 use members::Phase;
 use members::Record;
-use members::partition::MEMORY;
+use members::partition::MAX_REMOVALS;
 use quickcheck::quickcheck;
 
 use crate::common;
 
-/// A home's history as (id, removed), and the deltas that were cut from it.
+/// A home after the steps (id, removed), and deltas taken on the way.
 fn history(steps: &[(u8, bool)], cuts: &[u8]) -> (Partition, Vec<Delta>) {
     let mut home = Partition::new(1);
     let mut deltas = Vec::new();
@@ -24,13 +24,13 @@
         }
         let back = cuts.get(i % cuts.len().max(1)).copied().unwrap_or(0);
         let from = home.cursor().saturating_sub(u64::from(back));
-        deltas.extend(home.since(from));
+        deltas.extend(home.delta_since(from));
     }
     (home, deltas)
 }
 
 fn same(a: &Partition, b: &Partition) -> bool {
-    a.point() == b.point() && a.records().eq(b.records())
+    a.position() == b.position() && a.records().eq(b.records())
 }
 
 fn arrange<T: Clone>(items: &[T], order: &[usize]) -> Vec<T> {
@@ -45,7 +45,7 @@
         for delta in arrange(&deltas, &order) {
             copy.merge(&delta);
         }
-        let lacking = home.since(if copy.epoch() == home.epoch() { copy.cursor() } else { 0 });
+        let lacking = home.delta_since(if copy.epoch() == home.epoch() { copy.cursor() } else { 0 });
         if let Some(delta) = lacking { copy.merge(&delta); }
         steps.is_empty() || same(&copy, &home)
     }
@@ -54,9 +54,9 @@
         let (_, deltas) = history(&steps, &cuts);
         let mut copy = Partition::new(0);
         arrange(&deltas, &order).iter().all(|delta| {
-            let before = copy.point();
+            let before = copy.position();
             copy.merge(delta);
-            copy.point() >= before
+            copy.position() >= before
         })
     }
 
@@ -83,14 +83,14 @@
         same(&merged(&deltas), &merged(&turned))
     }
 
-    fn test_partition_passes_on_what_it_was_given(steps: Vec<(u8, bool)>, cuts: Vec<u8>, order: Vec<usize>) -> bool {
+    fn test_partition_copy_serves_deltas(steps: Vec<(u8, bool)>, cuts: Vec<u8>, order: Vec<usize>) -> bool {
         let (home, deltas) = history(&steps, &cuts);
         let mut first = Partition::new(0);
         let mut second = Partition::new(0);
-        for delta in arrange(&deltas, &order).iter().chain(&home.since(0)) {
+        for delta in arrange(&deltas, &order).iter().chain(&home.delta_since(0)) {
             first.merge(delta);
             let cursor = if second.epoch() == first.epoch() { second.cursor() } else { 0 };
-            if let Some(delta) = first.since(cursor) { second.merge(&delta); }
+            if let Some(delta) = first.delta_since(cursor) { second.merge(&delta); }
         }
         same(&first, &second)
     }
@@ -106,14 +106,14 @@
         1,
     )));
     let mut copy = Partition::new(0);
-    copy.merge(&home.since(0).expect("a change"));
-    for i in 0..=MEMORY {
+    copy.merge(&home.delta_since(0).expect("a change"));
+    for i in 0..=MAX_REMOVALS {
         let id = format!("i{i}");
         home.put(Record::Instance(common::instance(&id, Phase::Ready, 1, 1)));
         home.remove(&common::key(&id));
     }
-    let delta = home.since(copy.cursor()).expect("changes");
-    assert_eq!(delta.from, 0, "the removals are no longer all remembered");
+    let delta = home.delta_since(copy.cursor()).expect("changes");
+    assert_eq!(delta.from, 0, "the log no longer has all removals");
     copy.merge(&delta);
     assert!(same(&copy, &home));
 }
--- a/crates/members/tests/test_ring.rs
+++ b/crates/members/tests/test_ring.rs
@@ -1,9 +1,9 @@
-//! The order of asking: everyone within few hops, also around the dead.
+//! Every directory must be reached within few rounds, also when some do not answer.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use members::ring::RETRY;
+use members::ring::RETRY_TURNS;
 use members::ring::Ring;
 use quickcheck::quickcheck;
 
@@ -16,26 +16,26 @@
     Ring::new(address(me), &peers)
 }
 
-/// Rounds in which all ask once until each knows of each, with `dead` silent.
+/// Rounds until every live directory knows of every other, with `dead` not answering.
 fn rounds(count: usize, dead: &BTreeSet<usize>) -> usize {
     let mut rings: Vec<Ring> = (0..count).map(|i| ring(i, count)).collect();
     let live: Vec<usize> = (0..count).filter(|i| !dead.contains(i)).collect();
-    // Everyone has met the dead before.
+    // Every live directory has already recorded the dead ones as failing.
     for i in &live {
         for d in dead {
-            rings[*i].note(address(*d), false);
+            rings[*i].record(address(*d), false);
         }
     }
     let mut known: Vec<BTreeSet<usize>> = (0..count).map(|i| BTreeSet::from([i])).collect();
     for round in 1..100 {
         for i in &live {
-            let Some(peer) = rings[*i].pick() else {
+            let Some(peer) = rings[*i].next_peer() else {
                 continue;
             };
             let peer = usize::from(peer.port()) - 1000;
             if !dead.contains(&peer) {
-                let told = known[peer].clone();
-                known[*i].extend(told);
+                let reported = known[peer].clone();
+                known[*i].extend(reported);
             }
         }
         if live.iter().all(|i| known[*i].len() >= live.len()) {
@@ -46,15 +46,18 @@
 }
 
 #[test]
-fn test_ring_reaches_all_within_the_digits() {
-    for (count, most) in [(1, 1), (2, 1), (3, 2), (5, 3), (15, 4), (16, 4), (60, 6)] {
+fn test_ring_reaches_all_in_logarithmic_rounds() {
+    for (count, max_rounds) in [(1, 1), (2, 1), (3, 2), (5, 3), (15, 4), (16, 4), (60, 6)] {
         let found = rounds(count, &BTreeSet::new());
-        assert!(found <= most, "{count} directories took {found} rounds");
+        assert!(
+            found <= max_rounds,
+            "{count} directories took {found} rounds"
+        );
     }
 }
 
 #[test]
-fn test_ring_reaches_all_around_the_dead() {
+fn test_ring_reaches_all_despite_failed_peers() {
     for (count, dead) in [
         (5, vec![0]),
         (15, vec![3, 4, 9]),
@@ -63,24 +66,26 @@
     ] {
         let dead: BTreeSet<usize> = dead.into_iter().collect();
         let found = rounds(count, &dead);
-        // One turn of eight goes to a dead one.
+        // One turn of eight retries a dead one.
         assert!(found <= 8, "{count} directories took {found} rounds");
     }
 }
 
 #[test]
-fn test_ring_tries_the_dead_again() {
+fn test_ring_retries_failed_peers() {
     let mut ring = ring(0, 5);
     for dead in 1..4 {
-        ring.note(address(dead), false);
+        ring.record(address(dead), false);
     }
-    let asked: BTreeSet<SocketAddr> = (0..RETRY * 3).filter_map(|_| ring.pick()).collect();
+    let asked: BTreeSet<SocketAddr> = (0..RETRY_TURNS * 3)
+        .filter_map(|_| ring.next_peer())
+        .collect();
     assert_eq!(asked.len(), 4);
     for dead in 1..5 {
-        ring.note(address(dead), false);
+        ring.record(address(dead), false);
     }
-    let asked: BTreeSet<SocketAddr> = (0..RETRY).filter_map(|_| ring.pick()).collect();
-    assert_eq!(asked.len(), 4, "with none left all are tried");
+    let asked: BTreeSet<SocketAddr> = (0..RETRY_TURNS).filter_map(|_| ring.next_peer()).collect();
+    assert_eq!(asked.len(), 4, "all are polled when none answers");
 }
 
 quickcheck! {
@@ -89,8 +94,8 @@
         let me = usize::from(me) % count;
         let mut ring = ring(me, count);
         for i in failing.iter().map(|i| usize::from(*i) % count).filter(|i| *i != me) {
-            ring.note(address(i), false);
+            ring.record(address(i), false);
         }
-        (0..turns).all(|_| ring.pick() != Some(address(me))) && (ring.pick().is_some() == (count > 1))
+        (0..turns).all(|_| ring.next_peer() != Some(address(me))) && (ring.next_peer().is_some() == (count > 1))
     }
 }
--- a/crates/members/tests/tests.rs
+++ b/crates/members/tests/tests.rs
@@ -1,4 +1,4 @@
-//! All tests of the membership, as one binary that shares its makers.
+//! Tests of the membership, built as one binary.
 
 mod common;
 mod test_confirm;
