--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -9,12 +9,12 @@
 //! [`answer`] orders the chosen hosts for one caller.
 
 pub mod answer;
-pub mod near;
+pub mod nearest;
 pub mod placement;
 pub mod rendezvous;
 
 pub use answer::order;
-pub use near::near;
+pub use nearest::near;
 pub use placement::Candidate;
 pub use placement::Demand;
 pub use placement::Placement;
