--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -355,7 +355,7 @@
     pub fn resolve(&self, name: &str, domain: &str, region: &str) -> (Vec<String>, Duration) {
         let settings = self.settings();
         let hosts = &self.known().hosts;
-        let addresses = place::near(hosts, name, domain, region, settings.spread);
+        let addresses = place::nearest(hosts, name, domain, region, settings.spread);
         (addresses, settings.ttl)
     }
 
--- a/crates/hub/src/desk.rs
+++ b/crates/hub/src/desk.rs
@@ -215,7 +215,7 @@
         let now = self.state.clock.now();
         let known = self.state.known();
         let hosts = known.entries.list(now);
-        let addresses = place::near(&hosts, name, domain, region, self.state.settings.spread);
+        let addresses = place::nearest(&hosts, name, domain, region, self.state.settings.spread);
         (addresses, known.ttl.unwrap_or(self.state.settings.ttl))
     }
 
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod rendezvous;
 
 pub use answer::order;
-pub use nearest::near;
+pub use nearest::nearest;
 pub use placement::Candidate;
 pub use placement::Demand;
 pub use placement::Placement;
--- a/crates/place/src/nearest.rs
+++ b/crates/place/src/nearest.rs
@@ -16,7 +16,7 @@
 /// The addresses for a caller of `name` in `domain` of `region`, nearest first: all
 /// of its failure domain, and others only where that has fewer than `width`.
 #[must_use]
-pub fn near(
+pub fn nearest(
     hosts: &[EntryHost],
     name: &str,
     domain: &str,
--- a/crates/place/tests/test_near.rs
+++ b/crates/place/tests/test_near.rs
@@ -1,6 +1,6 @@
 //! Which entry hosts a caller is told.
 
-use place::near;
+use place::nearest;
 use wire::hub::EntryHost;
 
 fn hosts(counts: [usize; 3]) -> Vec<EntryHost> {
@@ -25,7 +25,7 @@
 #[test]
 fn test_near_names_all_of_the_callers_failure_domain() {
     let hosts = hosts([22, 22, 22]);
-    let named = near(&hosts, "example.org", "b", "north", 3);
+    let named = nearest(&hosts, "example.org", "b", "north", 3);
     assert_eq!(named.len(), 22);
     assert_eq!(domains(&named), ["b"]);
 }
@@ -33,15 +33,15 @@
 #[test]
 fn test_near_names_others_where_the_failure_domain_has_few() {
     let hosts = hosts([1, 4, 4]);
-    let named = near(&hosts, "example.org", "a", "north", 3);
+    let named = nearest(&hosts, "example.org", "a", "north", 3);
     assert_eq!(named.len(), 3);
     // Its own, then those of its region.
     assert_eq!(domains(&named), ["a", "b"]);
-    assert!(near(&[], "example.org", "a", "north", 3).is_empty());
+    assert!(nearest(&[], "example.org", "a", "north", 3).is_empty());
 }
 
 #[test]
 fn test_near_is_bounded() {
     let hosts = hosts([200, 0, 0]);
-    assert_eq!(near(&hosts, "example.org", "a", "north", 3).len(), 64);
+    assert_eq!(nearest(&hosts, "example.org", "a", "north", 3).len(), 64);
 }
