--- a/crates/announce/src/lib.rs
+++ b/crates/announce/src/lib.rs
@@ -4,7 +4,7 @@
 //! is what both kinds of process do around them.
 
 pub mod body;
-pub mod page;
+pub mod endpoint;
 pub mod refusal;
 
 pub use refusal::Reason;
--- a/crates/directory/src/http.rs
+++ b/crates/directory/src/http.rs
@@ -4,7 +4,7 @@
 
 use announce::Reason;
 use announce::Refusal;
-use announce::page;
+use announce::endpoint;
 use cadence::Counted;
 use salvo::Depot;
 use salvo::FlowCtrl;
@@ -30,7 +30,7 @@
     let route = Router::with_path("v1/route").get(Route(shared.clone()));
     let ready = Router::with_path("v1/ready").get(Ready(shared.clone()));
     let router = Router::new().push(announce).push(route).push(ready);
-    Service::new(router).catcher(Catcher::new(page::Caught))
+    Service::new(router).catcher(Catcher::new(endpoint::Caught))
 }
 
 struct Announce(Arc<Shared>);
@@ -38,10 +38,10 @@
 #[salvo::async_trait]
 impl Handler for Announce {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let result = page::receive(req).await;
+        let result = endpoint::receive(req).await;
         let result = result.and_then(|instance| lease::take(&self.0, instance));
         count(&self.0, names::ANNOUNCE, result.as_ref().err());
-        page::render(res, result);
+        endpoint::render(res, result);
     }
 }
 
@@ -64,7 +64,7 @@
                 res.headers_mut().insert(header::CACHE_CONTROL, keep);
             }
         }
-        page::render(res, result);
+        endpoint::render(res, result);
     }
 }
 
@@ -89,7 +89,7 @@
 #[salvo::async_trait]
 impl Handler for Ready {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        page::render(res, ready(&self.0));
+        endpoint::render(res, ready(&self.0));
     }
 }
 
--- a/crates/hub/src/http.rs
+++ b/crates/hub/src/http.rs
@@ -10,7 +10,7 @@
 
 use announce::Reason;
 use announce::Refusal;
-use announce::page;
+use announce::endpoint;
 use salvo::Depot;
 use salvo::FlowCtrl;
 use salvo::Handler;
@@ -57,7 +57,7 @@
     let announce = Router::with_path("v1/announce").post(Announce(desk.clone()));
     let hosts = Router::with_path("v1/hosts").get(Ask(desk.clone()));
     let router = Router::new().push(announce).push(hosts);
-    Service::new(router).catcher(Catcher::new(page::Caught))
+    Service::new(router).catcher(Catcher::new(endpoint::Caught))
 }
 
 /// Listens at `address`; what it gives serves until dropped.
@@ -80,7 +80,7 @@
 #[salvo::async_trait]
 impl Handler for Announce {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let result = match page::receive(req).await {
+        let result = match endpoint::receive(req).await {
             Ok(told) => take(&self.0, told).await,
             Err(refusal) => Err(refusal),
         };
@@ -88,7 +88,7 @@
             warn!(self.0.log(), "announcement refused";
                 "reason" => Into::<&str>::into(refusal.reason), "detail" => &refusal.detail);
         }
-        page::render(res, result);
+        endpoint::render(res, result);
     }
 }
 
@@ -138,7 +138,7 @@
                 ttl_ms: millis(ttl),
             })
         };
-        page::render(res, result);
+        endpoint::render(res, result);
     }
 }
 
