--- a/crates/announce/src/endpoint.rs
+++ b/crates/announce/src/endpoint.rs
@@ -44,10 +44,10 @@
 }
 
 /// Gives the answers that no route gave the form of a refusal.
-pub struct Caught;
+pub struct RefusalCatcher;
 
 #[salvo::async_trait]
-impl Handler for Caught {
+impl Handler for RefusalCatcher {
     async fn handle(
         &self,
         req: &mut Request,
--- a/crates/directory/src/http.rs
+++ b/crates/directory/src/http.rs
@@ -30,7 +30,7 @@
     let route = Router::with_path("v1/route").get(Route(shared.clone()));
     let ready = Router::with_path("v1/ready").get(Ready(shared.clone()));
     let router = Router::new().push(announce).push(route).push(ready);
-    Service::new(router).catcher(Catcher::new(endpoint::Caught))
+    Service::new(router).catcher(Catcher::new(endpoint::RefusalCatcher))
 }
 
 struct Announce(Arc<Shared>);
--- a/crates/hub/src/http.rs
+++ b/crates/hub/src/http.rs
@@ -57,7 +57,7 @@
     let announce = Router::with_path("v1/announce").post(Announce(desk.clone()));
     let hosts = Router::with_path("v1/hosts").get(Ask(desk.clone()));
     let router = Router::new().push(announce).push(hosts);
-    Service::new(router).catcher(Catcher::new(endpoint::Caught))
+    Service::new(router).catcher(Catcher::new(endpoint::RefusalCatcher))
 }
 
 /// Listens at `address`; what it gives serves until dropped.
