--- a/crates/directory/src/settings.rs
+++ b/crates/directory/src/settings.rs
@@ -216,21 +216,21 @@
 fn read_answers(r: &mut Reader) -> Answers {
     let default = Answers::default();
     let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-    let least = r.or(ANSWERS, "gateways", count(default.spread.least));
-    let slack = conf::value::Percent(default.spread.slack);
+    let min_gateways = r.or(ANSWERS, "gateways", count(default.spread.min_gateways));
+    let slack = conf::value::Percent(default.spread.slack_percent);
     let answers = Answers {
         keep: r.or(ANSWERS, "keep", default.keep),
         spread: Spread {
-            least: usize::try_from(least).unwrap_or(usize::MAX),
-            slots: r.or(ANSWERS, "slots", default.spread.slots),
-            slack: r.or(ANSWERS, "slack", slack).0,
+            min_gateways: usize::try_from(min_gateways).unwrap_or(usize::MAX),
+            slots_per_gateway: r.or(ANSWERS, "slots", default.spread.slots_per_gateway),
+            slack_percent: r.or(ANSWERS, "slack", slack).0,
         },
     };
-    if least == 0 {
+    if min_gateways == 0 {
         let form = "whole number from 1";
         r.fault(ANSWERS, "gateways", Problem::Form("0".into()), form);
     }
-    if answers.spread.slots == 0 {
+    if answers.spread.slots_per_gateway == 0 {
         let form = "whole number from 1";
         r.fault(ANSWERS, "slots", Problem::Form("0".into()), form);
     }
@@ -257,9 +257,9 @@
         writeln!(f, "records = {}", self.leases.records)?;
         writeln!(f, "\n[{ANSWERS}]")?;
         writeln!(f, "keep = {}", text(self.answers.keep))?;
-        writeln!(f, "gateways = {}", self.answers.spread.least)?;
-        writeln!(f, "slots = {}", self.answers.spread.slots)?;
-        writeln!(f, "slack = {}%", self.answers.spread.slack)?;
+        writeln!(f, "gateways = {}", self.answers.spread.min_gateways)?;
+        writeln!(f, "slots = {}", self.answers.spread.slots_per_gateway)?;
+        writeln!(f, "slack = {}%", self.answers.spread.slack_percent)?;
         write!(f, "\n{}", self.telemetry)
     }
 }
--- a/crates/place/examples/concentration/share.rs
+++ b/crates/place/examples/concentration/share.rs
@@ -1,4 +1,4 @@
-//! Evenness of the gateways' load, and what moves when a host leaves.
+//! Evenness of the gateways' load, and the share of placements that a lost host moves.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,7 +10,7 @@
 use place::Placement;
 use place::Spread;
 
-/// Slots of the services in turn, by the instances that today's services have.
+/// Slots of the services, cyclically.
 const SLOTS: [u32; 4] = [60, 42, 36, 60];
 
 fn hosts(count: usize, domains: usize) -> Vec<Candidate> {
@@ -30,7 +30,7 @@
     (0..count).map(demand).collect()
 }
 
-/// Most loaded host over the mean, with callers even over each answer.
+/// Load of the most loaded host over the mean; callers spread evenly over each answer.
 fn evenness(placement: &Placement, demands: &[Demand], hosts: usize) -> f64 {
     let mut loads: BTreeMap<SocketAddr, f64> = BTreeMap::new();
     for demand in demands {
@@ -41,39 +41,40 @@
         }
     }
     let total: f64 = loads.values().sum();
-    let most = loads.values().copied().fold(0.0, f64::max);
-    most * f64::from(u32::try_from(hosts).expect("few")) / total
+    let max_load = loads.values().copied().fold(0.0, f64::max);
+    max_load * f64::from(u32::try_from(hosts).expect("few")) / total
 }
 
-/// Share of the placements at other hosts that move when one host leaves, in percent.
-fn moved(before: &Placement, after: &Placement, left: SocketAddr) -> f64 {
+/// Percentage of the placements on other hosts that move when host `left` is removed.
+fn moved(before: &Placement, after: &Placement, removed: SocketAddr) -> f64 {
     let (mut moved, mut all) = (0_u32, 0_u32);
     for (service, found) in before.iter() {
-        let kept: BTreeSet<SocketAddr> = after.hosts(service).iter().map(|c| c.address).collect();
-        for candidate in found.iter().filter(|c| c.address != left) {
+        let after_hosts: BTreeSet<SocketAddr> =
+            after.hosts(service).iter().map(|c| c.address).collect();
+        for candidate in found.iter().filter(|c| c.address != removed) {
             all += 1;
-            moved += u32::from(!kept.contains(&candidate.address));
+            moved += u32::from(!after_hosts.contains(&candidate.address));
         }
     }
     f64::from(moved) * 100.0 / f64::from(all)
 }
 
-/// One line for a size and a width.
-pub fn print(count: usize, domains: usize, services: usize, least: usize) {
+/// Prints one line for each slack.
+pub fn print(count: usize, domains: usize, services: usize, min_gateways: usize) {
     let demands = demands(services);
     let hosts = hosts(count, domains);
-    for slack in [10, 25, 50] {
+    for slack_percent in [10, 25, 50] {
         let spread = Spread {
-            least,
-            slack,
+            min_gateways,
+            slack_percent,
             ..Spread::default()
         };
         let whole = Placement::new(&hosts, &demands, spread);
         let even = evenness(&whole, &demands, count);
         let moves = (0..count).map(|i| {
             let mut rest = hosts.clone();
-            let left = rest.remove(i).address;
-            moved(&whole, &Placement::new(&rest, &demands, spread), left)
+            let removed = rest.remove(i).address;
+            moved(&whole, &Placement::new(&rest, &demands, spread), removed)
         });
         let worst = moves.fold(0.0, f64::max);
         let names = demands
@@ -81,7 +82,7 @@
             .map(|d| whole.hosts(&d.service).len())
             .sum::<usize>();
         println!(
-            "kind=share hosts={count} domains={domains} services={services} least={least} slack_percent={slack} placements={names} most_over_mean={even:.3} moved_worst_percent={worst:.2}"
+            "kind=share hosts={count} domains={domains} services={services} least={min_gateways} slack_percent={slack_percent} placements={names} most_over_mean={even:.3} moved_worst_percent={worst:.2}"
         );
     }
 }
--- a/crates/place/examples/concentration/rig.rs
+++ b/crates/place/examples/concentration/simulation.rs
@@ -1,4 +1,4 @@
-//! Some gateways' choosers share a handful of fakes.
+//! Simulates several gateways' choosers that share a few fake upstreams.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -22,42 +22,42 @@
 
 use crate::fake;
 use crate::fake::Fake;
-use crate::fake::Time;
+use crate::fake::SimulatedClock;
 
-/// Calls of one run, and those at its start that aren't counted.
+/// Calls of one run, and how many of them at its start are not counted.
 const CALLS: usize = 40_000;
 const WARM_UP: usize = 4_000;
-/// Time between two looks of a gateway for a probe worth sending.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a gateway checks for a probe to send.
+const PROBE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A service.
-pub struct Shape {
-    /// For the table.
+/// Properties of a service.
+pub struct Workload {
+    /// Name in the output.
     pub name: &'static str,
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Mean time of a request's work.
+    /// Mean service time of a request.
     pub work: Duration,
-    /// Time that a probe takes a slot.
+    /// Service time of a probe.
     pub probe: Duration,
 }
 
-impl Shape {
-    /// Ferrovie's status queries.
+impl Workload {
+    /// Status queries.
     pub const FERROVIE: Self = Self {
         name: "ferrovie",
         instances: 10,
         work: Duration::from_millis(5),
         probe: Duration::from_micros(200),
     };
-    /// The Trust's drawings.
+    /// Drawings.
     pub const TRUST: Self = Self {
         name: "trust",
         instances: 6,
         work: Duration::from_millis(20),
         probe: Duration::from_millis(5),
     };
-    /// A service of the target size with more instances than most.
+    /// A service of the target size with many instances.
     pub const LARGE: Self = Self {
         name: "large",
         instances: 40,
@@ -66,19 +66,19 @@
     };
 }
 
-/// What one run showed.
-pub struct Figures {
-    /// Calls counted.
+/// Results of one run.
+pub struct RunStats {
+    /// Number of calls counted.
     pub calls: usize,
-    /// Latencies.
+    /// Median latency.
     pub p50: Duration,
-    /// Latencies.
+    /// 99th percentile of the latency.
     pub p99: Duration,
-    /// Latencies.
+    /// 99.9th percentile of the latency.
     pub p999: Duration,
-    /// Probes that gateways wanted, a second and instance.
+    /// Probes that gateways requested, per second and instance.
     pub probes: f64,
-    /// Sum over gateways of the most attempts at once at an instance, the mean of all instances.
+    /// Peak concurrent attempts per instance, summed over gateways; mean over instances.
     pub connections: f64,
 }
 
@@ -88,101 +88,106 @@
     peak: Vec<u32>,
 }
 
-struct World {
-    time: Time,
-    shape: Shape,
+struct Simulation {
+    clock: SimulatedClock,
+    workload: Workload,
     fakes: Vec<Fake>,
     gateways: Vec<RefCell<Gateway>>,
     latencies: RefCell<Vec<Duration>>,
     probes: RefCell<u32>,
 }
 
-/// Runs a service at `load` of its capacity through so many gateways.
-pub fn run(shape: &Shape, load: f64, gateways: usize, seed: u64) -> Figures {
+/// Runs a service at `load` of its capacity through `gateways` gateways.
+pub fn run(workload: &Workload, load: f64, gateways: usize, seed: u64) -> RunStats {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
         .expect("a runtime");
-    LocalSet::new().block_on(&runtime, drive(shape, load, gateways, seed))
+    LocalSet::new().block_on(&runtime, simulate(workload, load, gateways, seed))
 }
 
-async fn drive(shape: &Shape, load: f64, gateways: usize, seed: u64) -> Figures {
-    let world = Rc::new(World::new(shape, gateways, seed));
+async fn simulate(workload: &Workload, load: f64, gateways: usize, seed: u64) -> RunStats {
+    let simulation = Rc::new(Simulation::new(workload, gateways, seed));
     let mut random = SmallRng::seed_from_u64(seed);
-    let slots = f64::from(fake::SLOTS) * f64::from(u32::try_from(shape.instances).expect("few"));
-    let capacity = slots * fake::mean_speed() / shape.work.as_secs_f64();
-    let gap = 1.0 / (capacity * load);
+    let slots = f64::from(fake::SLOTS) * f64::from(u32::try_from(workload.instances).expect("few"));
+    let capacity = slots * fake::mean_speed() / workload.work.as_secs_f64();
+    let mean_interval = 1.0 / (capacity * load);
     let probing: Vec<_> = (0..gateways)
-        .map(|g| spawn_local(probe(world.clone(), g)))
+        .map(|g| spawn_local(probe(simulation.clone(), g)))
         .collect();
     let mut calls = Vec::new();
-    let mut due = 0.0;
+    let mut next_arrival = 0.0;
     for i in 0..CALLS {
-        due += gap * fake::exponential(&mut random);
-        let wait = Moment::from_nanos(0) + Duration::from_secs_f64(due);
-        world.time.sleep(wait.since(world.time.now())).await;
+        next_arrival += mean_interval * fake::exponential(&mut random);
+        let arrival = Moment::from_nanos(0) + Duration::from_secs_f64(next_arrival);
+        simulation
+            .clock
+            .sleep(arrival.since(simulation.clock.now()))
+            .await;
         let gateway = random.random_range(0..gateways);
-        let work = shape.work.mul_f64(fake::exponential(&mut random));
+        let work = workload.work.mul_f64(fake::exponential(&mut random));
         calls.push(spawn_local(call(
-            world.clone(),
+            simulation.clone(),
             gateway,
             work,
             i >= WARM_UP,
         )));
     }
-    let span = world.time.now().since(Moment::ZERO).as_secs_f64();
+    let duration = simulation.clock.now().since(Moment::ZERO).as_secs_f64();
     for call in calls {
         call.await.expect("the call ends");
     }
     for task in probing {
         task.abort();
     }
-    world.figures(span)
+    simulation.stats(duration)
 }
 
-async fn call(world: Rc<World>, gateway: usize, work: Duration, counted: bool) {
-    let began = world.time.now();
+async fn call(simulation: Rc<Simulation>, gateway: usize, work: Duration, counted: bool) {
+    let started_at = simulation.clock.now();
     let (ticket, instance) = {
-        let mut gateway = world.gateways[gateway].borrow_mut();
-        let Some(choice) = gateway.chooser.choose(began, &[]) else {
+        let mut gateway = simulation.gateways[gateway].borrow_mut();
+        let Some(choice) = gateway.chooser.choose(started_at, &[]) else {
             return;
         };
         let instance = index(&gateway.chooser, choice.pick);
         gateway.count(instance);
-        (gateway.chooser.started(began, choice.pick), instance)
+        (gateway.chooser.started(started_at, choice.pick), instance)
     };
-    let report = world.fakes[instance].serve(work).await;
-    let now = world.time.now();
-    let latency = now.since(began);
+    let report = simulation.fakes[instance].serve(work).await;
+    let now = simulation.clock.now();
+    let latency = now.since(started_at);
     let outcome = Outcome {
         kind: Kind::Ok,
         latency,
         report: Some(report),
     };
-    let mut gateway = world.gateways[gateway].borrow_mut();
+    let mut gateway = simulation.gateways[gateway].borrow_mut();
     gateway.in_flight[instance] -= 1;
     gateway.chooser.finished(now, ticket, outcome);
     if counted {
-        world.latencies.borrow_mut().push(latency);
+        simulation.latencies.borrow_mut().push(latency);
     }
 }
 
-/// Sends every probe that the chooser holds worth its cost.
-async fn probe(world: Rc<World>, gateway: usize) {
+/// Sends each probe that the chooser requests.
+async fn probe(simulation: Rc<Simulation>, gateway: usize) {
     loop {
-        world.time.sleep(LOOK).await;
-        let now = world.time.now();
-        let pick = world.gateways[gateway]
+        simulation.clock.sleep(PROBE_CHECK_INTERVAL).await;
+        let now = simulation.clock.now();
+        let pick = simulation.gateways[gateway]
             .borrow_mut()
             .chooser
             .probe(now, |_| true);
         let Some(pick) = pick else { continue };
-        *world.probes.borrow_mut() += 1;
-        let instance = index(&world.gateways[gateway].borrow().chooser, pick);
-        let report = world.fakes[instance].serve(world.shape.probe).await;
-        let now = world.time.now();
-        let mut gateway = world.gateways[gateway].borrow_mut();
+        *simulation.probes.borrow_mut() += 1;
+        let instance = index(&simulation.gateways[gateway].borrow().chooser, pick);
+        let report = simulation.fakes[instance]
+            .serve(simulation.workload.probe)
+            .await;
+        let now = simulation.clock.now();
+        let mut gateway = simulation.gateways[gateway].borrow_mut();
         gateway.chooser.probed(now, pick, Probed::Load(report));
     }
 }
@@ -193,21 +198,21 @@
 }
 
 impl Gateway {
-    fn new(shape: &Shape, seed: u64) -> Self {
-        let row = |i: usize| Instance {
+    fn new(workload: &Workload, seed: u64) -> Self {
+        let instance = |i: usize| Instance {
             id: InstanceId::new(&i.to_string()).expect("a name"),
             incarnation: 0,
             domain: DomainName::new("d").expect("a name"),
             slots: fake::SLOTS,
             phase: Phase::Ready,
         };
-        let rows: Vec<Instance> = (0..shape.instances).map(row).collect();
+        let instances: Vec<Instance> = (0..workload.instances).map(instance).collect();
         let mut chooser = Chooser::new(Policy::LeastWait, Settings::default(), seed);
-        chooser.update(Moment::ZERO, &rows);
+        chooser.update(Moment::ZERO, &instances);
         Self {
             chooser,
-            in_flight: vec![0; shape.instances],
-            peak: vec![0; shape.instances],
+            in_flight: vec![0; workload.instances],
+            peak: vec![0; workload.instances],
         }
     }
 
@@ -217,15 +222,15 @@
     }
 }
 
-impl World {
-    fn new(shape: &Shape, gateways: usize, seed: u64) -> Self {
-        let time = Time::start();
+impl Simulation {
+    fn new(workload: &Workload, gateways: usize, seed: u64) -> Self {
+        let clock = SimulatedClock::start();
         let number = |i: usize| u64::try_from(i).expect("few");
-        let fakes = (0..shape.instances).map(|i| Fake::new(time, seed * 1000 + number(i)));
-        let gateway = |i| RefCell::new(Gateway::new(shape, seed * 77 + number(i)));
+        let fakes = (0..workload.instances).map(|i| Fake::new(clock, seed * 1000 + number(i)));
+        let gateway = |i| RefCell::new(Gateway::new(workload, seed * 77 + number(i)));
         Self {
-            time,
-            shape: Shape { ..*shape },
+            clock,
+            workload: Workload { ..*workload },
             fakes: fakes.collect(),
             gateways: (0..gateways).map(gateway).collect(),
             latencies: RefCell::default(),
@@ -233,7 +238,7 @@
         }
     }
 
-    fn figures(&self, span: f64) -> Figures {
+    fn stats(&self, duration: f64) -> RunStats {
         let mut latencies = self.latencies.borrow_mut();
         latencies.sort();
         let at = |per_mille: usize| {
@@ -244,12 +249,12 @@
             .iter()
             .map(|g| g.borrow().peak.iter().sum::<u32>());
         let instances = f64::from(u32::try_from(self.fakes.len()).expect("few"));
-        Figures {
+        RunStats {
             calls: latencies.len(),
             p50: at(500),
             p99: at(990),
             p999: at(999),
-            probes: f64::from(*self.probes.borrow()) / span / instances,
+            probes: f64::from(*self.probes.borrow()) / duration / instances,
             connections: f64::from(peaks.sum::<u32>()) / instances,
         }
     }
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -1,12 +1,12 @@
-//! Which entry hosts serve the callers of which service.
+//! Placement of services on entry hosts.
 //!
-//! Callers ask first, so the answer itself spreads them. Sending a service's
-//! callers to a few gateways in each failure domain lets each of those know
-//! more of the service's upstreams, hold fewer connections and probe less.
-//! [`placement::Placement`] chooses them by rendezvous hashing with bounded
-//! load: every directory that knows the same hosts and services gives the same
-//! answer without talking, and a host that comes or goes moves few services.
-//! [`answer`] orders the chosen hosts for one caller.
+//! Callers first ask which entry hosts to use, so the answers balance the load. Sending a
+//! service's callers to a few gateways in each failure domain lets each gateway know more of
+//! the service's instances, hold fewer connections and send fewer probes.
+//! [`placement::Placement`] selects them by rendezvous hashing with bounded load: directories
+//! that know the same hosts and services compute the same result without coordination, and
+//! adding or removing a host moves few services. [`answer`] orders the selected hosts for one
+//! caller.
 
 pub mod answer;
 pub mod nearest;
--- a/crates/place/src/placement.rs
+++ b/crates/place/src/placement.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing with bounded load, one failure domain after the other.
+//! Rendezvous hashing with bounded load, applied to each failure domain in turn.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 
 use crate::rendezvous;
 
-/// An entry host that callers may be sent to.
+/// An entry host that may serve callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The host.
@@ -19,69 +19,69 @@
     pub address: SocketAddr,
 }
 
-/// A service with the slots that its instances have together.
+/// A service and the total slots of its instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Demand {
     /// The service.
     pub service: ServiceName,
-    /// Slots of all its instances; stands for its load.
+    /// Slots of all its instances, used as its load.
     pub slots: u32,
 }
 
-/// How wide services are spread.
+/// How widely services are spread over gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Spread {
-    /// Fewest gateways for a service in each failure domain.
-    pub least: usize,
-    /// Slots that one gateway serves; a service with more gets more gateways.
-    pub slots: u32,
-    /// How far above the mean a gateway may be loaded, in percent.
-    pub slack: u32,
+    /// Minimum number of gateways for a service in each failure domain.
+    pub min_gateways: usize,
+    /// Slots per gateway; a service with more slots gets more gateways.
+    pub slots_per_gateway: u32,
+    /// How far the load of a gateway may exceed the mean, in percent.
+    pub slack_percent: u32,
 }
 
 impl Spread {
-    /// Every service at every host.
+    /// Places every service on every host.
     pub const ALL: Self = Self {
-        least: usize::MAX,
-        slots: u32::MAX,
-        slack: 100,
+        min_gateways: usize::MAX,
+        slots_per_gateway: u32::MAX,
+        slack_percent: 100,
     };
 }
 
 impl Default for Spread {
     fn default() -> Self {
         Self {
-            least: 2,
-            slots: 240,
-            slack: 10,
+            min_gateways: 2,
+            slots_per_gateway: 240,
+            slack_percent: 10,
         }
     }
 }
 
 /// The hosts of every service.
 ///
-/// Invariant: depends on nothing but the hosts, the demands and the spread, not
-/// on their order.
+/// Invariant: a function of the sets of hosts and demands and of the spread; the order of
+/// the inputs does not matter.
 #[derive(Clone, Debug, Default)]
 pub struct Placement {
     hosts: BTreeMap<ServiceName, Vec<Candidate>>,
 }
 
 impl Placement {
-    /// Places every demand.
+    /// Places all demands.
     #[must_use]
     pub fn new(hosts: &[Candidate], demands: &[Demand], spread: Spread) -> Self {
-        let domains = by_domain(hosts);
+        let domains = group_by_domain(hosts);
         let mut demands: Vec<&Demand> = demands.iter().collect();
         demands.sort_by_key(|d| (Reverse(weight(d.slots)), d.service.clone()));
         let mut placement = Self::default();
         for candidates in domains.values() {
-            Domain::new(candidates, &demands, domains.len(), spread).place(&mut placement);
+            DomainPlacement::new(candidates, &demands, domains.len(), spread).place(&mut placement);
         }
         placement
     }
 
-    /// The hosts of `service`, those of one failure domain together; empty when it isn't placed.
+    /// The hosts of `service`, grouped by failure domain; empty when it is not placed.
     #[must_use]
     pub fn hosts(&self, service: &ServiceName) -> &[Candidate] {
         self.hosts.get(service).map_or(&[], Vec::as_slice)
@@ -93,15 +93,15 @@
     }
 }
 
-/// The gateways that a service gets in each of `domains` failure domains of `size` hosts.
+/// Number of gateways for a service in each of `domains` failure domains of `size` hosts.
 #[must_use]
-pub fn width(slots: u32, domains: usize, size: usize, spread: Spread) -> usize {
-    let gateways = weight(slots).div_ceil(spread.slots.max(1)) as usize;
+pub fn gateways_per_domain(slots: u32, domains: usize, size: usize, spread: Spread) -> usize {
+    let gateways = weight(slots).div_ceil(spread.slots_per_gateway.max(1)) as usize;
     let share = gateways.div_ceil(domains.max(1));
-    share.max(spread.least).min(size)
+    share.max(spread.min_gateways).min(size)
 }
 
-/// Slots rounded up to three significant bits, so that few changes move anything.
+/// Rounds slots up to three significant bits, so that small changes move no placement.
 #[must_use]
 pub fn weight(slots: u32) -> u32 {
     let slots = slots.max(1);
@@ -109,7 +109,7 @@
     slots.div_ceil(unit).saturating_mul(unit)
 }
 
-fn by_domain(hosts: &[Candidate]) -> BTreeMap<&DomainName, Vec<&Candidate>> {
+fn group_by_domain(hosts: &[Candidate]) -> BTreeMap<&DomainName, Vec<&Candidate>> {
     let mut domains: BTreeMap<&DomainName, Vec<&Candidate>> = BTreeMap::new();
     for host in hosts {
         domains.entry(&host.domain).or_default().push(host);
@@ -117,17 +117,17 @@
     domains
 }
 
-/// One failure domain while services are placed in it.
-struct Domain<'a> {
+/// Placement of all services within one failure domain.
+struct DomainPlacement<'a> {
     hosts: Vec<&'a Candidate>,
     demands: &'a [&'a Demand],
     domains: usize,
     spread: Spread,
     loads: Vec<f64>,
-    bound: f64,
+    max_load: f64,
 }
 
-impl<'a> Domain<'a> {
+impl<'a> DomainPlacement<'a> {
     fn new(
         hosts: &[&'a Candidate],
         demands: &'a [&'a Demand],
@@ -143,7 +143,7 @@
             domains,
             spread,
             loads: vec![0.0; hosts.len()],
-            bound: mean * (1.0 + f64::from(spread.slack) / 100.0),
+            max_load: mean * (1.0 + f64::from(spread.slack_percent) / 100.0),
         }
     }
 
@@ -156,18 +156,20 @@
         }
     }
 
-    /// Takes the hosts with the highest scores that have room, then the least loaded.
+    /// Selects the highest-scoring hosts with spare capacity, then the least loaded ones.
     fn choose(&mut self, demand: &Demand) -> Vec<usize> {
-        let width = width(demand.slots, self.domains, self.hosts.len(), self.spread);
-        let count = u32::try_from(width).unwrap_or(u32::MAX);
+        let gateways =
+            gateways_per_domain(demand.slots, self.domains, self.hosts.len(), self.spread);
+        let count = u32::try_from(gateways).unwrap_or(u32::MAX);
         let load = f64::from(weight(demand.slots)) / f64::from(count);
         let mut ranked: Vec<usize> = (0..self.hosts.len()).collect();
         ranked.sort_by_key(|i| Reverse(score(&demand.service, &self.hosts[*i].host)));
-        let room = |i: &usize| self.loads[*i] + load <= self.bound;
-        let (mut chosen, mut full): (Vec<usize>, Vec<usize>) = ranked.into_iter().partition(room);
-        full.sort_by(|a, b| self.loads[*a].total_cmp(&self.loads[*b]));
-        chosen.extend(full);
-        chosen.truncate(width);
+        let has_capacity = |i: &usize| self.loads[*i] + load <= self.max_load;
+        let (mut chosen, mut overloaded): (Vec<usize>, Vec<usize>) =
+            ranked.into_iter().partition(has_capacity);
+        overloaded.sort_by(|a, b| self.loads[*a].total_cmp(&self.loads[*b]));
+        chosen.extend(overloaded);
+        chosen.truncate(gateways);
         for i in &chosen {
             self.loads[*i] += load;
         }
@@ -175,7 +177,7 @@
     }
 }
 
-/// The rendezvous score of a service at a host.
+/// Rendezvous score of a service on a host, with the host name as tie-breaker.
 fn score(service: &ServiceName, host: &HostName) -> (u64, HostName) {
     (
         rendezvous::score(service.as_str(), host.as_str()),
--- a/crates/place/src/rendezvous.rs
+++ b/crates/place/src/rendezvous.rs
@@ -1,9 +1,9 @@
-//! Rendezvous hashing: all that know the same members rank them alike for a key, and one
-//! that comes or goes moves only the keys that it had or gets.
+//! Rendezvous hashing: all processes with the same members rank them identically for a key,
+//! and adding or removing a member only moves the keys of that member.
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// How high `member` ranks for `key`.
+/// Rank of `member` for `key`; the highest score wins.
 #[must_use]
 pub fn score(key: &str, member: &str) -> u64 {
     let mut hash = Xxh3::new();
--- a/crates/place/tests/test_near.rs
+++ b/crates/place/tests/test_near.rs
@@ -1,4 +1,4 @@
-//! Which entry hosts a caller is told.
+//! Entry hosts named to a caller must be near it and bounded in number.
 
 use place::nearest;
 use wire::hub::EntryHost;
@@ -35,7 +35,7 @@
     let hosts = hosts([1, 4, 4]);
     let named = nearest(&hosts, "example.org", "a", "north", 3);
     assert_eq!(named.len(), 3);
-    // Its own, then those of its region.
+    // The host of its own domain, then those of its region.
     assert_eq!(domains(&named), ["a", "b"]);
     assert!(nearest(&[], "example.org", "a", "north", 3).is_empty());
 }
--- a/crates/place/tests/test_place.rs
+++ b/crates/place/tests/test_place.rs
@@ -1,4 +1,4 @@
-//! Placement: few gateways in each failure domain, even, and stable.
+//! Placement must use few gateways per failure domain, evenly and stably.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 
 #[test]
 fn test_place_few_gateways_in_every_domain() {
-    // Hosts, domains, slots; gateways that the service gets.
+    // Hosts, domains, slots; expected gateways of the service.
     let cases = [
         (15, 3, 60, 6),
         (15, 3, 0, 6),
@@ -85,12 +85,12 @@
             }
         }
         let total: usize = loads.iter().sum();
-        let most = loads.iter().max().copied().unwrap_or_default();
-        // The bound, and one more where a whole service doesn't fit under it.
+        let max_load = loads.iter().max().copied().unwrap_or_default();
+        // The bound, plus one where a whole service does not fit below it.
         let bound = total * 110 / 100 / hosts_count + 1;
         assert!(
-            most <= bound,
-            "{hosts_count} hosts, {services} services: {most} over {bound}"
+            max_load <= bound,
+            "{hosts_count} hosts, {services} services: {max_load} over {bound}"
         );
     }
 }
@@ -104,7 +104,7 @@
     let mut moved = 0;
     let mut placed = 0;
     for (service, old) in before.iter() {
-        let kept: BTreeSet<&str> = after
+        let remaining: BTreeSet<&str> = after
             .hosts(service)
             .iter()
             .map(|c| c.host.as_str())
@@ -112,10 +112,10 @@
         placed += old.len();
         moved += old
             .iter()
-            .filter(|c| c.host.as_str() != "h0" && !kept.contains(c.host.as_str()))
+            .filter(|c| c.host.as_str() != "h0" && !remaining.contains(c.host.as_str()))
             .count();
     }
-    // One of 16 hosts left; its share is 65 of 1040. What else moves is the bound's work.
+    // One of 16 hosts was removed, with 65 of 1040 placements; the load bound moves the rest.
     assert!(
         moved * 100 < placed * 10,
         "{moved} of {placed} moved besides the host's own"
