--- a/crates/announce/src/endpoint.rs
+++ b/crates/announce/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What pages that take announcements have in common.
+//! Code shared by the HTTP endpoints that take announcements.
 
 use std::time::Duration;
 
@@ -15,35 +15,35 @@
 use tokio::time::timeout;
 
 use crate::body;
-use crate::body::MAX_BODY;
+use crate::body::MAX_BODY_BYTES;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
 
-/// Longest wait for a body; one of 4 KiB takes far less over the slowest link.
+/// Timeout for receiving a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads the announcement that a request brings.
+/// Reads the announcement in the body of a request.
 ///
 /// # Errors
 ///
-/// Fails on a body that is too large, too slow or no announcement.
+/// Fails when the body is too large, too slow or not a valid announcement.
 pub async fn receive(req: &mut Request) -> Result<Instance, Refusal> {
-    let body = timeout(BODY_TIMEOUT, req.payload_with_max_size(MAX_BODY)).await;
+    let body = timeout(BODY_TIMEOUT, req.payload_with_max_size(MAX_BODY_BYTES)).await;
     let body = body.map_err(|_| {
-        let detail = format!("the body took over {BODY_TIMEOUT:?}");
+        let detail = format!("request body was not received within {BODY_TIMEOUT:?}");
         Refusal::new(Reason::Slow, detail)
     })?;
     let body = body.map_err(|err| match err {
         ParseError::PayloadTooLarge => {
-            let detail = format!("the body has over {MAX_BODY} bytes");
+            let detail = format!("request body exceeds {MAX_BODY_BYTES} bytes");
             Refusal::new(Reason::Large, detail)
         }
         err => Refusal::new(Reason::Other, err.to_string()),
     })?;
-    body::read(body)
+    body::parse(body)
 }
 
-/// Gives the answers that no route gave the form of a refusal.
+/// Renders responses without a body, such as of unknown paths, as refusals.
 pub struct RefusalCatcher;
 
 #[salvo::async_trait]
@@ -60,10 +60,10 @@
         }
         let refusal = match res.status_code {
             Some(StatusCode::NOT_FOUND) => {
-                Refusal::new(Reason::Path, format!("no path {}", req.uri().path()))
+                Refusal::new(Reason::Path, format!("no such path: {}", req.uri().path()))
             }
             Some(StatusCode::METHOD_NOT_ALLOWED) => {
-                let detail = format!("{} isn't taken here", req.method());
+                let detail = format!("method {} is not allowed for this path", req.method());
                 Refusal::new(Reason::Method, detail)
             }
             _ => return,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Writes the answer, or the refusal.
+/// Renders the value or the refusal.
 pub fn render<T: Serialize + Send>(res: &mut Response, result: Result<T, Refusal>) {
     match result {
         Ok(value) => res.render(Json(value)),
--- a/crates/announce/src/lib.rs
+++ b/crates/announce/src/lib.rs
@@ -1,7 +1,7 @@
-//! What upstreams tell of themselves over HTTP, as directories and hubs take it.
+//! Announcements of upstream instances over HTTP, as taken by directories and hubs.
 //!
-//! [`body`] reads an announcement, [`refusal`] says no in one form, and [`page`]
-//! is what both kinds of process do around them.
+//! [`body`] parses an announcement, [`refusal`] renders error responses, and [`endpoint`] has
+//! the request handling that both kinds of process share.
 
 pub mod body;
 pub mod endpoint;
--- a/crates/announce/src/refusal.rs
+++ b/crates/announce/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers over HTTP that say no, each with a fixed word.
+//! HTTP error responses, each with a fixed code.
 
 use std::time::Duration;
 
@@ -14,40 +14,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Reason {
-    /// The body isn't the JSON that is asked for.
+    /// The body is not valid JSON of an announcement.
     Json,
-    /// A field has no allowed value.
+    /// A field has an invalid value.
     Field,
-    /// The query doesn't name one service.
+    /// The query does not name exactly one service.
     Query,
     /// The body is too large.
     Large,
-    /// The body came too slowly.
+    /// The body was not received in time.
     Slow,
-    /// No such path.
+    /// The path does not exist.
     Path,
-    /// The path takes another method.
+    /// The path does not allow the method.
     Method,
-    /// The catalogue has no such service.
+    /// The catalogue does not have the service.
     UnknownService,
-    /// A newer announcement was heard.
+    /// A newer announcement was already received.
     Older,
-    /// The incarnation has left for good.
+    /// The incarnation is gone, which is final.
     Left,
-    /// No room for another record.
+    /// The limit on records is reached.
     Full,
-    /// No entry host can be named.
+    /// No entry host is available.
     NoHost,
-    /// No catalogue is confirmed here.
+    /// No catalogue is confirmed.
     NotReady,
-    /// The directory stops.
+    /// The process is stopping.
     Stopping,
-    /// Something else; the detail says what.
+    /// Another error, described in the detail.
     Other,
 }
 
 impl Reason {
-    /// The status it goes out with.
+    /// HTTP status of the response.
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
@@ -63,9 +63,9 @@
         }
     }
 
-    /// When asking again may help.
+    /// Delay after which a retry may succeed; `None` when it will not.
     #[must_use]
-    pub fn retry(self) -> Option<Duration> {
+    pub fn retry_after(self) -> Option<Duration> {
         match self {
             Self::Full | Self::NoHost | Self::NotReady | Self::Stopping => {
                 Some(Duration::from_secs(1))
@@ -75,12 +75,12 @@
     }
 }
 
-/// A refusal with what is wrong in this case.
+/// An error response: the reason and a description.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason, sent as the error code.
     pub reason: Reason,
-    /// What is wrong, for people.
+    /// Description for people.
     pub detail: String,
 }
 
@@ -91,7 +91,7 @@
 }
 
 impl Refusal {
-    /// A refusal.
+    /// Creates a refusal.
     #[must_use]
     pub fn new(reason: Reason, detail: impl Into<String>) -> Self {
         Self {
@@ -100,12 +100,12 @@
         }
     }
 
-    /// Writes it as the answer.
+    /// Renders the refusal as the response.
     pub fn render(&self, res: &mut Response) {
         res.status_code(self.reason.status());
-        if let Some(wait) = self.reason.retry() {
+        if let Some(delay) = self.reason.retry_after() {
             let headers = res.headers_mut();
-            headers.insert(header::RETRY_AFTER, HeaderValue::from(wait.as_secs()));
+            headers.insert(header::RETRY_AFTER, HeaderValue::from(delay.as_secs()));
         }
         res.render(Json(Body {
             error: self.reason.into(),
