--- a/crates/directory/src/http.rs
+++ b/crates/directory/src/http.rs
@@ -18,9 +18,9 @@
 use salvo::http::header;
 use serde::Serialize;
 
-use crate::answer;
 use crate::lease;
 use crate::names;
+use crate::route;
 use crate::shared::Shared;
 
 /// The routes of a directory.
@@ -51,7 +51,7 @@
 impl Handler for Route {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let result = match asked(req) {
-            Some(service) => answer::route(&self.0, &service, rand::random()),
+            Some(service) => route::route(&self.0, &service, rand::random()),
             None => Err(Refusal::new(
                 Reason::Query,
                 "exactly one `service` is asked for",
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -6,7 +6,6 @@
 //! other directories ([`peers`]). What it decides is in the crates `members`
 //! and `place`; here are the sockets, the tasks and the clock around them.
 
-pub mod answer;
 pub mod convert;
 pub mod follow;
 pub mod http;
@@ -14,6 +13,7 @@
 pub mod names;
 pub mod peers;
 pub mod placed;
+pub mod route;
 pub mod rpc;
 pub mod server;
 pub mod settings;
--- a/crates/directory/tests/common/mod.rs
+++ b/crates/directory/tests/common/mod.rs
@@ -310,7 +310,7 @@
 /// The hosts that a caller is told, or none.
 pub async fn named(directory: SocketAddr) -> Vec<String> {
     let answer = get(directory, "/v1/route?service=grants").await;
-    let route: Option<directory::answer::Route> = serde_json::from_str(&answer.body).ok();
+    let route: Option<directory::route::Route> = serde_json::from_str(&answer.body).ok();
     route.map_or_else(Vec::new, |r| {
         r.addresses.into_iter().map(|a| a.address).collect()
     })
