--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -22,7 +22,7 @@
 use wire::peer::ControlLink;
 
 use crate::convert;
-use crate::names;
+use crate::metrics;
 use crate::shared::Shared;
 
 /// How long a replica may hold a request when there is nothing newer.
@@ -50,7 +50,7 @@
             Ok(false) => "unconfirmed",
             Err(_) => "failed",
         };
-        let metric = shared.metrics.count_with_tags(names::FOLLOW, 1);
+        let metric = shared.metrics.count_with_tags(metrics::FOLLOW, 1);
         metric.with_tag("result", word).send();
         if let Ok(true) = result {
             failures = 0;
--- a/crates/directory/src/http.rs
+++ b/crates/directory/src/http.rs
@@ -19,7 +19,7 @@
 use serde::Serialize;
 
 use crate::lease;
-use crate::names;
+use crate::metrics;
 use crate::route;
 use crate::shared::Shared;
 
@@ -40,7 +40,7 @@
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let result = endpoint::receive(req).await;
         let result = result.and_then(|instance| lease::take(&self.0, instance));
-        count(&self.0, names::ANNOUNCE, result.as_ref().err());
+        count(&self.0, metrics::ANNOUNCE, result.as_ref().err());
         endpoint::render(res, result);
     }
 }
@@ -57,7 +57,7 @@
                 "exactly one `service` is asked for",
             )),
         };
-        count(&self.0, names::ROUTE, result.as_ref().err());
+        count(&self.0, metrics::ROUTE, result.as_ref().err());
         if let Ok(route) = &result {
             let keep = format!("max-age={}", route.max_age_ms / 1000);
             if let Ok(keep) = HeaderValue::from_str(&keep) {
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod follow;
 pub mod http;
 pub mod lease;
-pub mod names;
+pub mod metrics;
 pub mod peers;
 pub mod placed;
 pub mod route;
--- a/crates/directory/src/peers.rs
+++ b/crates/directory/src/peers.rs
@@ -27,7 +27,7 @@
 use wire::peer::DirectoryLink;
 
 use crate::convert;
-use crate::names;
+use crate::metrics;
 use crate::shared::Inner;
 use crate::shared::Shared;
 
@@ -248,7 +248,7 @@
 
 fn note(shared: &Shared, peer: &DirectoryLink, kind: &'static str, result: Result<(), LinkError>) {
     let word = if result.is_ok() { "ok" } else { "failed" };
-    let metric = shared.metrics.count_with_tags(names::EXCHANGE, 1);
+    let metric = shared.metrics.count_with_tags(metrics::EXCHANGE, 1);
     metric
         .with_tag("kind", kind)
         .with_tag("result", word)
--- a/crates/directory/src/sweep.rs
+++ b/crates/directory/src/sweep.rs
@@ -11,7 +11,7 @@
 use tokio::time::interval;
 
 use crate::convert;
-use crate::names;
+use crate::metrics;
 use crate::shared::Inner;
 use crate::shared::Shared;
 
@@ -48,7 +48,10 @@
     }
     let ended = i64::try_from(swept.leases.len()).unwrap_or(i64::MAX);
     if ended > 0 {
-        shared.metrics.count_with_tags(names::EXPIRED, ended).send();
+        shared
+            .metrics
+            .count_with_tags(metrics::EXPIRED, ended)
+            .send();
     }
 }
 
@@ -62,9 +65,9 @@
     let count = |n: usize| u64::try_from(n).unwrap_or(u64::MAX);
     let age = inner.freshness.age(now).map_or(u32::MAX, convert::millis);
     [
-        (names::INSTANCES, count(inner.members.instances().len())),
-        (names::HOSTS, count(inner.members.hosts().len())),
-        (names::VERSION, inner.version()),
-        (names::AGE, age.into()),
+        (metrics::INSTANCES, count(inner.members.instances().len())),
+        (metrics::HOSTS, count(inner.members.hosts().len())),
+        (metrics::VERSION, inner.version()),
+        (metrics::AGE, age.into()),
     ]
 }
--- a/crates/directory/src/sync.rs
+++ b/crates/directory/src/sync.rs
@@ -19,7 +19,7 @@
 use wire::directory::SyncReply;
 
 use crate::convert;
-use crate::names;
+use crate::metrics;
 use crate::peers;
 use crate::shared::Inner;
 use crate::shared::Shared;
@@ -36,7 +36,7 @@
         let shared = &self.0;
         record_host(shared, &ask);
         wait(shared, &ask).await;
-        let _ = shared.metrics.incr(names::SYNC);
+        let _ = shared.metrics.incr(metrics::SYNC);
         shared.step(|inner, now| reply(inner, now, &ask))
     }
 
