--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod lease;
 pub mod metrics;
 pub mod peers;
-pub mod placed;
+pub mod placement_cache;
 pub mod route;
 pub mod rpc;
 pub mod server;
--- a/crates/directory/src/placed.rs
+++ b/crates/directory/src/placement_cache.rs
@@ -22,13 +22,13 @@
 
 /// The placement with its basis.
 #[derive(Clone, Debug, Default)]
-pub struct Placed {
+pub struct PlacementCache {
     basis: Option<Basis>,
     placement: Placement,
     hosts: usize,
 }
 
-impl Placed {
+impl PlacementCache {
     /// The placement for the present state; works it out again only when that moved.
     pub fn refresh(
         &mut self,
--- a/crates/directory/src/shared.rs
+++ b/crates/directory/src/shared.rs
@@ -19,7 +19,7 @@
 use tokio_util::sync::CancellationToken;
 use wire::catalogue::Catalogue;
 
-use crate::placed::Placed;
+use crate::placement_cache::PlacementCache;
 use crate::settings::Settings;
 
 /// Where the state stands; those who wait look at it first.
@@ -46,7 +46,7 @@
     /// The catalogue; present exactly when its version was confirmed.
     pub catalogue: Option<Arc<Catalogue>>,
     /// Where services are placed.
-    pub placed: Placed,
+    pub placed: PlacementCache,
 }
 
 impl Inner {
@@ -120,7 +120,7 @@
             members: Members::new(host, location, epoch, settings.limits(), now),
             freshness: Freshness::new(now, settings.leases.confirmation),
             catalogue: None,
-            placed: Placed::default(),
+            placed: PlacementCache::default(),
         };
         let changed = watch::Sender::new(inner.stamp(now));
         Self {
