--- a/crates/directory/examples/spread/fleet.rs
+++ b/crates/directory/examples/spread/fleet.rs
@@ -24,41 +24,41 @@
 use wire::peer;
 
 use crate::relay;
-use crate::relay::Count;
+use crate::relay::Traffic;
 
 const DOMAINS: [&str; 3] = ["milano", "torino", "genova"];
-/// Between two looks at what must come.
-const LOOK: Duration = Duration::from_millis(1);
+/// Interval between two checks of a condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The processes of a run.
+/// All processes of a run.
 pub struct Fleet {
-    /// One on each host.
+    /// Directories, one per host.
     pub directories: Vec<Directory>,
-    /// One on each host, or none.
+    /// Gateways, one per host or none.
     pub gateways: Vec<Gateway>,
-    /// Between directories.
-    pub peers: Arc<Count>,
-    /// Between directories and control.
-    pub follow: Arc<Count>,
+    /// Traffic between directories.
+    pub peers: Arc<Traffic>,
+    /// Traffic between directories and control replicas.
+    pub follow: Arc<Traffic>,
     replicas: Vec<Control>,
     folder: PathBuf,
 }
 
-/// How a run is set up.
+/// Configuration of a run.
 #[derive(Clone, Copy)]
 pub struct Plan {
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub hosts: usize,
-    /// Hosts that reach no control replica.
+    /// Number of hosts that reach no control replica.
     pub cut: usize,
-    /// With a gateway on each host.
+    /// Whether to start a gateway on each host.
     pub gateways: bool,
-    /// Through counting relays.
+    /// Whether to count traffic by relays.
     pub counted: bool,
 }
 
 impl Fleet {
-    /// Starts all and waits until every host is ready.
+    /// Starts all processes and waits until every host is ready.
     pub async fn start(plan: Plan) -> Self {
         let folder = std::env::temp_dir().join(format!("rwr-spread-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
@@ -99,10 +99,10 @@
             let reached = if i < plan.cut {
                 Vec::new()
             } else {
-                turned(&control, i)
+                rotated(&control, i)
             };
-            bound.set_peers(self.relayed(plan, others, &self.peers).await);
-            bound.set_control(self.relayed(plan, reached, &self.follow).await);
+            bound.set_peers(self.through_relays(plan, others, &self.peers).await);
+            bound.set_control(self.through_relays(plan, reached, &self.follow).await);
         }
         bounds
             .into_iter()
@@ -110,23 +110,23 @@
             .collect()
     }
 
-    async fn relayed(
+    async fn through_relays(
         &self,
         plan: Plan,
         targets: Vec<SocketAddr>,
-        count: &Arc<Count>,
+        traffic: &Arc<Traffic>,
     ) -> Vec<SocketAddr> {
         if !plan.counted {
             return targets;
         }
         let mut relays = Vec::new();
         for target in targets {
-            relays.push(relay::start(target, count.clone()).await);
+            relays.push(relay::start(target, traffic.clone()).await);
         }
         relays
     }
 
-    /// Has the change that makes `version` accepted, and says when it was first sent.
+    /// Proposes the change to `version` until it is accepted; returns when it was first sent.
     pub async fn change(&self, version: u64) -> Instant {
         let sent = Instant::now();
         let edits = (0..130)
@@ -153,21 +153,21 @@
         panic!("change {version} wasn't accepted");
     }
 
-    /// Waits until every host has `version` in force, and says how long after `began` each had it.
-    pub async fn until_version(&self, version: u64, began: Instant) -> Vec<Duration> {
+    /// Waits until every host has `version` in force; returns the delay of each since `started_at`.
+    pub async fn until_version(&self, version: u64, started_at: Instant) -> Vec<Duration> {
         let mut times = vec![None; self.directories.len()];
         while times.iter().any(Option::is_none) {
             for (i, time) in times.iter_mut().enumerate() {
                 if time.is_none() && self.version(i) >= version {
-                    *time = Some(began.elapsed());
+                    *time = Some(started_at.elapsed());
                 }
             }
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
         times.into_iter().flatten().collect()
     }
 
-    /// The version in force on a host: its gateway's where it has one.
+    /// The version in force on a host, as seen by its gateway if there is one.
     fn version(&self, i: usize) -> u64 {
         if let Some(gateway) = self.gateways.get(i) {
             return gateway.core().view().version();
@@ -179,7 +179,7 @@
         })
     }
 
-    /// Announces `count` instances, spread over the directories, to the end of the run.
+    /// Announces `count` instances, spread over the directories, until aborted.
     pub fn announce(&self, count: usize, restarts: Duration) -> tokio::task::JoinHandle<()> {
         let shared: Vec<_> = self
             .directories
@@ -188,17 +188,18 @@
             .collect();
         tokio::spawn(async move {
             let mut restarted = 0;
-            let mut due = Instant::now() + restarts;
+            let mut next_restart = Instant::now() + restarts;
             for sequence in 1.. {
-                if !restarts.is_zero() && Instant::now() >= due {
+                if !restarts.is_zero() && Instant::now() >= next_restart {
                     restarted += 1;
-                    due += restarts;
+                    next_restart += restarts;
                 }
                 for i in 0..count {
                     let times = (restarted + count - i) / count.max(1);
-                    let said = instance(i, u64::try_from(times).unwrap_or_default(), sequence);
+                    let announcement =
+                        instance(i, u64::try_from(times).unwrap_or_default(), sequence);
                     let home = &shared[i % shared.len()];
-                    let _ = home.step(|inner, now| inner.members.announce(said, now));
+                    let _ = home.step(|inner, now| inner.members.announce(announcement, now));
                 }
                 sleep(Duration::from_millis(500)).await;
             }
@@ -213,21 +214,21 @@
         }
     }
 
-    /// Announces instance `i` once, at one directory.
-    pub fn say(&self, i: usize, phase: Phase, sequence: u64) -> Instant {
-        let said = Instance {
+    /// Announces instance `i` once, to one directory.
+    pub fn announce_once(&self, i: usize, phase: Phase, sequence: u64) -> Instant {
+        let announcement = Instance {
             phase,
             ..instance(i, 0, sequence)
         };
         let home = self.directories[i % self.directories.len()].shared();
-        let heard = home.step(|inner, now| inner.members.announce(said, now));
-        heard.expect("it is newer");
+        let accepted = home.step(|inner, now| inner.members.announce(announcement, now));
+        accepted.expect("it is newer");
         Instant::now()
     }
 
     /// Waits until every gateway shows instance `i` in `phase`, or not at all.
     pub async fn until_phase(&self, i: usize, phase: Option<Phase>) {
-        let row = instance(i, 0, 0);
+        let target = instance(i, 0, 0);
         let wanted = phase.map(|phase| match phase {
             Phase::Starting => wire::directory::Phase::Starting,
             Phase::Ready => wire::directory::Phase::Ready,
@@ -236,15 +237,18 @@
         });
         let seen = |gateway: &Gateway| {
             let view = gateway.core().view();
-            let rows = view.instances(&row.service);
-            rows.iter().find(|r| r.id == row.id).map(|r| r.phase)
+            let instances = view.instances(&target.service);
+            instances
+                .iter()
+                .find(|r| r.id == target.id)
+                .map(|r| r.phase)
         };
         while self.gateways.iter().any(|gateway| seen(gateway) != wanted) {
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
     }
 
-    /// Stops all.
+    /// Stops all processes.
     pub async fn stop(self) {
         for gateway in self.gateways {
             drop(gateway);
@@ -264,7 +268,7 @@
     let mut gateways = Vec::new();
     for i in 0..directories.len() {
         let mut settings = gateway::settings::Settings::local(host(i), domain(i));
-        settings.directories = turned(&rpcs, i);
+        settings.directories = rotated(&rpcs, i);
         let log = telemetry::log::silent();
         let gateway = gateway::start(settings, log, telemetry::metrics::silent()).await;
         gateways.push(gateway.expect("a gateway starts"));
@@ -280,7 +284,7 @@
     DomainName::new(DOMAINS[i % DOMAINS.len()]).expect("a name")
 }
 
-fn turned(addresses: &[SocketAddr], by: usize) -> Vec<SocketAddr> {
+fn rotated(addresses: &[SocketAddr], by: usize) -> Vec<SocketAddr> {
     let mut addresses = addresses.to_vec();
     let by = by % addresses.len();
     addresses.rotate_left(by);
--- a/crates/directory/examples/spread/main.rs
+++ b/crates/directory/examples/spread/main.rs
@@ -1,10 +1,9 @@
-//! What it takes to spread a change and to know who is there.
+//! Measures how changes and membership spread over the directories.
 //!
-//! Prints key=value lines: the time from sending a change until it was
-//! accepted and until it is in force on every host, and the bytes a second of a
-//! directory against the number of instances and of hosts. All roles run in
-//! this one process. An argument `force`, `phase` or `bytes` names one
-//! part; `bytes HOSTS INSTANCES [RESTARTS]` is one line of it.
+//! Prints key=value lines: the time until a change is accepted and until it is in force on
+//! every host, and the traffic of a directory by the number of instances and hosts. All
+//! processes run in this one process. The argument `force`, `phase` or `bytes` selects a
+//! part; `bytes HOSTS INSTANCES [RESTARTS]` prints one line of that part.
 
 mod fleet;
 mod relay;
@@ -14,10 +13,10 @@
 
 use fleet::Fleet;
 use fleet::Plan;
-use relay::Count;
+use relay::Traffic;
 
 const CHANGES: u64 = 20;
-const SPAN: Duration = Duration::from_secs(10);
+const MEASURE_DURATION: Duration = Duration::from_secs(10);
 
 #[tokio::main]
 async fn main() {
@@ -72,7 +71,7 @@
     times.sort();
     slowest.sort();
     replies.sort();
-    let ms = |span: Duration| span.as_secs_f64() * 1e3;
+    let ms = |duration: Duration| duration.as_secs_f64() * 1e3;
     println!(
         "kind=force hosts={hosts} without_control={cut} changes={CHANGES} accepted_p50_ms={:.1} host_p50_ms={:.1} host_p99_ms={:.1} all_hosts_p50_ms={:.1} all_hosts_max_ms={:.1}",
         ms(replies[replies.len() / 2]),
@@ -84,7 +83,7 @@
     fleet.stop().await;
 }
 
-/// How long a drain and the end of an instance take to reach every gateway.
+/// Prints how long a drain and the expiry of an instance take to reach every gateway.
 async fn print_phase(hosts: usize) {
     let plan = Plan {
         hosts,
@@ -93,26 +92,26 @@
         counted: false,
     };
     let fleet = Fleet::start(plan).await;
-    let (mut drains, mut ends) = (Vec::new(), Vec::new());
+    let (mut drains, mut expiries) = (Vec::new(), Vec::new());
     for i in 0..usize::try_from(CHANGES).unwrap_or_default() {
-        fleet.say(i, members::Phase::Ready, 1);
+        fleet.announce_once(i, members::Phase::Ready, 1);
         fleet.until_phase(i, Some(members::Phase::Ready)).await;
-        let drained = fleet.say(i, members::Phase::Draining, 2);
+        let drained = fleet.announce_once(i, members::Phase::Draining, 2);
         fleet.until_phase(i, Some(members::Phase::Draining)).await;
         drains.push(drained.elapsed());
-        // Nothing more is heard of it.
+        // The instance sends no further heartbeats.
         fleet.until_phase(i, None).await;
-        ends.push(drained.elapsed());
+        expiries.push(drained.elapsed());
     }
     drains.sort();
-    ends.sort();
-    let ms = |span: Duration| span.as_secs_f64() * 1e3;
+    expiries.sort();
+    let ms = |duration: Duration| duration.as_secs_f64() * 1e3;
     println!(
         "kind=phase hosts={hosts} tries={CHANGES} drain_p50_ms={:.1} drain_max_ms={:.1} silent_p50_ms={:.1} silent_max_ms={:.1}",
         ms(drains[drains.len() / 2]),
         ms(drains[drains.len() - 1]),
-        ms(ends[ends.len() / 2]),
-        ms(ends[ends.len() - 1]),
+        ms(expiries[expiries.len() / 2]),
+        ms(expiries[expiries.len() - 1]),
     );
     fleet.stop().await;
 }
@@ -129,14 +128,14 @@
     fleet.until_instances(instances).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     let before = (read(&fleet.peers), read(&fleet.follow), cpu());
-    tokio::time::sleep(SPAN).await;
+    tokio::time::sleep(MEASURE_DURATION).await;
     let after = (read(&fleet.peers), read(&fleet.follow), cpu());
     announcing.abort();
-    // Each byte leaves one directory and comes to another; control's other end isn't a directory.
-    let rate = |after: u64, before: u64, ends: f64| {
+    // Bytes between directories count at both ends; those to control at one.
+    let rate = |after: u64, before: u64, endpoints: f64| {
         let count = f64::from(u32::try_from(after - before).unwrap_or(u32::MAX));
         let hosts = f64::from(u32::try_from(hosts).unwrap_or(u32::MAX));
-        count * ends / SPAN.as_secs_f64() / hosts
+        count * endpoints / MEASURE_DURATION.as_secs_f64() / hosts
     };
     println!(
         "kind=bytes hosts={hosts} instances={instances} restarts_per_s={:.1} peers_bytes_per_s={:.0} peers_segments_per_s={:.1} follow_bytes_per_s={:.0} follow_segments_per_s={:.1} cpu_percent={:.2} rss_kib={}",
@@ -155,14 +154,14 @@
     fleet.stop().await;
 }
 
-fn read(count: &Count) -> (u64, u64) {
+fn read(traffic: &Traffic) -> (u64, u64) {
     (
-        count.bytes.load(Ordering::Relaxed),
-        count.pieces.load(Ordering::Relaxed),
+        traffic.bytes.load(Ordering::Relaxed),
+        traffic.reads.load(Ordering::Relaxed),
     )
 }
 
-/// Processor time of this process in hundredths of a second: a hundredth a second is one percent.
+/// CPU time of this process in ticks of 10 ms, so that one tick per second is one percent.
 fn cpu() -> u64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = stat
@@ -177,7 +176,7 @@
         .sum()
 }
 
-/// Resident memory of this process in KiB, all roles together.
+/// Resident memory of this process in KiB, all roles included.
 fn rss() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
--- a/crates/directory/examples/spread/relay.rs
+++ b/crates/directory/examples/spread/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that counts the bytes that it passes on, both ways.
+//! A TCP relay that counts the bytes passed in both directions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,42 +12,46 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// What all relays of a run passed on.
+/// Traffic of all relays of a run.
 #[derive(Default)]
-pub struct Count {
-    /// Bytes of payload.
+pub struct Traffic {
+    /// Payload bytes.
     pub bytes: AtomicU64,
-    /// Pieces as they were read, about one TCP segment each.
-    pub pieces: AtomicU64,
+    /// Reads, about one TCP segment each.
+    pub reads: AtomicU64,
 }
 
-/// Starts a relay to `target` and returns where it listens.
-pub async fn start(target: SocketAddr, count: Arc<Count>) -> SocketAddr {
+/// Starts a relay to `target` and returns its address.
+pub async fn start(target: SocketAddr, traffic: Arc<Traffic>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
-        while let Ok((near, _)) = listener.accept().await {
-            tokio::spawn(join(near, target, count.clone()));
+        while let Ok((client, _)) = listener.accept().await {
+            tokio::spawn(relay(client, target, traffic.clone()));
         }
     });
     address
 }
 
-async fn join(near: TcpStream, target: SocketAddr, count: Arc<Count>) {
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn relay(client: TcpStream, target: SocketAddr, traffic: Arc<Traffic>) {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
     tokio::join!(
-        pass(near_in, far_out, &count),
-        pass(far_in, near_out, &count)
+        forward(client_read, server_write, &traffic),
+        forward(server_read, client_write, &traffic)
     );
 }
 
-async fn pass(mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin, count: &Count) {
+async fn forward(
+    mut from: impl AsyncRead + Unpin,
+    mut to: impl AsyncWrite + Unpin,
+    traffic: &Traffic,
+) {
     let mut buffer = vec![0; 64 * 1024];
     loop {
         let Ok(read) = from.read(&mut buffer).await else {
@@ -57,9 +61,9 @@
             let _ = to.shutdown().await;
             return;
         }
-        count
+        traffic
             .bytes
             .fetch_add(u64::try_from(read).unwrap_or_default(), Ordering::Relaxed);
-        count.pieces.fetch_add(1, Ordering::Relaxed);
+        traffic.reads.fetch_add(1, Ordering::Relaxed);
     }
 }
--- a/crates/directory/src/bin/rwr-directory.rs
+++ b/crates/directory/src/bin/rwr-directory.rs
@@ -1,4 +1,4 @@
-//! The directory's daemon.
+//! The daemon `rwr-directory`.
 
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/directory/src/convert.rs
+++ b/crates/directory/src/convert.rs
@@ -1,4 +1,4 @@
-//! Between the messages on the wire and the types that decisions use.
+//! Conversions between wire messages and the types of the membership.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,23 +15,23 @@
 use members::homes::Location;
 use wire::directory as w;
 
-/// On the wire: no age is known.
+/// Wire value of an unknown age.
 const UNKNOWN_AGE: u32 = u32::MAX;
 
-/// Milliseconds, rounded up, so that an age is never made younger.
+/// Milliseconds, rounded up so that an age never decreases.
 #[must_use]
-pub fn millis(span: Duration) -> u32 {
-    let millis = span.as_nanos().div_ceil(1_000_000);
+pub fn millis(duration: Duration) -> u32 {
+    let millis = duration.as_nanos().div_ceil(1_000_000);
     u32::try_from(millis).unwrap_or(u32::MAX)
 }
 
-/// The span of so many milliseconds.
+/// The duration of `millis` milliseconds.
 #[must_use]
-pub fn span(millis: u32) -> Duration {
+pub fn duration(millis: u32) -> Duration {
     Duration::from_millis(millis.into())
 }
 
-/// An instance for the wire.
+/// Converts an instance to its message.
 #[must_use]
 pub fn to_instance(i: &Instance) -> w::Instance {
     let phase = match i.phase {
@@ -53,9 +53,9 @@
     }
 }
 
-/// An instance from the wire; `None` when a field has no meaning.
+/// Parses an instance; `None` when a field is invalid.
 #[must_use]
-pub fn of_instance(i: &w::Instance) -> Option<Instance> {
+pub fn parse_instance(i: &w::Instance) -> Option<Instance> {
     let phase = match w::Phase::try_from(i.phase).ok()? {
         w::Phase::Unspecified => return None,
         w::Phase::Starting => Phase::Starting,
@@ -76,7 +76,7 @@
     })
 }
 
-/// A host for the wire, last heard `age` ago.
+/// Converts a host, last seen alive `age` ago, to its message.
 #[must_use]
 pub fn to_host(h: &Host, age: Duration) -> w::Host {
     let phase = match h.phase {
@@ -96,9 +96,9 @@
     }
 }
 
-/// A host from the wire; `None` when a field has no meaning.
+/// Parses a host; `None` when a field is invalid.
 #[must_use]
-pub fn of_host(h: &w::Host) -> Option<Host> {
+pub fn parse_host(h: &w::Host) -> Option<Host> {
     let phase = match w::HostPhase::try_from(h.phase).ok()? {
         w::HostPhase::Unspecified => return None,
         w::HostPhase::Serving => HostPhase::Serving,
@@ -116,9 +116,9 @@
     })
 }
 
-/// The change that tells a gateway of `record`; `None` for a host.
+/// The change message that adds or updates an instance; `None` for a host.
 #[must_use]
-pub fn to_change(record: &Record) -> Option<w::InstanceChange> {
+pub fn to_instance_change(record: &Record) -> Option<w::InstanceChange> {
     match record {
         Record::Instance(i) => Some(w::InstanceChange {
             instance: Some(to_instance(i)),
@@ -128,18 +128,18 @@
     }
 }
 
-/// The change that tells of an instance's end; `None` for a host.
+/// The change message that removes an instance; `None` for a host.
 #[must_use]
-pub fn to_removal(key: &Key) -> Option<w::InstanceChange> {
+pub fn to_instance_removal(key: &Key) -> Option<w::InstanceChange> {
     let Key::Instance(service, id) = key else {
         return None;
     };
     let instance = w::Instance {
         service: service.to_string(),
         id: id.to_string(),
-        // An address that parses, for a receiver that reads all fields.
-        address: NOWHERE.to_string(),
-        domain: NO_DOMAIN.into(),
+        // A valid address, because receivers parse all fields.
+        address: UNSPECIFIED_ADDRESS.to_string(),
+        domain: PLACEHOLDER_DOMAIN.into(),
         ..w::Instance::default()
     };
     Some(w::InstanceChange {
@@ -148,17 +148,17 @@
     })
 }
 
-const NOWHERE: SocketAddr =
+const UNSPECIFIED_ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
-const NO_DOMAIN: &str = "none";
+const PLACEHOLDER_DOMAIN: &str = "none";
 
-/// A home's delta for the wire.
+/// Converts a home's delta to its message.
 #[must_use]
 pub fn to_delta(home: &HostName, location: &Location, delta: &Delta) -> w::Delta {
-    let puts = delta.records.iter().filter_map(to_change);
-    let ends = delta.removed.iter().filter_map(to_removal);
-    let hosts = delta.records.iter().filter_map(host_change);
-    let host_ends = delta.removed.iter().filter_map(host_removal);
+    let changes = delta.records.iter().filter_map(to_instance_change);
+    let removals = delta.removed.iter().filter_map(to_instance_removal);
+    let host_changes = delta.records.iter().filter_map(to_host_change);
+    let host_removals = delta.removed.iter().filter_map(to_host_removal);
     w::Delta {
         home: home.to_string(),
         domain: location.domain.to_string(),
@@ -166,12 +166,12 @@
         epoch: delta.epoch,
         from: delta.from,
         cursor: delta.cursor,
-        instances: puts.chain(ends).collect(),
-        hosts: hosts.chain(host_ends).collect(),
+        instances: changes.chain(removals).collect(),
+        hosts: host_changes.chain(host_removals).collect(),
     }
 }
 
-fn host_change(record: &Record) -> Option<w::HostChange> {
+fn to_host_change(record: &Record) -> Option<w::HostChange> {
     let Record::Host(host) = record else {
         return None;
     };
@@ -181,7 +181,7 @@
     })
 }
 
-fn host_removal(key: &Key) -> Option<w::HostChange> {
+fn to_host_removal(key: &Key) -> Option<w::HostChange> {
     let Key::Host(host) = key else {
         return None;
     };
@@ -195,10 +195,10 @@
     })
 }
 
-/// A home with its place and delta, from the wire.
+/// A delta together with its home.
 #[derive(Debug)]
 pub struct HomeDelta {
-    /// The home.
+    /// Name of the home.
     pub home: HostName,
     /// Where it takes announcements.
     pub location: Location,
@@ -206,10 +206,10 @@
     pub delta: Delta,
 }
 
-/// A home's delta from the wire; `None` when any field has no meaning, for a
-/// delta that is taken in part would break its cursor's promise.
+/// Parses a home's delta; `None` when any field is invalid, because a delta must be applied
+/// completely for its cursor to hold.
 #[must_use]
-pub fn of_delta(d: &w::Delta) -> Option<HomeDelta> {
+pub fn parse_delta(d: &w::Delta) -> Option<HomeDelta> {
     let mut records = Vec::new();
     let mut removed = Vec::new();
     for change in &d.instances {
@@ -217,7 +217,7 @@
         if change.gone {
             removed.push(instance_key(instance)?);
         } else {
-            records.push(Record::Instance(of_instance(instance)?));
+            records.push(Record::Instance(parse_instance(instance)?));
         }
     }
     for change in &d.hosts {
@@ -225,7 +225,7 @@
         if change.gone {
             removed.push(Key::Host(HostName::new(&host.host).ok()?));
         } else {
-            records.push(Record::Host(of_host(host)?));
+            records.push(Record::Host(parse_host(host)?));
         }
     }
     let delta = Delta {
@@ -254,27 +254,27 @@
     })
 }
 
-/// A statement about a home for the wire.
+/// Converts the status of a home to its message.
 #[must_use]
-pub fn to_status(v: &HomeStatus) -> w::Vouch {
+pub fn to_status(status: &HomeStatus) -> w::Vouch {
     w::Vouch {
-        home: v.home.to_string(),
-        domain: v.location.domain.to_string(),
-        address: v.location.address.to_string(),
-        epoch: v.epoch,
-        cursor: v.cursor,
-        age_ms: v.age.map_or(UNKNOWN_AGE, millis),
+        home: status.home.to_string(),
+        domain: status.location.domain.to_string(),
+        address: status.location.address.to_string(),
+        epoch: status.epoch,
+        cursor: status.cursor,
+        age_ms: status.age.map_or(UNKNOWN_AGE, millis),
     }
 }
 
-/// A statement about a home from the wire; `None` when a field has no meaning.
+/// Parses the status of a home; `None` when a field is invalid.
 #[must_use]
-pub fn of_status(v: &w::Vouch) -> Option<HomeStatus> {
+pub fn parse_status(status: &w::Vouch) -> Option<HomeStatus> {
     Some(HomeStatus {
-        home: HostName::new(&v.home).ok()?,
-        location: location(&v.domain, &v.address)?,
-        epoch: v.epoch,
-        cursor: v.cursor,
-        age: (v.age_ms != UNKNOWN_AGE).then(|| span(v.age_ms)),
+        home: HostName::new(&status.home).ok()?,
+        location: location(&status.domain, &status.address)?,
+        epoch: status.epoch,
+        cursor: status.cursor,
+        age: (status.age_ms != UNKNOWN_AGE).then(|| duration(status.age_ms)),
     })
 }
--- a/crates/directory/src/http.rs
+++ b/crates/directory/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP side, for upstreams and callers.
+//! The HTTP API for upstreams and callers.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
 use crate::route;
 use crate::shared::Shared;
 
-/// The routes of a directory.
+/// The HTTP routes of a directory.
 #[must_use]
 pub fn service(shared: &Arc<Shared>) -> Service {
     let announce = Router::with_path("v1/announce").post(Announce(shared.clone()));
@@ -39,8 +39,8 @@
 impl Handler for Announce {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let result = endpoint::receive(req).await;
-        let result = result.and_then(|instance| lease::take(&self.0, instance));
-        count(&self.0, metrics::ANNOUNCE, result.as_ref().err());
+        let result = result.and_then(|instance| lease::announce(&self.0, instance));
+        count_request(&self.0, metrics::ANNOUNCE, result.as_ref().err());
         endpoint::render(res, result);
     }
 }
@@ -50,26 +50,27 @@
 #[salvo::async_trait]
 impl Handler for Route {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let result = match asked(req) {
+        let result = match service_param(req) {
             Some(service) => route::route(&self.0, &service, rand::random()),
             None => Err(Refusal::new(
                 Reason::Query,
-                "exactly one `service` is asked for",
+                "the query must have exactly one `service`",
             )),
         };
-        count(&self.0, metrics::ROUTE, result.as_ref().err());
+        count_request(&self.0, metrics::ROUTE, result.as_ref().err());
         if let Ok(route) = &result {
-            let keep = format!("max-age={}", route.max_age_ms / 1000);
-            if let Ok(keep) = HeaderValue::from_str(&keep) {
-                res.headers_mut().insert(header::CACHE_CONTROL, keep);
+            let cache_control = format!("max-age={}", route.max_age_ms / 1000);
+            if let Ok(cache_control) = HeaderValue::from_str(&cache_control) {
+                res.headers_mut()
+                    .insert(header::CACHE_CONTROL, cache_control);
             }
         }
         endpoint::render(res, result);
     }
 }
 
-/// The one service that the query names.
-fn asked(req: &mut Request) -> Option<String> {
+/// The `service` parameter of the query; `None` unless there is exactly one.
+fn service_param(req: &mut Request) -> Option<String> {
     let services = req.queries().get_vec("service")?;
     let [service] = services.as_slice() else {
         return None;
@@ -79,9 +80,9 @@
 
 struct Ready(Arc<Shared>);
 
-/// What `GET /v1/ready` says when it is.
+/// Response of `GET /v1/ready` when the directory is ready.
 #[derive(Serialize)]
-struct State {
+struct ReadyReply {
     version: u64,
     confirmed_age_ms: u32,
 }
@@ -93,23 +94,23 @@
     }
 }
 
-fn ready(shared: &Shared) -> Result<State, Refusal> {
+fn ready(shared: &Shared) -> Result<ReadyReply, Refusal> {
     if shared.stop.is_cancelled() {
-        return Err(Refusal::new(Reason::Stopping, "the directory stops"));
+        return Err(Refusal::new(Reason::Stopping, "the directory is stopping"));
     }
     shared.step(|inner, now| {
         let current = inner.freshness.is_current(now);
         let age = inner.freshness.age(now).filter(|_| current);
-        let detail = "no catalogue was confirmed by a quorum lately";
+        let detail = "no catalogue was confirmed by a quorum within the lease";
         let age = age.ok_or_else(|| Refusal::new(Reason::NotReady, detail))?;
-        Ok(State {
+        Ok(ReadyReply {
             version: inner.version(),
             confirmed_age_ms: crate::convert::millis(age),
         })
     })
 }
 
-fn count(shared: &Shared, name: &'static str, refusal: Option<&Refusal>) {
+fn count_request(shared: &Shared, name: &'static str, refusal: Option<&Refusal>) {
     let result: &'static str = refusal.map_or("ok", |r| r.reason.into());
     let metric = shared.metrics.count_with_tags(name, 1);
     metric.with_tag("result", result).send();
--- a/crates/directory/src/lease.rs
+++ b/crates/directory/src/lease.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/announce`: an upstream says that it is there.
+//! `POST /v1/announce`: an upstream announces an instance.
 
 use announce::Reason;
 use announce::Refusal;
@@ -12,33 +12,33 @@
 
 use crate::shared::Shared;
 
-/// The answer to an announcement that was taken.
+/// Response to an accepted announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The instance is dropped this long after its last announcement.
+    /// The instance is removed this long after its last announcement, in milliseconds.
     pub lease_ms: u32,
-    /// It should announce itself again after this.
+    /// Interval at which the instance should announce itself, in milliseconds.
     pub refresh_ms: u32,
 }
 
-/// Takes an announcement and logs what it changed.
+/// Processes an announcement and logs a change.
 ///
 /// # Errors
 ///
-/// Fails when it is older than one heard, its incarnation has left, or there is no room.
-pub fn take(shared: &Shared, instance: Instance) -> Result<Lease, Refusal> {
-    let told = instance.clone();
-    let heard = shared.step(|inner, now| inner.members.announce(instance, now));
-    match heard {
+/// Fails when a newer one was received, the incarnation is gone, or the table is full.
+pub fn announce(shared: &Shared, instance: Instance) -> Result<Lease, Refusal> {
+    let announced = instance.clone();
+    let accepted = shared.step(|inner, now| inner.members.announce(instance, now));
+    match accepted {
         Ok(Accepted::Changed) => {
-            info!(shared.log, "announced"; "service" => %told.service, "id" => %told.id,
-                "address" => %told.address, "domain" => %told.domain, "slots" => told.slots,
-                "phase" => %told.phase, "incarnation" => told.incarnation, "sequence" => told.sequence);
+            info!(shared.log, "announced"; "service" => %announced.service, "id" => %announced.id,
+                "address" => %announced.address, "domain" => %announced.domain, "slots" => announced.slots,
+                "phase" => %announced.phase, "incarnation" => announced.incarnation, "sequence" => announced.sequence);
         }
         Ok(Accepted::Renewed | Accepted::Repeated) => {}
         Err(err) => {
-            warn!(shared.log, "announcement refused"; "service" => %told.service, "id" => %told.id,
-                "incarnation" => told.incarnation, "sequence" => told.sequence, "error" => %err);
+            warn!(shared.log, "announcement refused"; "service" => %announced.service, "id" => %announced.id,
+                "incarnation" => announced.incarnation, "sequence" => announced.sequence, "error" => %err);
             return Err(refusal(&err));
         }
     }
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -1,10 +1,10 @@
-//! The directory, one on each entry host.
+//! The directory process, which runs on each entry host.
 //!
-//! Upstreams announce themselves here and callers ask which entry hosts to use
-//! ([`http`]). Gateways poll for the catalogue and the instances ([`sync`]).
-//! The directory follows the control replicas ([`follow`]) and exchanges with
-//! other directories ([`peers`]). What it decides is in the crates `members`
-//! and `place`; here are the sockets, the tasks and the clock around them.
+//! Upstreams announce themselves and callers ask for entry hosts over HTTP ([`http`]).
+//! Gateways poll for the catalogue and the instances ([`sync`]). The directory follows the
+//! control replicas ([`follow`]) and exchanges with other directories ([`peers`]). The
+//! decisions are in the crates `members` and `place`; this crate adds sockets, tasks and the
+//! clock.
 
 pub mod convert;
 pub mod follow;
--- a/crates/directory/src/peers.rs
+++ b/crates/directory/src/peers.rs
@@ -1,11 +1,10 @@
 //! Exchanges with other directories.
 //!
-//! Each directory asks one other at a time, in the order of
-//! [`members::ring::Ring`]: what homes there are, how long ago each was heard of, and how current
-//! the catalogue is. Only ages in an answer are taken, counted from when the
-//! request was sent; the same in a push could have been long on its way. What
-//! changes in the own home's table is pushed to all at once, and what a push
-//! misses the asking brings later.
+//! Each directory polls one peer at a time, in the order of [`members::ring::Ring`], for the
+//! homes, their ages and the confirmation of the catalogue. Ages are only taken from replies
+//! and count from when the request was sent; a push may have been delayed for any time.
+//! Changes of the own partition are pushed to all peers at once, and polls transfer what a
+//! push missed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,18 +30,18 @@
 use crate::shared::Inner;
 use crate::shared::Shared;
 
-/// Longest wait for a peer's answer.
-pub const TIMEOUT: Duration = Duration::from_millis(700);
-/// Changes within this span go out in one push.
-pub const GATHER: Duration = Duration::from_millis(20);
-/// Pause before a failed push is tried again.
-pub const PAUSE: Duration = Duration::from_millis(300);
+/// Timeout of a request to a peer.
+pub const REPLY_TIMEOUT: Duration = Duration::from_millis(700);
+/// Changes within this time are pushed together.
+pub const BATCH_DELAY: Duration = Duration::from_millis(20);
+/// Delay before a failed push is retried.
+pub const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Asks one peer after another until the directory stops.
-pub async fn ask(shared: Arc<Shared>, me: SocketAddr, peers: Vec<Arc<DirectoryLink>>) {
+/// Polls one peer after another until the directory stops.
+pub async fn poll(shared: Arc<Shared>, me: SocketAddr, peers: Vec<Arc<DirectoryLink>>) {
     let addresses: Vec<SocketAddr> = peers.iter().map(|peer| peer.address()).collect();
     let mut ring = Ring::new(me, &addresses);
-    let (tell, mut told) = mpsc::unbounded_channel();
+    let (report, mut results) = mpsc::unbounded_channel();
     let mut ticks = interval(shared.settings.leases.exchange);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -50,59 +49,59 @@
             _ = ticks.tick() => {}
             () = shared.stop.cancelled() => return,
         }
-        while let Ok((peer, answered)) = told.try_recv() {
+        while let Ok((peer, answered)) = results.try_recv() {
             ring.record(peer, answered);
         }
         let next = ring.next_peer();
         let peer = peers.iter().find(|peer| Some(peer.address()) == next);
         if let Some(peer) = peer {
-            let (shared, peer, tell) = (shared.clone(), peer.clone(), tell.clone());
-            // A silent peer holds up no other.
+            let (shared, peer, report) = (shared.clone(), peer.clone(), report.clone());
+            // Polls run in tasks of their own, so that an unresponsive peer delays no other.
             tokio::spawn(async move {
                 let answered = pull(shared, &peer).await;
-                let _ = tell.send((peer.address(), answered));
+                let _ = report.send((peer.address(), answered));
             });
         }
     }
 }
 
-/// Asks once and returns whether there was an answer.
+/// Polls a peer once; returns whether it replied.
 async fn pull(shared: Arc<Shared>, peer: &DirectoryLink) -> bool {
     let result = pull_once(&shared, peer).await;
     let answered = result.is_ok();
-    note(&shared, peer, "pull", result);
+    record_result(&shared, peer, "pull", result);
     answered
 }
 
-/// Asks in short, and in full where digests differ.
+/// Sends a summary, and a full request when the digests differ.
 async fn pull_once(shared: &Shared, peer: &DirectoryLink) -> Result<(), LinkError> {
-    let short = shared.step(|inner, _| short(inner));
-    let digest = short.digest;
-    let (sent, reply) = call(shared, peer, short).await?;
-    take_confirmation(shared, sent, &reply);
+    let summary = shared.step(|inner, _| summary(inner));
+    let digest = summary.digest;
+    let (sent, reply) = call(shared, peer, summary).await?;
+    merge_confirmation(shared, sent, &reply);
     if reply.digest == digest {
         shared.step(|inner, _| inner.members.merge_ages(reply.digest, &reply.ages, sent));
         return Ok(());
     }
-    let full = shared.step(|inner, now| full(inner, now, &reply));
-    let (sent, reply) = call(shared, peer, full).await?;
-    take_confirmation(shared, sent, &reply);
-    shared.step(|inner, _| take_full(inner, sent, &reply));
+    let full_request = shared.step(|inner, now| full_request(inner, now, &reply));
+    let (sent, reply) = call(shared, peer, full_request).await?;
+    merge_confirmation(shared, sent, &reply);
+    shared.step(|inner, _| merge_reply(inner, sent, &reply));
     Ok(())
 }
 
 async fn call(
     shared: &Shared,
     peer: &DirectoryLink,
-    ask: Exchange,
+    request: Exchange,
 ) -> Result<(Moment, Exchange), LinkError> {
     let client = peer.client().await?;
     let sent = shared.clock.now();
-    let result = client.exchange(link::within(TIMEOUT), ask).await;
+    let result = client.exchange(link::within(REPLY_TIMEOUT), request).await;
     Ok((sent, peer.judge(result)?))
 }
 
-fn short(inner: &Inner) -> Exchange {
+fn summary(inner: &Inner) -> Exchange {
     Exchange {
         from: inner.members.me().to_string(),
         digest: inner.members.digest(),
@@ -111,13 +110,17 @@
     }
 }
 
-/// The own points, and what the peer lacks by the points it told.
-fn full(inner: &mut Inner, now: Moment, told: &Exchange) -> Exchange {
-    let theirs: Vec<HomeStatus> = told.vouches.iter().filter_map(convert::of_status).collect();
+/// The own statuses, and the deltas that the peer lacks according to its reply.
+fn full_request(inner: &mut Inner, now: Moment, reply: &Exchange) -> Exchange {
+    let peer_statuses: Vec<HomeStatus> = reply
+        .vouches
+        .iter()
+        .filter_map(convert::parse_status)
+        .collect();
     Exchange {
         vouches: statuses(inner, now),
-        deltas: deltas(inner, &theirs),
-        ..short(inner)
+        deltas: deltas(inner, &peer_statuses),
+        ..summary(inner)
     }
 }
 
@@ -126,8 +129,8 @@
     statuses.iter().map(convert::to_status).collect()
 }
 
-fn deltas(inner: &Inner, theirs: &[HomeStatus]) -> Vec<wire::directory::Delta> {
-    let found = inner.members.deltas(theirs);
+fn deltas(inner: &Inner, peer_statuses: &[HomeStatus]) -> Vec<wire::directory::Delta> {
+    let found = inner.members.deltas(peer_statuses);
     let delta = |(home, delta): &(HostName, members::Delta)| {
         let location = &inner.members.homes().get(home)?.location;
         Some(convert::to_delta(home, location, delta))
@@ -135,124 +138,136 @@
     found.iter().filter_map(delta).collect()
 }
 
-fn take_deltas(inner: &mut Inner, reply: &Exchange) {
-    for found in reply.deltas.iter().filter_map(convert::of_delta) {
+fn merge_deltas(inner: &mut Inner, reply: &Exchange) {
+    for found in reply.deltas.iter().filter_map(convert::parse_delta) {
         inner
             .members
             .merge_delta(&found.home, found.location, &found.delta);
     }
 }
 
-/// Deltas first: a statement counts only for a copy that is as new.
-fn take_full(inner: &mut Inner, sent: Moment, reply: &Exchange) {
-    take_deltas(inner, reply);
+/// Merges deltas first, because a status counts only for a copy that is as new.
+fn merge_reply(inner: &mut Inner, sent: Moment, reply: &Exchange) {
+    merge_deltas(inner, reply);
     let statuses: Vec<HomeStatus> = reply
         .vouches
         .iter()
-        .filter_map(convert::of_status)
+        .filter_map(convert::parse_status)
         .collect();
     inner.members.merge_statuses(&statuses, sent);
     inner.members.merge_ages(reply.digest, &reply.ages, sent);
 }
 
-fn take_confirmation(shared: &Shared, sent: Moment, reply: &Exchange) {
+fn merge_confirmation(shared: &Shared, sent: Moment, reply: &Exchange) {
     if reply.confirmed == 0 {
         return;
     }
     let found = Confirmed {
         version: reply.confirmed,
-        moment: sent.before(convert::span(reply.confirmed_age_ms)),
+        moment: sent.before(convert::duration(reply.confirmed_age_ms)),
     };
     shared.confirm(&reply.from, found, reply.catalogue.clone());
 }
 
-/// Answers a peer's question or push.
-pub fn answer(shared: &Shared, ask: &Exchange) -> Exchange {
+/// Handles a peer's poll or push.
+pub fn handle(shared: &Shared, request: &Exchange) -> Exchange {
     shared.step(|inner, now| {
-        take_deltas(inner, ask);
-        let mut reply = short(inner);
-        if ask.digest == 0 {
+        merge_deltas(inner, request);
+        let mut reply = summary(inner);
+        if request.digest == 0 {
             return reply;
         }
-        if ask.digest == reply.digest {
+        if request.digest == reply.digest {
             reply.ages = inner.members.ages(now).into();
         } else {
             reply.vouches = statuses(inner, now);
         }
-        if !ask.vouches.is_empty() {
-            let theirs: Vec<HomeStatus> =
-                ask.vouches.iter().filter_map(convert::of_status).collect();
-            reply.deltas = deltas(inner, &theirs);
+        if !request.vouches.is_empty() {
+            let peer_statuses: Vec<HomeStatus> = request
+                .vouches
+                .iter()
+                .filter_map(convert::parse_status)
+                .collect();
+            reply.deltas = deltas(inner, &peer_statuses);
         }
-        add_confirmation(inner, now, ask, &mut reply);
+        add_confirmation(inner, now, request, &mut reply);
         reply
     })
 }
 
-fn add_confirmation(inner: &Inner, now: Moment, ask: &Exchange, reply: &mut Exchange) {
+fn add_confirmation(inner: &Inner, now: Moment, request: &Exchange, reply: &mut Exchange) {
     let Some(best) = inner.freshness.latest() else {
         return;
     };
     reply.confirmed = best.version;
     reply.confirmed_age_ms = convert::millis(now.since(best.moment));
-    let newer = inner.catalogue.as_ref().filter(|c| c.version > ask.have);
+    let newer = inner
+        .catalogue
+        .as_ref()
+        .filter(|c| c.version > request.have);
     reply.catalogue = newer.map(|c| c.as_ref().clone());
 }
 
-/// Pushes changes of the own home's table to one peer until the directory stops.
+/// Pushes changes of the own partition to one peer until the directory stops.
 pub async fn push(shared: Arc<Shared>, peer: Arc<DirectoryLink>) {
-    let mut changed = shared.watch();
-    let mut told = changed.borrow().own;
+    let mut changed = shared.subscribe();
+    let mut acknowledged = changed.borrow().own;
     loop {
-        let moved = changed.wait_for(|stamp| stamp.own != told);
+        let change = changed.wait_for(|version| version.own != acknowledged);
         tokio::select! {
-            moved = moved => if moved.is_err() { return },
+            change = change => if change.is_err() { return },
             () = shared.stop.cancelled() => return,
         }
-        sleep(GATHER).await;
-        let result = push_once(&shared, &peer, told).await;
+        sleep(BATCH_DELAY).await;
+        let result = push_once(&shared, &peer, acknowledged).await;
         if let Ok(Some(position)) = result {
-            told = position;
+            acknowledged = position;
         } else {
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
-        note(&shared, &peer, "push", result.map(|_| ()));
+        record_result(&shared, &peer, "push", result.map(|_| ()));
     }
 }
 
-/// Sends what moved after `told`; returns the point that the peer was told of.
+/// Pushes the changes after `acknowledged`; returns the position that the peer then has.
 async fn push_once(
     shared: &Shared,
     peer: &DirectoryLink,
-    told: (u64, u64),
+    acknowledged: (u64, u64),
 ) -> Result<Option<(u64, u64)>, LinkError> {
     let found = shared.step(|inner, _| {
         let position = inner.members.own_position();
-        let cursor = if told.0 == position.0 { told.1 } else { 0 };
+        let cursor = if acknowledged.0 == position.0 {
+            acknowledged.1
+        } else {
+            0
+        };
         let delta = inner.members.own_delta(cursor)?;
         let home = inner.members.me().clone();
         let delta = convert::to_delta(&home, inner.members.location(), &delta);
-        let ask = Exchange {
+        let request = Exchange {
             digest: 0,
             deltas: vec![delta],
-            ..short(inner)
+            ..summary(inner)
         };
-        Some((position, ask))
+        Some((position, request))
     });
-    let Some((position, ask)) = found else {
+    let Some((position, request)) = found else {
         return Ok(None);
     };
-    call(shared, peer, ask).await?;
+    call(shared, peer, request).await?;
     Ok(Some(position))
 }
 
-fn note(shared: &Shared, peer: &DirectoryLink, kind: &'static str, result: Result<(), LinkError>) {
-    let word = if result.is_ok() { "ok" } else { "failed" };
+fn record_result(
+    shared: &Shared,
+    peer: &DirectoryLink,
+    kind: &'static str,
+    result: Result<(), LinkError>,
+) {
+    let tag = if result.is_ok() { "ok" } else { "failed" };
     let metric = shared.metrics.count_with_tags(metrics::EXCHANGE, 1);
-    metric
-        .with_tag("kind", kind)
-        .with_tag("result", word)
-        .send();
+    metric.with_tag("kind", kind).with_tag("result", tag).send();
     if let Err(err) = result {
         debug!(shared.log, "peer silent"; "peer" => %peer.address(), "kind" => kind, "error" => %err);
     }
--- a/crates/directory/src/placement_cache.rs
+++ b/crates/directory/src/placement_cache.rs
@@ -1,4 +1,4 @@
-//! The placement in force, worked out again when what it rests on moved.
+//! A cached placement, recomputed when its inputs change.
 
 use std::collections::BTreeMap;
 
@@ -12,52 +12,52 @@
 use place::Spread;
 use wire::catalogue::Catalogue;
 
-/// What a placement rests on.
+/// Versions of the inputs of a placement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Basis {
+struct CacheKey {
     hosts: u64,
     instances: u64,
     version: u64,
 }
 
-/// The placement with its basis.
+/// A placement with the versions of its inputs.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementCache {
-    basis: Option<Basis>,
+    key: Option<CacheKey>,
     placement: Placement,
-    hosts: usize,
+    candidates: usize,
 }
 
 impl PlacementCache {
-    /// The placement for the present state; works it out again only when that moved.
+    /// Returns the placement for the current state, recomputed if an input changed.
     pub fn refresh(
         &mut self,
         members: &Members,
         catalogue: &Catalogue,
         spread: Spread,
     ) -> &Placement {
-        let basis = Basis {
+        let key = CacheKey {
             hosts: members.hosts().cursor(),
             instances: members.instances().cursor(),
             version: catalogue.version,
         };
-        if self.basis != Some(basis) {
+        if self.key != Some(key) {
             let hosts = candidates(members);
-            self.hosts = hosts.len();
+            self.candidates = hosts.len();
             self.placement = Placement::new(&hosts, &demands(members, catalogue), spread);
-            self.basis = Some(basis);
+            self.key = Some(key);
         }
         &self.placement
     }
 
-    /// Hosts that could be named when it was last worked out.
+    /// Number of candidate hosts in the cached placement.
     #[must_use]
-    pub fn hosts(&self) -> usize {
-        self.hosts
+    pub fn candidates(&self) -> usize {
+        self.candidates
     }
 }
 
-/// The hosts that callers may be sent to: alive and serving.
+/// Hosts that callers may be sent to: live and serving.
 fn candidates(members: &Members) -> Vec<Candidate> {
     let candidate = |record: &Record| match record {
         Record::Host(h) if h.phase == HostPhase::Serving => Some(Candidate {
@@ -70,7 +70,7 @@
     members.hosts().records().filter_map(candidate).collect()
 }
 
-/// Every service of the catalogue with the slots of its living instances.
+/// All services of the catalogue with the slots of their live instances.
 fn demands(members: &Members, catalogue: &Catalogue) -> Vec<Demand> {
     let mut slots: BTreeMap<ServiceName, u32> = BTreeMap::new();
     for entry in &catalogue.entries {
--- a/crates/directory/src/route.rs
+++ b/crates/directory/src/route.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/route`: a caller asks which entry hosts to use.
+//! `GET /v1/route`: names the entry hosts for a caller.
 
 use announce::Reason;
 use announce::Refusal;
@@ -19,58 +19,59 @@
     pub domain: String,
 }
 
-/// The answer to a caller.
+/// The response to a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// The service that was asked for.
+    /// The requested service.
     pub service: String,
-    /// Hosts in the order they should be tried.
+    /// Hosts in the order in which to try them.
     pub addresses: Vec<Address>,
-    /// How long the answer may be kept, in milliseconds.
+    /// How long the response may be cached, in milliseconds.
     pub max_age_ms: u32,
 }
 
-/// Answers a caller; `pick` is random, so that callers spread over the hosts.
+/// Selects the entry hosts for a caller and logs the decision.
+///
+/// `pick` should be random, so that callers spread over the hosts.
 ///
 /// # Errors
 ///
-/// Fails without a confirmed catalogue, without such a service, or without a
-/// host that serves.
+/// Fails without a confirmed catalogue, for an unknown service, or when no host is serving.
 pub fn route(shared: &Shared, service: &str, pick: u64) -> Result<Route, Refusal> {
-    let found = shared.step(|inner, now| choose(inner, now, shared, service, pick));
-    let words = |r: &Result<Route, Refusal>| match r {
+    let decision = shared.step(|inner, now| choose(inner, now, shared, service, pick));
+    let log_fields = |r: &Result<Route, Refusal>| match r {
         Ok(route) => {
             let hosts: Vec<&str> = route.addresses.iter().map(|a| a.address.as_str()).collect();
             ("ok", hosts.join(","))
         }
         Err(refusal) => (refusal.reason.into(), String::new()),
     };
-    let (result, hosts) = words(&found.result);
+    let (result, hosts) = log_fields(&decision.result);
     info!(shared.log, "place"; "service" => service.to_owned(), "result" => result,
-        "hosts" => hosts, "candidates" => found.candidates, "version" => found.version,
-        "confirmed_age_ms" => found.age_ms);
-    found.result
+        "hosts" => hosts, "candidates" => decision.candidates, "version" => decision.version,
+        "confirmed_age_ms" => decision.age_ms);
+    decision.result
 }
 
-/// A decision with what was known when it was made.
-struct Found {
+/// A decision with the state it was based on, for the log.
+struct Decision {
     result: Result<Route, Refusal>,
     candidates: usize,
     version: u64,
     age_ms: Option<u32>,
 }
 
-fn choose(inner: &mut Inner, now: Moment, shared: &Shared, service: &str, pick: u64) -> Found {
-    let result = hosts(inner, now, shared, service, pick);
-    Found {
+fn choose(inner: &mut Inner, now: Moment, shared: &Shared, service: &str, pick: u64) -> Decision {
+    let result = select_hosts(inner, now, shared, service, pick);
+    Decision {
         result,
-        candidates: inner.placed.hosts(),
+        candidates: inner.placement.candidates(),
         version: inner.version(),
         age_ms: inner.freshness.age(now).map(crate::convert::millis),
     }
 }
 
-fn hosts(
+fn select_hosts(
     inner: &mut Inner,
     now: Moment,
     shared: &Shared,
@@ -83,7 +84,7 @@
         .as_ref()
         .filter(|_| inner.freshness.is_current(now));
     let Some(catalogue) = catalogue else {
-        let detail = "no catalogue was confirmed by a quorum lately";
+        let detail = "no catalogue was confirmed by a quorum within the lease";
         return Err(Refusal::new(Reason::NotReady, detail));
     };
     let known = catalogue.entries.iter().any(|e| e.service == service);
@@ -93,11 +94,11 @@
         return Err(Refusal::new(Reason::UnknownService, detail));
     };
     let placement = inner
-        .placed
+        .placement
         .refresh(&inner.members, catalogue, answers.spread);
     let ordered = place::order(placement.hosts(&name), pick);
     if ordered.is_empty() {
-        let detail = "no entry host serves at present";
+        let detail = "no entry host is serving";
         return Err(Refusal::new(Reason::NoHost, detail));
     }
     let address = |c: &place::Candidate| Address {
--- a/crates/directory/src/rpc.rs
+++ b/crates/directory/src/rpc.rs
@@ -1,4 +1,4 @@
-//! Accepts `tarpc` connections with bounded frames and requests.
+//! Accepts `tarpc` connections, with bounds on connections and requests.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,29 +22,29 @@
 use crate::shared::Shared;
 use crate::sync::Api;
 
-/// Most connections at once.
+/// Maximum number of connections.
 const MAX_CONNECTIONS: usize = 1024;
-/// Most requests in flight on one connection.
+/// Maximum number of requests in flight per connection.
 const MAX_REQUESTS: usize = 64;
-/// Time for answers to leave once the directory stops; held polls are answered at once then.
-const DRAIN: Duration = Duration::from_millis(250);
+/// Time to send replies once the directory stops; waiting polls are replied to at once then.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(250);
 
-type In = ClientMessage<DirectoryApiRequest>;
-type Out = Response<DirectoryApiResponse>;
+type Request = ClientMessage<DirectoryApiRequest>;
+type Reply = Response<DirectoryApiResponse>;
 
-/// Where connections come in.
-pub type Listener = Incoming<In, Out>;
+/// Source of incoming connections.
+pub type Listener = Incoming<Request, Reply>;
 
 /// Listens at `address`.
 ///
 /// # Errors
 ///
-/// Fails when the address can't be had.
+/// Fails when the address is not available.
 pub async fn listen(address: SocketAddr) -> io::Result<Listener> {
     link::listen(address).await
 }
 
-/// Serves connections until the directory stops, and then what is in flight.
+/// Serves connections until the directory stops, then finishes requests in flight.
 pub async fn serve(shared: Arc<Shared>, listener: Listener) {
     let acceptor = Acceptor {
         limit: MAX_CONNECTIONS,
@@ -52,25 +52,27 @@
         log: shared.log.clone(),
     };
     acceptor
-        .run(listener, |channel| converse(shared.clone(), channel))
+        .run(listener, |channel| {
+            serve_connection(shared.clone(), channel)
+        })
         .await;
 }
 
-/// Answers one connection's requests until it ends, or the directory stops and
-/// the answers to held polls had time to leave.
-async fn converse(shared: Arc<Shared>, channel: Channel<In, Out>) {
+/// Serves the requests of one connection until it closes, or until [`DRAIN_TIMEOUT`] after the
+/// directory stops.
+async fn serve_connection(shared: Arc<Shared>, channel: Channel<Request, Reply>) {
     let stop = shared.stop.clone();
     let config = tarpc::server::Config {
         pending_response_buffer: MAX_REQUESTS,
     };
     let channel = BaseChannel::new(config, channel);
     let requests = channel.execute(Api(shared).serve());
-    let ended = async {
+    let drained = async {
         stop.cancelled().await;
-        sleep(DRAIN).await;
+        sleep(DRAIN_TIMEOUT).await;
     };
     requests
-        .take_until(Box::pin(ended))
-        .for_each_concurrent(MAX_REQUESTS, |answer| answer)
+        .take_until(Box::pin(drained))
+        .for_each_concurrent(MAX_REQUESTS, |reply| reply)
         .await;
 }
--- a/crates/directory/src/server.rs
+++ b/crates/directory/src/server.rs
@@ -1,4 +1,4 @@
-//! Starts and ends a directory.
+//! Starts and stops a directory.
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,19 +30,19 @@
 use crate::shared::Shared;
 use crate::sweep;
 
-/// Most HTTP connections at once.
+/// Maximum number of HTTP connections.
 const MAX_CONNECTIONS: usize = 8192;
 
 quick_error! {
-    /// Why a directory can't start.
+    /// Why a directory cannot start.
     #[derive(Debug)]
     pub enum StartError {
-        /// It can't listen.
+        /// A socket cannot listen.
         Listen(address: SocketAddr, err: io::Error) {
             source(err)
             display("listen at {address}: {err}")
         }
-        /// The metrics can't be had.
+        /// The metrics cannot be set up.
         Metrics(err: MetricsError) {
             from()
             source(err)
@@ -51,7 +51,7 @@
     }
 }
 
-/// A directory that listens and serves nothing yet.
+/// A directory whose sockets listen but that does not serve yet.
 pub struct Bound {
     settings: Settings,
     log: Logger,
@@ -61,11 +61,11 @@
     rpc: Listener,
 }
 
-/// Listens where the settings say.
+/// Binds the addresses of the settings.
 ///
 /// # Errors
 ///
-/// Fails when an address can't be had.
+/// Fails when an address is not available.
 pub async fn bind(
     settings: Settings,
     log: Logger,
@@ -86,11 +86,11 @@
     })
 }
 
-/// Listens and serves.
+/// Binds the addresses and starts serving.
 ///
 /// # Errors
 ///
-/// Fails when an address can't be had.
+/// Fails when an address is not available.
 pub async fn start(
     settings: Settings,
     log: Logger,
@@ -100,33 +100,33 @@
 }
 
 impl Bound {
-    /// Where upstreams and callers reach it.
+    /// HTTP address for upstreams and callers.
     #[must_use]
     pub fn http(&self) -> SocketAddr {
         self.http_address
     }
 
-    /// Where gateways, directories and operators reach it.
+    /// `tarpc` address for gateways, directories and operators.
     #[must_use]
     pub fn rpc(&self) -> SocketAddr {
         self.rpc.local_addr()
     }
 
-    /// Sets the other directories, for those who learn the addresses late.
+    /// Sets the peers, for addresses that are only known after binding.
     pub fn set_peers(&mut self, peers: Vec<SocketAddr>) {
         self.settings.peers = peers;
     }
 
-    /// Sets the control replicas, for those who learn the addresses late.
+    /// Sets the control replicas, for addresses that are only known after binding.
     pub fn set_control(&mut self, control: Vec<SocketAddr>) {
         self.settings.control = control;
     }
 
-    /// Serves until stopped.
+    /// Starts serving.
     ///
     /// # Errors
     ///
-    /// Fails when the listener can't be used.
+    /// Fails when a listener cannot be used.
     pub fn serve(self) -> Result<Directory, StartError> {
         let address = self.http_address;
         let rpc_address = self.rpc();
@@ -143,7 +143,7 @@
         let mut tasks = JoinSet::new();
         tasks.spawn(server.serve(http::service(&shared)));
         tasks.spawn(rpc::serve(shared.clone(), self.rpc));
-        spawn_work(&mut tasks, &shared, rpc_address);
+        spawn_tasks(&mut tasks, &shared, rpc_address);
         info!(shared.log, "ready"; "http" => %address, "rpc" => %rpc_address,
             "peers" => shared.settings.peers.len(), "control" => shared.settings.control.len());
         Ok(Directory {
@@ -156,7 +156,7 @@
     }
 }
 
-fn spawn_work(tasks: &mut JoinSet<()>, shared: &Arc<Shared>, me: SocketAddr) {
+fn spawn_tasks(tasks: &mut JoinSet<()>, shared: &Arc<Shared>, me: SocketAddr) {
     let addresses = &shared.settings.peers;
     let links: Vec<Arc<DirectoryLink>> = addresses
         .iter()
@@ -165,7 +165,7 @@
     for peer in &links {
         tasks.spawn(peers::push(shared.clone(), peer.clone()));
     }
-    tasks.spawn(peers::ask(shared.clone(), me, links));
+    tasks.spawn(peers::poll(shared.clone(), me, links));
     tasks.spawn(sweep::sweep(shared.clone()));
     tasks.spawn(follow::follow(
         shared.clone(),
@@ -173,7 +173,7 @@
     ));
 }
 
-/// A running directory; dropped, it ends as if killed.
+/// A running directory; dropping it aborts its tasks without a graceful stop.
 pub struct Directory {
     shared: Arc<Shared>,
     http: SocketAddr,
@@ -183,42 +183,43 @@
 }
 
 impl Directory {
-    /// Where upstreams and callers reach it.
+    /// HTTP address for upstreams and callers.
     #[must_use]
     pub fn http(&self) -> SocketAddr {
         self.http
     }
 
-    /// Where gateways, directories and operators reach it.
+    /// `tarpc` address for gateways, directories and operators.
     #[must_use]
     pub fn rpc(&self) -> SocketAddr {
         self.rpc
     }
 
-    /// What its tasks share, for tests that look inside.
+    /// State shared by the tasks, for inspection in tests.
     #[must_use]
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Stops gracefully: answers held polls and what is in flight, then ends.
+    /// Stops gracefully: replies to waiting polls and finishes requests in flight.
     ///
-    /// Returns whether all ended within the settings' time.
+    /// Returns whether all tasks ended within the stop timeout of the settings.
     pub async fn stop(mut self) -> bool {
         info!(self.shared.log, "stop");
         self.shared.stop.cancel();
         self.handle.stop_graceful(Some(self.shared.settings.stop));
         let all = async { while self.tasks.join_next().await.is_some() {} };
-        let ended = timeout(self.shared.settings.stop, all).await.is_ok();
-        info!(self.shared.log, "stopped"; "graceful" => ended);
-        ended
+        let graceful = timeout(self.shared.settings.stop, all).await.is_ok();
+        info!(self.shared.log, "stopped"; "graceful" => graceful);
+        graceful
     }
 }
 
-/// A number that grows with each start, as long as the host's clock isn't set
-/// back; if it was, peers tell and the home raises it.
+/// The epoch of this start: the wall clock in milliseconds.
+///
+/// If the clock was set back, peers report a later epoch and the home raises its own.
 fn epoch() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    let millis = since.unwrap_or_default().as_millis();
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    let millis = elapsed.unwrap_or_default().as_millis();
     u64::try_from(millis).unwrap_or(u64::MAX)
 }
--- a/crates/directory/src/settings.rs
+++ b/crates/directory/src/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings, typed and checked.
+//! Settings of the daemon.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -17,20 +17,20 @@
 const LEASES: &str = "leases";
 const ANSWERS: &str = "answers";
 
-/// Leases and what depends on them.
+/// Leases and related intervals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leases {
     /// Lease of an instance or a host.
     pub lease: Duration,
-    /// Time between two announcements of an instance.
+    /// Interval at which an instance announces itself.
     pub refresh: Duration,
-    /// How long another directory counts after it was last heard of.
+    /// How long another directory's records count after it was last seen alive.
     pub home: Duration,
-    /// How long a confirmation of the catalogue counts.
+    /// How long a confirmation of the catalogue is valid.
     pub confirmation: Duration,
-    /// Time between two exchanges with another directory.
+    /// Interval of exchanges with other directories.
     pub exchange: Duration,
-    /// Most records whose leases this directory keeps.
+    /// Maximum number of records leased by this directory.
     pub records: u32,
 }
 
@@ -47,10 +47,10 @@
     }
 }
 
-/// What callers are told.
+/// Answers to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answers {
-    /// How long a caller may keep an answer.
+    /// How long a caller may cache an answer.
     pub keep: Duration,
     /// How services are spread over the entry hosts.
     pub spread: Spread,
@@ -68,30 +68,30 @@
 /// All settings of one directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Its host.
+    /// Host on which the directory runs.
     pub host: HostName,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: DomainName,
-    /// Where upstreams and callers reach it.
+    /// HTTP address for upstreams and callers.
     pub http: SocketAddr,
-    /// Where gateways, directories and operators reach it.
+    /// `tarpc` address for gateways, directories and operators.
     pub rpc: SocketAddr,
     /// Other directories' `rpc` addresses.
     pub peers: Vec<SocketAddr>,
-    /// The control replicas, nearest first.
+    /// Addresses of the control replicas, nearest first.
     pub control: Vec<SocketAddr>,
     /// Leases.
     pub leases: Leases,
     /// Answers to callers.
     pub answers: Answers,
-    /// How long a stop waits for what is in flight.
+    /// Timeout of a graceful stop.
     pub stop: Duration,
     /// Log and metrics.
     pub telemetry: telemetry::Settings,
 }
 
 impl Settings {
-    /// Settings of a directory on loopback with free ports, the rest as by default.
+    /// Default settings for a directory on loopback with ephemeral ports.
     #[must_use]
     pub fn local(host: HostName, domain: DomainName) -> Self {
         let free = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -113,16 +113,16 @@
     ///
     /// # Errors
     ///
-    /// Fails with every fault of the file.
+    /// Fails with every error in the file.
     pub fn open(path: &Path) -> Result<Self, ConfError> {
         Self::read(Reader::open(path)?)
     }
 
-    /// Reads all keys of `reader`.
+    /// Reads all settings from `reader`.
     ///
     /// # Errors
     ///
-    /// Fails with every fault noted.
+    /// Fails with every error found.
     pub fn read(mut reader: Reader) -> Result<Self, ConfError> {
         let r = &mut reader;
         let host = r.required(DIRECTORY, "host");
@@ -154,7 +154,7 @@
         })
     }
 
-    /// The bounds of the membership.
+    /// Limits of the membership.
     #[must_use]
     pub fn limits(&self) -> Limits {
         Limits {
@@ -169,7 +169,7 @@
 fn read_control(r: &mut Reader) -> Vec<SocketAddr> {
     let replicas: Vec<SocketAddr> = r.list(CONTROL, "replicas");
     if replicas.is_empty() {
-        let form = "IP:port of each control replica, apart by commas";
+        let form = "IP:port of each control replica, separated by commas";
         r.fault(CONTROL, "replicas", Problem::Missing, form);
     }
     replicas
@@ -186,30 +186,35 @@
         records: r.or(LEASES, "records", default.records),
     };
     if leases.refresh.is_zero() || leases.refresh * 2 > leases.lease {
-        let form = "at most half of the lease, so that one may be lost";
+        let form = "at most half of lease, so that one announcement may be lost";
         r.fault(LEASES, "refresh", Problem::Contradicts("lease"), form);
     }
     if leases.exchange.is_zero() || leases.exchange * 4 > leases.home {
         let form = "at most a quarter of home";
         r.fault(LEASES, "exchange", Problem::Contradicts("home"), form);
     }
-    if leases.home > gossip_most() {
-        let form = "at most 5s, the longest age that directories tell each other";
-        r.fault(LEASES, "home", Problem::Form(text(leases.home)), form);
+    if leases.home > max_gossip_age() {
+        let form = "at most 5s, the greatest age that exchanges can carry";
+        r.fault(
+            LEASES,
+            "home",
+            Problem::Form(format_duration(leases.home)),
+            form,
+        );
     }
     if leases.confirmation < Duration::from_secs(1) {
         let form = "at least 1s, twice the longest poll";
         r.fault(
             LEASES,
             "confirmation",
-            Problem::Form(text(leases.confirmation)),
+            Problem::Form(format_duration(leases.confirmation)),
             form,
         );
     }
     leases
 }
 
-fn gossip_most() -> Duration {
+fn max_gossip_age() -> Duration {
     members::gossip::AGE_STEP * u32::from(members::gossip::AGE_UNKNOWN - 1)
 }
 
@@ -245,18 +250,22 @@
         writeln!(f, "http = {}", self.http)?;
         writeln!(f, "rpc = {}", self.rpc)?;
         writeln!(f, "peers = {}", join(&self.peers))?;
-        writeln!(f, "stop = {}", text(self.stop))?;
+        writeln!(f, "stop = {}", format_duration(self.stop))?;
         writeln!(f, "\n[{CONTROL}]")?;
         writeln!(f, "replicas = {}", join(&self.control))?;
         writeln!(f, "\n[{LEASES}]")?;
-        writeln!(f, "lease = {}", text(self.leases.lease))?;
-        writeln!(f, "refresh = {}", text(self.leases.refresh))?;
-        writeln!(f, "home = {}", text(self.leases.home))?;
-        writeln!(f, "confirmation = {}", text(self.leases.confirmation))?;
-        writeln!(f, "exchange = {}", text(self.leases.exchange))?;
+        writeln!(f, "lease = {}", format_duration(self.leases.lease))?;
+        writeln!(f, "refresh = {}", format_duration(self.leases.refresh))?;
+        writeln!(f, "home = {}", format_duration(self.leases.home))?;
+        writeln!(
+            f,
+            "confirmation = {}",
+            format_duration(self.leases.confirmation)
+        )?;
+        writeln!(f, "exchange = {}", format_duration(self.leases.exchange))?;
         writeln!(f, "records = {}", self.leases.records)?;
         writeln!(f, "\n[{ANSWERS}]")?;
-        writeln!(f, "keep = {}", text(self.answers.keep))?;
+        writeln!(f, "keep = {}", format_duration(self.answers.keep))?;
         writeln!(f, "gateways = {}", self.answers.spread.min_gateways)?;
         writeln!(f, "slots = {}", self.answers.spread.slots_per_gateway)?;
         writeln!(f, "slack = {}%", self.answers.spread.slack_percent)?;
@@ -269,6 +278,6 @@
     texts.join(", ")
 }
 
-fn text(span: Duration) -> String {
-    format!("{}ms", span.as_millis())
+fn format_duration(duration: Duration) -> String {
+    format!("{}ms", duration.as_millis())
 }
--- a/crates/directory/src/shared.rs
+++ b/crates/directory/src/shared.rs
@@ -1,7 +1,7 @@
-//! What the tasks of one directory share.
+//! State shared by the tasks of one directory.
 //!
-//! One lock guards the decisions' state; it is held for a step and never across
-//! a wait. After each step the [`Stamp`] tells those who wait what moved.
+//! A single lock guards the state. It is held for one step and never across an await. After
+//! each step, tasks that wait are notified by the new [`StateVersion`].
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -22,62 +22,63 @@
 use crate::placement_cache::PlacementCache;
 use crate::settings::Settings;
 
-/// Where the state stands; those who wait look at it first.
+/// Versions of the parts of the state, which tell waiting tasks what changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Stamp {
-    /// Epoch and cursor of the own home's table.
+pub struct StateVersion {
+    /// Epoch and cursor of the own partition.
     pub own: (u64, u64),
-    /// Cursor of the living instances.
+    /// Cursor of the live instances.
     pub instances: u64,
-    /// Cursor of the living hosts.
+    /// Cursor of the live hosts.
     pub hosts: u64,
-    /// Catalogue version held.
+    /// Current catalogue version.
     pub version: u64,
-    /// The version was confirmed within the lease.
+    /// Whether the version was confirmed within the lease.
     pub current: bool,
 }
 
-/// The state that decisions work on.
+/// The state behind the lock.
 pub struct Inner {
-    /// Who is there.
+    /// Instances, hosts and their leases.
     pub members: Members,
-    /// How current the catalogue is.
+    /// When the catalogue was last confirmed.
     pub freshness: Freshness,
-    /// The catalogue; present exactly when its version was confirmed.
+    /// The catalogue; absent until a version is confirmed.
     pub catalogue: Option<Arc<Catalogue>>,
-    /// Where services are placed.
-    pub placed: PlacementCache,
+    /// Cached placement of the services.
+    pub placement: PlacementCache,
 }
 
 impl Inner {
-    /// The catalogue version held, zero without one.
+    /// Version of the catalogue; zero without one.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.catalogue.as_ref().map_or(0, |c| c.version)
     }
 
-    /// Takes a confirmation, with the catalogue when it is newer than the one held.
+    /// Merges a confirmation, with the catalogue if that is newer than the current one.
     ///
-    /// Nothing is taken whose moment lies before the start, and no confirmation
-    /// of another version than the one held.
-    pub fn confirm(&mut self, found: Confirmed, catalogue: Option<Catalogue>) -> bool {
-        if self.freshness.predates_start(found) {
+    /// Ignores confirmations from before the start of the process, and those of a version other
+    /// than the current one.
+    pub fn confirm(&mut self, confirmation: Confirmed, catalogue: Option<Catalogue>) -> bool {
+        if self.freshness.predates_start(confirmation) {
             return false;
         }
-        let newer = catalogue.filter(|c| c.version == found.version && c.version > self.version());
-        let rose = newer.is_some();
+        let newer =
+            catalogue.filter(|c| c.version == confirmation.version && c.version > self.version());
+        let increased = newer.is_some();
         if let Some(catalogue) = newer {
             self.catalogue = Some(Arc::new(catalogue));
         }
-        let held = self.catalogue.as_ref().map(|c| c.version);
-        if held == Some(found.version) {
-            self.freshness.merge(found);
+        let current = self.catalogue.as_ref().map(|c| c.version);
+        if current == Some(confirmation.version) {
+            self.freshness.merge(confirmation);
         }
-        rose
+        increased
     }
 
-    fn stamp(&self, now: Moment) -> Stamp {
-        Stamp {
+    fn state_version(&self, now: Moment) -> StateVersion {
+        StateVersion {
             own: self.members.own_position(),
             instances: self.members.instances().cursor(),
             hosts: self.members.hosts().cursor(),
@@ -87,9 +88,9 @@
     }
 }
 
-/// Shared by all tasks.
+/// Context shared by all tasks.
 pub struct Shared {
-    /// The runtime's clock.
+    /// Clock for all decisions.
     pub clock: Clock,
     /// The log.
     pub log: Logger,
@@ -97,14 +98,14 @@
     pub metrics: StatsdClient,
     /// The settings.
     pub settings: Settings,
-    /// Set when the directory stops.
+    /// Cancelled when the directory stops.
     pub stop: CancellationToken,
     inner: Mutex<Inner>,
-    changed: watch::Sender<Stamp>,
+    changed: watch::Sender<StateVersion>,
 }
 
 impl Shared {
-    /// The state of a directory that starts now.
+    /// Creates the state of a directory that starts now.
     #[must_use]
     pub fn new(
         settings: Settings,
@@ -120,9 +121,9 @@
             members: Members::new(host, location, epoch, settings.limits(), now),
             freshness: Freshness::new(now, settings.leases.confirmation),
             catalogue: None,
-            placed: PlacementCache::default(),
+            placement: PlacementCache::default(),
         };
-        let changed = watch::Sender::new(inner.stamp(now));
+        let changed = watch::Sender::new(inner.state_version(now));
         Self {
             clock,
             log,
@@ -134,31 +135,31 @@
         }
     }
 
-    /// Does one step on the state and wakes those who wait for what moved.
+    /// Runs `act` on the state under the lock and notifies subscribers of changes.
     pub fn step<R>(&self, act: impl FnOnce(&mut Inner, Moment) -> R) -> R {
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.clock.now();
         let result = act(&mut inner, now);
-        let stamp = inner.stamp(now);
+        let version = inner.state_version(now);
         self.changed.send_if_modified(|old| {
-            let moved = *old != stamp;
-            *old = stamp;
-            moved
+            let modified = *old != version;
+            *old = version;
+            modified
         });
         result
     }
 
-    /// Tells when the state moves.
+    /// Subscribes to changes of the state.
     #[must_use]
-    pub fn watch(&self) -> watch::Receiver<Stamp> {
+    pub fn subscribe(&self) -> watch::Receiver<StateVersion> {
         self.changed.subscribe()
     }
 
-    /// Takes a confirmation and logs a version that came into force.
-    pub fn confirm(&self, from: &str, found: Confirmed, catalogue: Option<Catalogue>) {
-        let rose = self.step(|inner, _| inner.confirm(found, catalogue));
-        if rose {
-            info!(self.log, "catalogue"; "version" => found.version, "from" => from.to_owned());
+    /// Merges a confirmation and logs a version that comes into force.
+    pub fn confirm(&self, from: &str, confirmation: Confirmed, catalogue: Option<Catalogue>) {
+        let increased = self.step(|inner, _| inner.confirm(confirmation, catalogue));
+        if increased {
+            info!(self.log, "catalogue"; "version" => confirmation.version, "from" => from.to_owned());
         }
     }
 }
--- a/crates/directory/src/sweep.rs
+++ b/crates/directory/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Ends leases and homes whose time is over, and tells the gauges.
+//! Expires leases and homes periodically, and updates the gauges.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,47 +15,47 @@
 use crate::shared::Inner;
 use crate::shared::Shared;
 
-/// Time between two looks for leases that ran out.
-pub const PERIOD: Duration = Duration::from_millis(100);
-/// Looks between two times that the gauges are told.
-const GAUGES: u32 = 10;
+/// Interval between two sweeps.
+pub const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of sweeps per update of the gauges.
+const SWEEPS_PER_GAUGE_UPDATE: u32 = 10;
 
 /// Sweeps until the directory stops.
 pub async fn sweep(shared: Arc<Shared>) {
-    let mut ticks = interval(PERIOD);
+    let mut ticks = interval(SWEEP_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut turn = 0;
+    let mut sweeps = 0;
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
             () = shared.stop.cancelled() => return,
         }
         sweep_once(&shared);
-        turn = (turn + 1) % GAUGES;
-        if turn == 0 {
-            tell(&shared);
+        sweeps = (sweeps + 1) % SWEEPS_PER_GAUGE_UPDATE;
+        if sweeps == 0 {
+            update_gauges(&shared);
         }
     }
 }
 
 fn sweep_once(shared: &Shared) {
-    let swept = shared.step(|inner, now| inner.members.sweep(now));
-    for key in &swept.leases {
+    let result = shared.step(|inner, now| inner.members.sweep(now));
+    for key in &result.leases {
         info!(shared.log, "lease ran out"; "key" => %key);
     }
-    for home in &swept.homes {
+    for home in &result.homes {
         info!(shared.log, "directory silent"; "name" => %home);
     }
-    let ended = i64::try_from(swept.leases.len()).unwrap_or(i64::MAX);
-    if ended > 0 {
+    let expired = i64::try_from(result.leases.len()).unwrap_or(i64::MAX);
+    if expired > 0 {
         shared
             .metrics
-            .count_with_tags(metrics::EXPIRED, ended)
+            .count_with_tags(metrics::EXPIRED, expired)
             .send();
     }
 }
 
-fn tell(shared: &Shared) {
+fn update_gauges(shared: &Shared) {
     for (name, value) in shared.step(|inner, now| gauges(inner, now)) {
         shared.metrics.gauge_with_tags(name, value).send();
     }
--- a/crates/directory/src/sync.rs
+++ b/crates/directory/src/sync.rs
@@ -1,4 +1,4 @@
-//! The `tarpc` side, for gateways, directories and operators.
+//! The `tarpc` service for gateways, directories and operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 use crate::shared::Inner;
 use crate::shared::Shared;
 
-/// Longest hold of a gateway's poll.
+/// Maximum time that a gateway's poll waits for changes.
 pub const MAX_WAIT: Duration = Duration::from_millis(500);
 
 /// Serves [`DirectoryApi`].
@@ -32,16 +32,16 @@
 pub struct Api(pub Arc<Shared>);
 
 impl DirectoryApi for Api {
-    async fn sync(self, _: Context, ask: Sync) -> SyncReply {
+    async fn sync(self, _: Context, request: Sync) -> SyncReply {
         let shared = &self.0;
-        record_host(shared, &ask);
-        wait(shared, &ask).await;
+        record_host(shared, &request);
+        wait(shared, &request).await;
         let _ = shared.metrics.incr(metrics::SYNC);
-        shared.step(|inner, now| reply(inner, now, &ask))
+        shared.step(|inner, now| reply(inner, now, &request))
     }
 
-    async fn exchange(self, _: Context, push: Exchange) -> Exchange {
-        peers::answer(&self.0, &push)
+    async fn exchange(self, _: Context, request: Exchange) -> Exchange {
+        peers::handle(&self.0, &request)
     }
 
     async fn hosts(self, _: Context) -> HostsReply {
@@ -53,7 +53,7 @@
     async fn instances(self, _: Context) -> InstancesReply {
         let records = |inner: &mut Inner| {
             let records = inner.members.instances().records();
-            records.filter_map(convert::to_change).collect()
+            records.filter_map(convert::to_instance_change).collect()
         };
         self.0.step(|inner, _| InstancesReply {
             instances: records(inner),
@@ -61,41 +61,43 @@
     }
 }
 
-/// Takes what the gateway says of its host.
-fn record_host(shared: &Shared, ask: &Sync) {
-    let Some(host) = ask.host.as_ref() else {
+/// Records the state of the host that a gateway reports with its poll.
+fn record_host(shared: &Shared, request: &Sync) {
+    let Some(host) = request.host.as_ref() else {
         return;
     };
-    let Some(host) = convert::of_host(host) else {
-        warn!(shared.log, "host refused"; "host" => host.host.clone(), "error" => "a field has no meaning");
+    let Some(host) = convert::parse_host(host) else {
+        warn!(shared.log, "host refused"; "host" => host.host.clone(), "error" => "a field is invalid");
         return;
     };
-    let told = host.clone();
+    let reported = host.clone();
     match shared.step(|inner, now| inner.members.announce_host(host, now)) {
         Ok(members::Accepted::Changed) => {
-            info!(shared.log, "host"; "name" => %told.host, "domain" => %told.domain,
-                "gateway" => %told.gateway, "phase" => %told.phase, "version" => told.version,
-                "incarnation" => told.incarnation);
+            info!(shared.log, "host"; "name" => %reported.host, "domain" => %reported.domain,
+                "gateway" => %reported.gateway, "phase" => %reported.phase, "version" => reported.version,
+                "incarnation" => reported.incarnation);
         }
         Ok(_) => {}
-        Err(err) => warn!(shared.log, "host refused"; "host" => %told.host, "error" => %err),
+        Err(err) => warn!(shared.log, "host refused"; "host" => %reported.host, "error" => %err),
     }
 }
 
-/// Holds the poll until there is news for it, at most as long as it allows.
-async fn wait(shared: &Shared, ask: &Sync) {
-    let span = convert::span(ask.wait_ms).min(MAX_WAIT);
-    let end = Instant::now() + span;
-    let mut changed = shared.watch();
-    let was = changed.borrow_and_update().current;
-    let news = |inner: &Inner, now: Moment| {
+/// Waits until there is an update for the poll, or its wait time is over.
+async fn wait(shared: &Shared, request: &Sync) {
+    let duration = convert::duration(request.wait_ms).min(MAX_WAIT);
+    let deadline = Instant::now() + duration;
+    let mut changed = shared.subscribe();
+    let was_current = changed.borrow_and_update().current;
+    let has_update = |inner: &Inner, now: Moment| {
         let instances = inner.members.instances();
-        let moved = (ask.epoch, ask.cursor) != instances.position();
-        moved || inner.version() > ask.have || inner.freshness.is_current(now) != was
+        let changed_instances = (request.epoch, request.cursor) != instances.position();
+        changed_instances
+            || inner.version() > request.have
+            || inner.freshness.is_current(now) != was_current
     };
-    while !shared.stop.is_cancelled() && !shared.step(|inner, now| news(inner, now)) {
+    while !shared.stop.is_cancelled() && !shared.step(|inner, now| has_update(inner, now)) {
         tokio::select! {
-            changed = timeout_at(end, changed.changed()) => {
+            changed = timeout_at(deadline, changed.changed()) => {
                 if !matches!(changed, Ok(Ok(()))) {
                     return;
                 }
@@ -105,17 +107,25 @@
     }
 }
 
-fn reply(inner: &Inner, now: Moment, ask: &Sync) -> SyncReply {
+fn reply(inner: &Inner, now: Moment, request: &Sync) -> SyncReply {
     let instances = inner.members.instances();
-    let same = ask.epoch == instances.epoch();
-    let delta = instances.delta_since(if same { ask.cursor } else { 0 });
+    let same = request.epoch == instances.epoch();
+    let delta = instances.delta_since(if same { request.cursor } else { 0 });
     let best = inner.freshness.latest();
     let age = inner.freshness.age(now).unwrap_or_default();
-    let newer = inner.catalogue.as_ref().filter(|c| c.version > ask.have);
+    let newer = inner
+        .catalogue
+        .as_ref()
+        .filter(|c| c.version > request.have);
     let mut changes = Vec::new();
     if let Some(delta) = &delta {
-        changes.extend(delta.records.iter().filter_map(convert::to_change));
-        changes.extend(delta.removed.iter().filter_map(convert::to_removal));
+        changes.extend(delta.records.iter().filter_map(convert::to_instance_change));
+        changes.extend(
+            delta
+                .removed
+                .iter()
+                .filter_map(convert::to_instance_removal),
+        );
     }
     SyncReply {
         catalogue: newer.map(|c| c.as_ref().clone()),
@@ -128,7 +138,7 @@
     }
 }
 
-/// The living hosts with the time since each was certainly there.
+/// The live hosts with the time since each was last known to be alive.
 fn hosts(inner: &Inner, now: Moment) -> Vec<wire::directory::Host> {
     let host = |record: &Record| match record {
         Record::Host(host) => {
--- a/crates/directory/tests/common/mod.rs
+++ b/crates/directory/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fakes at the directory's interfaces: a control replica and a gateway.
+//! Fakes of a control replica, a gateway and an upstream.
 
 pub mod relay;
 
@@ -41,29 +41,29 @@
 use wire::ledger::SettleReply;
 use wire::link;
 
-/// What a fake control replica does with a request.
+/// Behaviour of a fake control replica.
 #[derive(Clone, Debug, Default)]
 pub struct Script {
-    /// The catalogue it holds.
+    /// The catalogue of the replica.
     pub catalogue: Catalogue,
-    /// A quorum stands behind it.
+    /// Whether replies are confirmed by a quorum.
     pub confirmed: bool,
-    /// It never answers, as if cut off without an error.
+    /// Whether the replica never replies, as if partitioned.
     pub silent: bool,
 }
 
-/// A control replica that follows a script.
+/// A fake control replica.
 #[derive(Clone)]
 pub struct Control {
     pub script: watch::Sender<Script>,
 }
 
 impl ControlApi for Control {
-    async fn follow(self, _: Context, ask: Follow) -> FollowReply {
+    async fn follow(self, _: Context, request: Follow) -> FollowReply {
         let mut script = self.script.subscribe();
-        let hold = Duration::from_millis(ask.wait_ms.into());
-        let news = script.wait_for(|s| s.catalogue.version > ask.have);
-        let _ = timeout(hold, news).await;
+        let wait = Duration::from_millis(request.wait_ms.into());
+        let newer = script.wait_for(|s| s.catalogue.version > request.have);
+        let _ = timeout(wait, newer).await;
         let now = self.script.borrow().clone();
         if now.silent {
             std::future::pending::<()>().await;
@@ -71,7 +71,7 @@
         FollowReply {
             confirmed: now.confirmed,
             version: now.catalogue.version,
-            catalogue: (now.catalogue.version > ask.have).then_some(now.catalogue),
+            catalogue: (now.catalogue.version > request.have).then_some(now.catalogue),
         }
     }
 
@@ -100,7 +100,7 @@
     }
 }
 
-/// A catalogue of the services that the tests use.
+/// A catalogue with the services that the tests use.
 pub fn catalogue(version: u64) -> Catalogue {
     let entry = |service: &str| Entry {
         service: service.into(),
@@ -114,7 +114,7 @@
     }
 }
 
-/// Starts a fake replica that holds version 1, confirmed.
+/// Starts a fake replica with a confirmed catalogue of version 1.
 pub async fn control() -> (Control, SocketAddr) {
     let script = Script {
         catalogue: catalogue(1),
@@ -140,7 +140,7 @@
     (control, address)
 }
 
-/// Settings of the directory on `host` in `domain`.
+/// Settings of a directory on `host` in `domain`.
 pub fn settings(host: &str, domain: &str) -> Settings {
     let host = HostName::new(host).expect("a name");
     Settings::local(host, DomainName::new(domain).expect("a name"))
@@ -160,7 +160,7 @@
     bounds
 }
 
-/// Starts directories that know each other and `control`.
+/// Starts directories with each other as peers and the replicas `control`.
 pub async fn directories(all: Vec<Settings>, control: &[SocketAddr]) -> Vec<Directory> {
     let mut bounds = bind(all).await;
     let rpcs: Vec<SocketAddr> = bounds.iter().map(Bound::rpc).collect();
@@ -175,7 +175,7 @@
         .collect()
 }
 
-/// A gateway's description of itself.
+/// A gateway's report of its host.
 pub fn host(name: &str, domain: &str, phase: HostPhase, sequence: u64) -> Host {
     Host {
         host: name.into(),
@@ -207,36 +207,36 @@
 
 async fn poll(directory: SocketAddr, mut host: Host) {
     let peer = wire::peer::directory(directory);
-    let mut ask = Sync {
+    let mut request = Sync {
         wait_ms: 200,
         ..Sync::default()
     };
     loop {
         host.sequence += 1;
-        ask.host = Some(host.clone());
+        request.host = Some(host.clone());
         let Ok(client) = peer.client().await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
         let reply = client
-            .sync(link::within(Duration::from_secs(1)), ask.clone())
+            .sync(link::within(Duration::from_secs(1)), request.clone())
             .await;
         if let Ok(reply) = peer.judge(reply) {
-            ask.epoch = reply.epoch;
-            ask.cursor = reply.cursor;
-            ask.have = reply.confirmed;
+            request.epoch = reply.epoch;
+            request.cursor = reply.cursor;
+            request.have = reply.confirmed;
         }
     }
 }
 
-/// An announcement's body.
+/// JSON of an announcement.
 pub fn announcement(id: &str, phase: &str, incarnation: u64, sequence: u64) -> String {
     format!(
         r#"{{"service":"grants","id":"{id}","address":"127.0.0.1:9","domain":"milano","slots":6,"connections":250,"phase":"{phase}","incarnation":{incarnation},"sequence":{sequence}}}"#
     )
 }
 
-/// An answer over HTTP.
+/// An HTTP response.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -244,7 +244,7 @@
     pub body: String,
 }
 
-/// Sends a request and reads the answer.
+/// Sends a request and reads the response.
 pub async fn send(request: reqwest::RequestBuilder) -> Answer {
     let answer = request.send().await.expect("an answer");
     Answer {
@@ -254,18 +254,18 @@
     }
 }
 
-/// Announces and returns the answer.
+/// Sends an announcement.
 pub async fn announce(directory: SocketAddr, body: String) -> Answer {
     let url = format!("http://{directory}/v1/announce");
     send(reqwest::Client::new().post(url).body(body)).await
 }
 
-/// Gets a path.
+/// Sends a GET request.
 pub async fn get(directory: SocketAddr, path: &str) -> Answer {
     send(reqwest::Client::new().get(format!("http://{directory}{path}"))).await
 }
 
-/// Waits until `look` finds something, as long as the test's own patience.
+/// Polls until `look` returns a value; panics after 30 s.
 pub async fn eventually<T>(what: &str, mut look: impl AsyncFnMut() -> Option<T>) -> T {
     let search = async {
         loop {
@@ -288,7 +288,7 @@
     .await;
 }
 
-/// Whether the directory shows the instance, and in what phase.
+/// Phase of the instance in the directory's view; `None` when absent.
 pub fn phase(directory: &Directory, id: &str) -> Option<members::Phase> {
     directory.shared().step(|inner, _| {
         let mut records = inner.members.instances().records();
@@ -299,7 +299,7 @@
     })
 }
 
-/// The catalogue version held and whether it is current.
+/// The catalogue version and whether it is current.
 pub fn version(directory: &Directory) -> (u64, bool) {
     let now = directory.shared().clock.now();
     directory
@@ -307,8 +307,8 @@
         .step(|inner, _| (inner.version(), inner.freshness.is_current(now)))
 }
 
-/// The hosts that a caller is told, or none.
-pub async fn named(directory: SocketAddr) -> Vec<String> {
+/// Addresses in the response to a caller; empty on an error.
+pub async fn routed_addresses(directory: SocketAddr) -> Vec<String> {
     let answer = get(directory, "/v1/route?service=grants").await;
     let route: Option<directory::route::Route> = serde_json::from_str(&answer.body).ok();
     route.map_or_else(Vec::new, |r| {
@@ -316,7 +316,7 @@
     })
 }
 
-/// Announces an instance again and again until dropped.
+/// Announces an instance repeatedly until dropped.
 pub struct Upstream(JoinHandle<()>);
 
 impl Upstream {
--- a/crates/directory/tests/common/relay.rs
+++ b/crates/directory/tests/common/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that can go silent without an error to either side.
+//! A TCP relay that can drop traffic without an error to either side.
 
 use std::net::SocketAddr;
 
@@ -10,46 +10,46 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Passes bytes on until cut.
+/// Forwards bytes until cut.
 pub struct Relay {
     pub address: SocketAddr,
     cut: watch::Sender<bool>,
 }
 
 impl Relay {
-    /// A relay to `target`.
+    /// Starts a relay to `target`.
     pub async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let cut = watch::Sender::new(false);
         let cuts = cut.clone();
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(join(near, target, cuts.subscribe()));
+            while let Ok((client, _)) = listener.accept().await {
+                tokio::spawn(relay(client, target, cuts.subscribe()));
             }
         });
         Self { address, cut }
     }
 
-    /// Drops all bytes from now on, or no more.
+    /// Drops all traffic from now on, or stops dropping.
     pub fn cut(&self, cut: bool) {
         self.cut.send_replace(cut);
     }
 }
 
-async fn join(near: TcpStream, target: SocketAddr, cut: watch::Receiver<bool>) {
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn relay(client: TcpStream, target: SocketAddr, cut: watch::Receiver<bool>) {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    let (near_in, near_out) = tokio::io::split(near);
-    let (far_in, far_out) = tokio::io::split(far);
+    let (client_read, client_write) = tokio::io::split(client);
+    let (server_read, server_write) = tokio::io::split(server);
     tokio::join!(
-        pass(near_in, far_out, cut.clone()),
-        pass(far_in, near_out, cut)
+        forward(client_read, server_write, cut.clone()),
+        forward(server_read, client_write, cut)
     );
 }
 
-async fn pass(
+async fn forward(
     mut from: ReadHalf<TcpStream>,
     mut to: WriteHalf<TcpStream>,
     mut cut: watch::Receiver<bool>,
@@ -59,7 +59,7 @@
         let Ok(count) = from.read(&mut buffer).await else {
             return;
         };
-        // What was cut is never delivered, also not after the cut.
+        // Dropped bytes are never delivered, not even after the cut ends.
         if *cut.borrow_and_update() {
             let _ = cut.wait_for(|cut| !cut).await;
             return;
--- a/crates/directory/tests/test_daemon.rs
+++ b/crates/directory/tests/test_daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process: exit codes, the ready line, the stop on SIGTERM.
+//! The daemon as a process: exit codes, the ready line, and the stop on SIGTERM.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -42,10 +42,10 @@
     ];
     for (args, code, text) in cases {
         let output = run(&args);
-        let said = [output.stdout, output.stderr].concat();
-        let said = String::from_utf8_lossy(&said);
-        assert_eq!(output.status.code(), Some(code), "{args:?}: {said}");
-        assert!(said.contains(text), "{args:?}: {said}");
+        let output_text = [output.stdout, output.stderr].concat();
+        let output_text = String::from_utf8_lossy(&output_text);
+        assert_eq!(output.status.code(), Some(code), "{args:?}: {output_text}");
+        assert!(output_text.contains(text), "{args:?}: {output_text}");
     }
 }
 
--- a/crates/directory/tests/test_path.rs
+++ b/crates/directory/tests/test_path.rs
@@ -1,4 +1,4 @@
-//! The thin path: announce, follow, poll, ask.
+//! The main path: announce, follow, poll, route.
 
 use std::sync::Arc;
 
--- a/crates/directory/tests/test_port.rs
+++ b/crates/directory/tests/test_port.rs
@@ -1,4 +1,4 @@
-//! Bad input at each port: a clear answer, and nobody else's call is touched.
+//! Invalid input at each port must be refused without affecting other connections.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::common;
 use crate::common::Gateway;
 
-/// One directory with one instance and one host, so that a good call can be checked.
+/// One directory with one instance and one host, so that valid requests can be checked.
 async fn start() -> (directory::Directory, Gateway, common::Upstream) {
     let (_control, address) = common::control().await;
     let settings = vec![common::settings("a", "milano")];
@@ -19,13 +19,13 @@
     let host = common::host("a", "milano", HostPhase::Serving, 0);
     let gateway = Gateway::start(directory.rpc(), host);
     let upstream = common::Upstream::start(directory.http(), "good");
-    works(&directory).await;
+    check_works(&directory).await;
     (directory, gateway, upstream)
 }
 
-async fn works(directory: &directory::Directory) {
+async fn check_works(directory: &directory::Directory) {
     common::eventually("a good answer", async || {
-        (common::named(directory.http()).await.len() == 1).then_some(())
+        (common::routed_addresses(directory.http()).await.len() == 1).then_some(())
     })
     .await;
 }
@@ -94,14 +94,14 @@
         ("name with space", with("bad", "b d"), 400, "field"),
         ("large", with("bad", &"x".repeat(5000)), 413, "large"),
     ];
-    for (name, body, status, word) in cases {
+    for (name, body, status, error_code) in cases {
         let answer = common::announce(directory.http(), body).await;
         assert_eq!(answer.status, status, "{name}: {answer:?}");
-        let error = format!(r#"{{"error":"{word}","detail":""#);
+        let error = format!(r#"{{"error":"{error_code}","detail":""#);
         assert!(answer.body.starts_with(&error), "{name}: {answer:?}");
     }
     assert_eq!(common::phase(&directory, "bad"), None);
-    works(&directory).await;
+    check_works(&directory).await;
 }
 
 #[tokio::test]
@@ -124,15 +124,15 @@
         ("GET", "/v1/route?service=nothing", 404, "unknown-service"),
         ("GET", "/v1/route?service=%00%ff", 404, "unknown-service"),
     ];
-    for (method, path, status, word) in cases {
+    for (method, path, status, error_code) in cases {
         let method = method.parse().expect("a method");
         let url = format!("http://{}{path}", directory.http());
         let answer = common::send(reqwest::Client::new().request(method, url)).await;
         assert_eq!(answer.status, status, "{path}: {answer:?}");
-        let error = format!(r#"{{"error":"{word}","detail":""#);
+        let error = format!(r#"{{"error":"{error_code}","detail":""#);
         assert!(answer.body.starts_with(&error), "{path}: {answer:?}");
     }
-    works(&directory).await;
+    check_works(&directory).await;
 }
 
 #[tokio::test]
@@ -165,12 +165,12 @@
         let end =
             tokio::time::timeout(Duration::from_secs(20), stream.read_to_end(&mut rest)).await;
         assert!(end.is_ok(), "{name}: the connection was left open");
-        works(&directory).await;
+        check_works(&directory).await;
     }
 }
 
 #[tokio::test]
-async fn test_port_slow_sender_is_ended() {
+async fn test_port_slow_sender_is_refused() {
     let (directory, _gateway, _upstream) = start().await;
     let mut stream = TcpStream::connect(directory.http())
         .await
@@ -181,5 +181,5 @@
     let count = stream.read(&mut rest).await.expect("an answer");
     let answer = String::from_utf8_lossy(&rest[..count]);
     assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
-    works(&directory).await;
+    check_works(&directory).await;
 }
--- a/crates/directory/tests/test_settings.rs
+++ b/crates/directory/tests/test_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: every fault at once, and what is printed reads back.
+//! Invalid settings must all be reported at once, and printed settings must parse again.
 
 use conf::Reader;
 use directory::Settings;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn test_settings_every_fault_is_told() {
+fn test_settings_every_fault_is_reported() {
     let cases = [
         ("host = a\n", "", "[directory] host: is missing"),
         (
--- a/crates/directory/tests/test_spread.rs
+++ b/crates/directory/tests/test_spread.rs
@@ -1,5 +1,4 @@
-//! What reaches every directory, and what is no longer told: drains, silence,
-//! cuts, fences and restarts.
+//! Drains, expiry, partitions, fences and restarts must reach every directory.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,8 +17,8 @@
 
 const FENCE: Duration = Duration::from_secs(1);
 
-/// Settings of three directories whose confirmations count for [`FENCE`].
-fn three() -> Vec<Settings> {
+/// Settings of three directories with a confirmation lease of [`FENCE`].
+fn three_settings() -> Vec<Settings> {
     let all = [("a", "milano"), ("b", "torino"), ("c", "genova")];
     let make = |(host, domain)| {
         let mut settings = common::settings(host, domain);
@@ -30,9 +29,9 @@
 }
 
 /// Three directories, each with a control replica of its own.
-async fn trio() -> (Vec<Directory>, Vec<Control>) {
+async fn start_three() -> (Vec<Directory>, Vec<Control>) {
     let mut controls = Vec::new();
-    let mut bounds = common::bind(three()).await;
+    let mut bounds = common::bind(three_settings()).await;
     let rpcs: Vec<SocketAddr> = bounds.iter().map(Bound::rpc).collect();
     for bound in &mut bounds {
         let (control, address) = common::control().await;
@@ -59,10 +58,10 @@
     }
 }
 
-async fn until_named(directories: &[Directory], count: usize) {
+async fn until_routed(directories: &[Directory], count: usize) {
     for directory in directories {
         common::eventually("the hosts everywhere", async || {
-            (common::named(directory.http()).await.len() == count).then_some(())
+            (common::routed_addresses(directory.http()).await.len() == count).then_some(())
         })
         .await;
     }
@@ -77,7 +76,7 @@
 
 #[tokio::test]
 async fn test_spread_phases_reach_every_directory() {
-    let (directories, _controls) = trio().await;
+    let (directories, _controls) = start_three().await;
     let home = directories[0].http();
     let steps = [
         ("starting", 1, Some(Phase::Starting)),
@@ -91,8 +90,8 @@
         until_phase(&directories, "g1", seen).await;
     }
     for directory in &directories {
-        let again = common::announcement("g1", "ready", 1, 5);
-        let answer = common::announce(directory.http(), again).await;
+        let ready_again = common::announcement("g1", "ready", 1, 5);
+        let answer = common::announce(directory.http(), ready_again).await;
         assert_eq!(answer.status, 409, "{answer:?}");
         assert!(answer.body.contains(r#""error":"left""#), "{answer:?}");
     }
@@ -100,7 +99,7 @@
 
 #[tokio::test]
 async fn test_spread_silent_upstream_is_dropped_everywhere() {
-    let (directories, _controls) = trio().await;
+    let (directories, _controls) = start_three().await;
     let upstream = Upstream::start(directories[1].http(), "g1");
     until_phase(&directories, "g1", Some(Phase::Ready)).await;
     drop(upstream);
@@ -109,15 +108,15 @@
 
 #[tokio::test]
 async fn test_spread_upstream_moves_when_its_directory_ends() {
-    let (mut directories, _controls) = trio().await;
+    let (mut directories, _controls) = start_three().await;
     let upstream = Upstream::start(directories[0].http(), "g1");
     until_phase(&directories, "g1", Some(Phase::Ready)).await;
     drop(upstream);
     drop(directories.remove(0));
     let _second = Upstream::start(directories[0].http(), "g1");
-    // The first home's copy ends; the second's lease goes on.
+    // The first home expires; the lease at the second home continues.
     for directory in &directories {
-        common::eventually("the first home silent", async || {
+        common::eventually("the first home expired", async || {
             directory.shared().step(|inner, _| {
                 let homes = inner.members.homes();
                 let dead = homes.iter().any(|(_, home)| !home.alive);
@@ -131,7 +130,7 @@
 
 #[tokio::test]
 async fn test_spread_hosts_not_serving_are_not_named() {
-    let (directories, _controls) = trio().await;
+    let (directories, _controls) = start_three().await;
     let others = [("b", "torino"), ("c", "genova")];
     let _others = others.map(|(name, domain)| {
         let host = common::host(name, domain, HostPhase::Serving, 0);
@@ -142,20 +141,20 @@
         sequence += 1_000_000;
         let serving = common::host("a", "milano", HostPhase::Serving, sequence);
         let gateway = Gateway::start(directories[0].rpc(), serving);
-        until_named(&directories, 3).await;
+        until_routed(&directories, 3).await;
         drop(gateway);
         sequence += 1_000_000;
         let _kept = phase.map(|phase| {
             let host = common::host("a", "milano", phase, sequence);
             Gateway::start(directories[0].rpc(), host)
         });
-        until_named(&directories, 2).await;
+        until_routed(&directories, 2).await;
     }
 }
 
 #[tokio::test]
-async fn test_spread_cut_control_path_is_made_up_for_by_peers() {
-    let (directories, controls) = trio().await;
+async fn test_spread_peers_replace_a_cut_control_path() {
+    let (directories, controls) = start_three().await;
     controls[0].script.send_modify(|s| s.silent = true);
     for control in &controls[1..] {
         control
@@ -163,10 +162,10 @@
             .send_modify(|s| s.catalogue = common::catalogue(2));
     }
     until_version(&directories[0], 2, true).await;
-    // Well past the lease of what its own replica last confirmed.
+    // Longer than the lease of the last confirmation by its own replica.
     tokio::time::sleep(FENCE * 2).await;
     until_version(&directories[0], 2, true).await;
-    // With every path cut all are fenced, and callers are told so at once.
+    // Without any replica, all directories are fenced and refuse callers.
     for control in &controls {
         control.script.send_modify(|s| s.silent = true);
     }
@@ -187,7 +186,7 @@
 
 #[tokio::test]
 async fn test_spread_only_a_quorum_makes_a_version_current() {
-    // The replica's version, whether a quorum stands behind it; what the directory then has.
+    // Version of the replica, whether it is confirmed; expected version and whether it is current.
     let cases = [
         (1, false, (0, false)),
         (1, true, (1, true)),
@@ -197,7 +196,7 @@
     ];
     let (control, address) = common::control().await;
     control.script.send_modify(|s| s.confirmed = false);
-    let settings = three().remove(0);
+    let settings = three_settings().remove(0);
     let directory = common::directories(vec![settings], &[address])
         .await
         .remove(0);
@@ -212,7 +211,7 @@
 
 #[tokio::test]
 async fn test_spread_restarted_directory_takes_nothing_confirmed_before() {
-    let (mut directories, controls) = trio().await;
+    let (mut directories, controls) = start_three().await;
     for control in &controls {
         control
             .script
@@ -221,35 +220,35 @@
     for directory in &directories {
         until_version(directory, 2, true).await;
     }
-    // No quorum from here on: peers hold confirmations only from before the restart.
+    // Without a quorum, peers only have confirmations from before the restart.
     for control in &controls {
         control.script.send_modify(|s| s.confirmed = false);
     }
     drop(directories.remove(0));
     let peers = directories.iter().map(Directory::rpc).collect();
-    let mut settings = three().remove(0);
+    let mut settings = three_settings().remove(0);
     settings.peers = peers;
     let log = telemetry::log::silent();
     let metrics = telemetry::metrics::silent();
-    let again = directory::start(settings, log, metrics)
+    let restarted = directory::start(settings, log, metrics)
         .await
         .expect("starts");
     common::eventually("both peers known", async || {
-        again
+        restarted
             .shared()
             .step(|inner, _| (inner.members.homes().iter().count() == 3).then_some(()))
     })
     .await;
-    assert_eq!(common::version(&again), (0, false));
+    assert_eq!(common::version(&restarted), (0, false));
     for control in &controls {
         control.script.send_modify(|s| s.confirmed = true);
     }
-    until_version(&again, 2, true).await;
+    until_version(&restarted, 2, true).await;
 }
 
 #[tokio::test]
-async fn test_spread_home_cut_off_in_silence_keeps_nothing_alive() {
-    let mut bounds = common::bind(three()).await;
+async fn test_spread_records_of_a_partitioned_home_expire() {
+    let mut bounds = common::bind(three_settings()).await;
     let (_control, address) = common::control().await;
     let mut relays = Vec::new();
     let rpcs: Vec<SocketAddr> = bounds.iter().map(Bound::rpc).collect();
@@ -276,7 +275,7 @@
     assert_eq!(
         common::phase(&directories[0], "g1"),
         Some(Phase::Ready),
-        "its own home hears it"
+        "its own home still receives its announcements"
     );
     for (_, relay) in &relays {
         relay.cut(false);
--- a/crates/directory/tests/test_stop.rs
+++ b/crates/directory/tests/test_stop.rs
@@ -1,4 +1,4 @@
-//! The graceful stop.
+//! A graceful stop must reply to waiting polls.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::common;
 
 #[tokio::test]
-async fn test_stop_answers_held_polls() {
+async fn test_stop_answers_waiting_polls() {
     let (_control, address) = common::control().await;
     let settings = vec![common::settings("a", "milano")];
     let directory = common::directories(settings, &[address]).await.remove(0);
@@ -17,30 +17,33 @@
     let peer = wire::peer::directory(directory.rpc());
     let client = peer.client().await.expect("connects");
     let host = common::host("a", "milano", HostPhase::Serving, 1);
-    let ask = Sync {
+    let request = Sync {
         host: Some(host),
         have: 1,
         wait_ms: 60_000,
         ..Sync::default()
     };
-    // The whole table at once, then a poll that is held.
+    // The first poll returns the whole table at once, the second one waits.
     let first = client
-        .sync(link::within(Duration::from_secs(5)), ask.clone())
+        .sync(link::within(Duration::from_secs(5)), request.clone())
         .await
         .expect("answered");
-    let ask = Sync {
+    let request = Sync {
         epoch: first.epoch,
         cursor: first.cursor,
-        ..ask
+        ..request
     };
-    let held =
-        tokio::spawn(async move { client.sync(link::within(Duration::from_secs(5)), ask).await });
-    let mut seen = directory.shared().watch();
-    let polled = seen.wait_for(|stamp| stamp.hosts > 0).await;
+    let waiting = tokio::spawn(async move {
+        client
+            .sync(link::within(Duration::from_secs(5)), request)
+            .await
+    });
+    let mut seen = directory.shared().subscribe();
+    let polled = seen.wait_for(|version| version.hosts > 0).await;
     polled.expect("the poll came");
     let http = directory.http();
     assert!(directory.stop().await, "within its time");
-    let reply = held.await.expect("ends").expect("is answered");
+    let reply = waiting.await.expect("ends").expect("is answered");
     assert_eq!(reply.confirmed, 1);
     assert!(
         tokio::net::TcpStream::connect(http).await.is_err(),
--- a/crates/directory/tests/tests.rs
+++ b/crates/directory/tests/tests.rs
@@ -1,4 +1,4 @@
-//! All tests of the directory, as one binary that shares its fakes.
+//! Tests of the directory, built as one binary.
 
 mod common;
 mod test_daemon;
--- a/crates/place/tests/test_place.rs
+++ b/crates/place/tests/test_place.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn test_place_a_slot_less_moves_nothing() {
+fn test_place_small_slot_change_moves_nothing() {
     let all = hosts(15, 3);
     let services = demands(130);
     let before = Placement::new(&all, &services, Spread::default());
