--- a/crates/members/src/confirm.rs
+++ b/crates/members/src/confirm.rs
@@ -14,7 +14,7 @@
 pub struct Confirmed {
     /// Catalogue version.
     pub version: u64,
-    /// A time at or before which the version was still the latest one.
+    /// The version was the latest one at this moment or later.
     pub moment: Moment,
 }
 
--- a/crates/members/src/homes.rs
+++ b/crates/members/src/homes.rs
@@ -119,8 +119,8 @@
     pub fn expire(&mut self, me: &HostName, lease: Duration, now: Moment) -> Expired {
         let mut expired = Expired::default();
         for (name, home) in &mut self.homes {
-            let late = home.last_seen.is_none_or(|v| now.since(v) > lease);
-            if name == me || !home.alive || !late {
+            let overdue = home.last_seen.is_none_or(|v| now.since(v) > lease);
+            if name == me || !home.alive || !overdue {
                 continue;
             }
             home.alive = false;
--- a/crates/members/tests/test_members.rs
+++ b/crates/members/tests/test_members.rs
@@ -20,7 +20,7 @@
 
 fn classify(result: &Result<Accepted, AnnounceError>) -> Expected {
     match result {
-        Ok(heard) => Expected::Accepted(*heard),
+        Ok(accepted) => Expected::Accepted(*accepted),
         Err(AnnounceError::Older(_)) => Expected::Older,
         Err(AnnounceError::Left(_)) => Expected::Left,
         Err(AnnounceError::Full(_)) => panic!("there is room"),
