--- a/crates/hub/src/commands.rs
+++ b/crates/hub/src/commands.rs
@@ -216,7 +216,7 @@
         let now = self.state.clock.now();
         let inner = self.state.lock();
         let hosts = inner.entries.list(now);
-        let addresses = place::near(&hosts, name, domain, region, self.state.settings.spread);
+        let addresses = place::nearest(&hosts, name, domain, region, self.state.settings.spread);
         (addresses, inner.ttl.unwrap_or(self.state.settings.ttl))
     }
 
--- a/crates/hub/src/http.rs
+++ b/crates/hub/src/http.rs
@@ -10,7 +10,7 @@
 
 use announce::Reason;
 use announce::Refusal;
-use announce::page;
+use announce::endpoint;
 use salvo::Depot;
 use salvo::FlowCtrl;
 use salvo::Handler;
@@ -57,7 +57,7 @@
     let announce = Router::with_path("v1/announce").post(Announce(commands.clone()));
     let hosts = Router::with_path("v1/hosts").get(Resolve(commands.clone()));
     let router = Router::new().push(announce).push(hosts);
-    Service::new(router).catcher(Catcher::new(page::Caught))
+    Service::new(router).catcher(Catcher::new(endpoint::RefusalCatcher))
 }
 
 /// Listens on `address`. Returns the bound address and a future that serves until dropped.
@@ -80,7 +80,7 @@
 #[salvo::async_trait]
 impl Handler for Announce {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let result = match page::receive(req).await {
+        let result = match endpoint::receive(req).await {
             Ok(announcement) => apply(&self.0, announcement).await,
             Err(refusal) => Err(refusal),
         };
@@ -88,7 +88,7 @@
             warn!(self.0.log(), "announcement refused";
                 "reason" => Into::<&str>::into(refusal.reason), "detail" => &refusal.detail);
         }
-        page::render(res, result);
+        endpoint::render(res, result);
     }
 }
 
@@ -144,7 +144,7 @@
                 ttl_ms: millis(ttl),
             })
         };
-        page::render(res, result);
+        endpoint::render(res, result);
     }
 }
 
