--- a/crates/control/src/driver/propose.rs
+++ b/crates/control/src/driver/propose.rs
@@ -110,7 +110,7 @@
     /// let it expire at the same place of the log.
     pub(super) fn expire(&mut self) {
         self.next_expiry = self.clock.now() + EXPIRY;
-        let due = self.parts.machine.ledger().next_due_ms();
+        let due = self.parts.machine.ledger().next_expiry_ms();
         if due.is_none_or(|due| due > self.log_time()) || !self.leads() {
             return;
         }
--- a/crates/ledger/src/machine.rs
+++ b/crates/ledger/src/machine.rs
@@ -101,7 +101,7 @@
 
     /// When the next record changes by itself; a leader then logs an `Expire`.
     #[must_use]
-    pub fn next_due_ms(&self) -> Option<u64> {
+    pub fn next_expiry_ms(&self) -> Option<u64> {
         self.timers.first().map(|(due, _)| *due)
     }
 
@@ -183,7 +183,7 @@
 
     fn first_claim(&mut self, key: Key, claim: &Claim) -> Kind {
         if self.is_full(key.service()) {
-            let due = self.next_due_ms().unwrap_or(self.now_ms);
+            let due = self.next_expiry_ms().unwrap_or(self.now_ms);
             return Kind::Full(Full {
                 retry_ms: self.retry_ms(due),
             });
--- a/crates/ledger/tests/test_ledger.rs
+++ b/crates/ledger/tests/test_ledger.rs
@@ -287,10 +287,10 @@
     let expire = Command {
         kind: Some(command::Kind::Expire(Expire {})),
     };
-    let due = ledger.next_due_ms().expect("records are due");
+    let due = ledger.next_expiry_ms().expect("records are due");
     assert_eq!(ledger.apply(due, &expire), Reply::Expire);
     assert_eq!(ledger.counts(), Counts::default());
-    assert_eq!(ledger.next_due_ms(), None);
+    assert_eq!(ledger.next_expiry_ms(), None);
 }
 
 #[test]
--- a/crates/ledger/tests/test_schedules.rs
+++ b/crates/ledger/tests/test_schedules.rs
@@ -111,7 +111,7 @@
             (Some(Settled::Done | Settled::Unknown), "recorded") => seen.closed = true,
             _ => {}
         }
-        let due = ledger.next_due_ms().is_none_or(|due| due > ledger.now_ms());
+        let due = ledger.next_expiry_ms().is_none_or(|due| due > ledger.now_ms());
         if !due {
             return Err(format!("step {index}: a record is past its due time"));
         }
