--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ledger::Bounds;
+use ledger::Limits;
 use ledger::Key;
 use ledger::bounds::MAX_CLAIM_ID;
 use slog::Logger;
@@ -195,7 +195,7 @@
         }
         // The ledger would drop a long answer, so the log needn't carry it.
         if let Some(answer) = &mut settle.answer
-            && answer.body.len() > Bounds::default().body
+            && answer.body.len() > Limits::default().body
         {
             answer.body.clear();
             answer.omitted = true;
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -9,7 +9,7 @@
 use catalogue::state::RestoreError as BookError;
 use evacuation::Domains;
 use evacuation::StateError;
-use ledger::Bounds;
+use ledger::Limits;
 use ledger::Ledger;
 use ledger::Reply;
 use ledger::RestoreError as LedgerError;
@@ -109,7 +109,7 @@
     fn default() -> Self {
         Self {
             book: Book::default(),
-            ledger: Ledger::new(Bounds::default()),
+            ledger: Ledger::new(Limits::default()),
             table: Arc::default(),
             registry: Arc::default(),
             evacuations: Arc::default(),
@@ -133,7 +133,7 @@
         let evacuations = state.evacuations.unwrap_or_default();
         Ok(Self {
             book: Book::restore(catalogue::history::Window::default(), &book)?,
-            ledger: Ledger::restore(Bounds::default(), &ledger)?,
+            ledger: Ledger::restore(Limits::default(), &ledger)?,
             table: Arc::new(state.table.unwrap_or_default()),
             registry: Arc::new(restored(state.instances)),
             evacuations: Arc::new(Domains::from_wire(&evacuations)?),
--- a/crates/ledger/examples/ledger_slopes.rs
+++ b/crates/ledger/examples/ledger_slopes.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use ledger::Bounds;
+use ledger::Limits;
 use ledger::Ledger;
 use ledger::record::digest;
 use prost::Message;
@@ -72,11 +72,11 @@
 }
 
 fn measure(records: u64, answer: usize) {
-    let bounds = Bounds {
+    let bounds = Limits {
         records: usize::MAX,
         service: usize::MAX,
         answers: usize::MAX,
-        ..Bounds::default()
+        ..Limits::default()
     };
     let body = Bytes::from(vec![b'x'; answer]);
     let before = resident();
--- a/crates/ledger/src/bounds.rs
+++ b/crates/ledger/src/bounds.rs
@@ -2,7 +2,7 @@
 
 /// Bounds of a ledger; they must be equal on all replicas, as they decide replies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct Limits {
     /// Records over all services; more claims get `Full`.
     pub records: usize,
     /// Records of one service, so that none fills the ledger for the others.
@@ -30,7 +30,7 @@
 /// Longest time that a refused caller is asked to wait, in milliseconds.
 pub const MAX_RETRY_MS: u64 = 1_000;
 
-impl Default for Bounds {
+impl Default for Limits {
     fn default() -> Self {
         Self {
             records: 262_144,
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod record;
 pub mod snapshot;
 
-pub use bounds::Bounds;
+pub use bounds::Limits;
 pub use key::Key;
 pub use machine::Counts;
 pub use machine::Ledger;
--- a/crates/ledger/src/machine.rs
+++ b/crates/ledger/src/machine.rs
@@ -21,7 +21,7 @@
 use wire::ledger::claim_reply::Kind;
 use wire::ledger::command;
 
-use crate::bounds::Bounds;
+use crate::bounds::Limits;
 use crate::bounds::MAX_CLAIM_ID;
 use crate::bounds::MAX_RETRY_MS;
 use crate::key::Key;
@@ -57,7 +57,7 @@
 /// and none of them lies at or before `now_ms`.
 #[derive(Clone, Debug)]
 pub struct Ledger {
-    pub(crate) bounds: Bounds,
+    pub(crate) bounds: Limits,
     pub(crate) now_ms: u64,
     pub(crate) records: BTreeMap<Key, Record>,
     timers: BTreeSet<(u64, Key)>,
@@ -68,7 +68,7 @@
 impl Ledger {
     /// An empty ledger.
     #[must_use]
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(bounds: Limits) -> Self {
         Self {
             bounds,
             now_ms: 0,
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -5,7 +5,7 @@
 use strum::IntoStaticStr;
 use wire::ledger::Answer;
 
-use crate::bounds::Bounds;
+use crate::bounds::Limits;
 use crate::bounds::MAX_CONTENT_TYPE;
 
 /// Where a record stands.
@@ -52,7 +52,7 @@
     /// Takes `answer` whole where it is within `bounds` and true to its
     /// digest, else without its body.
     #[must_use]
-    pub fn within(bounds: &Bounds, answer: Option<&Answer>, room: usize) -> Self {
+    pub fn within(bounds: &Limits, answer: Option<&Answer>, room: usize) -> Self {
         let Some(answer) = answer else {
             return Self::new(&Answer {
                 omitted: true,
--- a/crates/ledger/src/snapshot.rs
+++ b/crates/ledger/src/snapshot.rs
@@ -4,7 +4,7 @@
 use wire::ledger::Snapshot;
 use wire::ledger::Standing as WireStanding;
 
-use crate::bounds::Bounds;
+use crate::bounds::Limits;
 use crate::key::Key;
 use crate::machine::Ledger;
 use crate::record::KeptAnswer;
@@ -49,7 +49,7 @@
     /// # Errors
     ///
     /// Fails on a record that no ledger writes.
-    pub fn restore(bounds: Bounds, snapshot: &Snapshot) -> Result<Self, RestoreError> {
+    pub fn restore(bounds: Limits, snapshot: &Snapshot) -> Result<Self, RestoreError> {
         let mut ledger = Self::new(bounds);
         ledger.now_ms = snapshot.now_ms;
         for (index, record) in snapshot.records.iter().enumerate() {
--- a/crates/ledger/tests/test_ledger.rs
+++ b/crates/ledger/tests/test_ledger.rs
@@ -9,7 +9,7 @@
 use helpers::settle;
 use helpers::timed_key;
 use helpers::word;
-use ledger::Bounds;
+use ledger::Limits;
 use ledger::Counts;
 use ledger::Key;
 use ledger::Ledger;
@@ -86,7 +86,7 @@
         ),
     ];
     for (name, steps) in cases {
-        run(name, &mut Ledger::new(Bounds::default()), &steps);
+        run(name, &mut Ledger::new(Limits::default()), &steps);
     }
 }
 
@@ -164,13 +164,13 @@
         ),
     ];
     for (name, steps) in cases {
-        run(name, &mut Ledger::new(Bounds::default()), &steps);
+        run(name, &mut Ledger::new(Limits::default()), &steps);
     }
 }
 
 #[test]
 fn test_ledger_windows() {
-    let bounds = Bounds::default();
+    let bounds = Limits::default();
     let window = bounds.window_ms;
     let timed = timed_key(START_MS);
     let early = timed_key(START_MS + bounds.early_ms + 1);
@@ -217,7 +217,7 @@
     for (name, steps) in cases {
         run(name, &mut Ledger::new(bounds), &steps);
     }
-    let mut strict = Ledger::new(Bounds {
+    let mut strict = Ledger::new(Limits {
         untimed: false,
         ..bounds
     });
@@ -230,12 +230,12 @@
 
 #[test]
 fn test_ledger_bounds() {
-    let bounds = Bounds {
+    let bounds = Limits {
         records: 3,
         service: 2,
         answers: answer(b"12345678").encoded_len(),
         body: 16,
-        ..Bounds::default()
+        ..Limits::default()
     };
     let mut ledger = Ledger::new(bounds);
     let long = answer(b"seventeen bytes!!");
@@ -295,7 +295,7 @@
 
 #[test]
 fn test_ledger_restore_faults() {
-    let mut ledger = Ledger::new(Bounds::default());
+    let mut ledger = Ledger::new(Limits::default());
     ledger.apply(START_MS, &claim("k", "a", 1));
     let whole = ledger.snapshot();
     let mut nameless = whole.clone();
@@ -310,7 +310,7 @@
         (twice, RestoreError::Twice(1)),
     ];
     for (snapshot, expect) in cases {
-        let found = Ledger::restore(Bounds::default(), &snapshot).map(|l| l.counts());
+        let found = Ledger::restore(Limits::default(), &snapshot).map(|l| l.counts());
         assert_eq!(found, Err(expect));
     }
 }
--- a/crates/ledger/tests/test_schedules.rs
+++ b/crates/ledger/tests/test_schedules.rs
@@ -10,7 +10,7 @@
 use helpers::settle;
 use helpers::timed_key;
 use helpers::word;
-use ledger::Bounds;
+use ledger::Limits;
 use ledger::Ledger;
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
@@ -48,9 +48,9 @@
 
 /// Plays a schedule; `Err` names the first step that broke the promise.
 fn play(moves: &[Move], keys: &[String; 3], window_ms: u64) -> Result<(), String> {
-    let bounds = Bounds {
+    let bounds = Limits {
         window_ms,
-        ..Bounds::default()
+        ..Limits::default()
     };
     let mut ledger = Ledger::new(bounds);
     let mut seen = [Seen::default(), Seen::default(), Seen::default()];
