--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -4,7 +4,7 @@
 
 use ledger::Limits;
 use ledger::Key;
-use ledger::bounds::MAX_CLAIM_ID;
+use ledger::limits::MAX_CLAIM_ID;
 use slog::Logger;
 use slog::info;
 use tarpc::context::Context;
--- a/crates/ledger/examples/ledger_slopes.rs
+++ b/crates/ledger/examples/ledger_slopes.rs
@@ -72,7 +72,7 @@
 }
 
 fn measure(records: u64, answer: usize) {
-    let bounds = Limits {
+    let limits = Limits {
         records: usize::MAX,
         service: usize::MAX,
         answers: usize::MAX,
@@ -80,7 +80,7 @@
     };
     let body = Bytes::from(vec![b'x'; answer]);
     let before = resident();
-    let mut ledger = Ledger::new(bounds);
+    let mut ledger = Ledger::new(limits);
     let mut nanos = 0;
     for n in 0..records {
         let commands = [claim(n), settle(n, &body)];
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -11,13 +11,13 @@
 //!   kept, and for a key that tells when it was minted, none ever again;
 //! - a settlement touches only the claim that it names.
 
-pub mod bounds;
+pub mod limits;
 pub mod key;
 pub mod machine;
 pub mod record;
 pub mod snapshot;
 
-pub use bounds::Limits;
+pub use limits::Limits;
 pub use key::Key;
 pub use machine::Counts;
 pub use machine::Ledger;
--- a/crates/ledger/src/machine.rs
+++ b/crates/ledger/src/machine.rs
@@ -21,9 +21,9 @@
 use wire::ledger::claim_reply::Kind;
 use wire::ledger::command;
 
-use crate::bounds::Limits;
-use crate::bounds::MAX_CLAIM_ID;
-use crate::bounds::MAX_RETRY_MS;
+use crate::limits::Limits;
+use crate::limits::MAX_CLAIM_ID;
+use crate::limits::MAX_RETRY_MS;
 use crate::key::Key;
 use crate::record::KeptAnswer;
 use crate::record::Record;
@@ -57,7 +57,7 @@
 /// and none of them lies at or before `now_ms`.
 #[derive(Clone, Debug)]
 pub struct Ledger {
-    pub(crate) bounds: Limits,
+    pub(crate) limits: Limits,
     pub(crate) now_ms: u64,
     pub(crate) records: BTreeMap<Key, Record>,
     timers: BTreeSet<(u64, Key)>,
@@ -68,9 +68,9 @@
 impl Ledger {
     /// An empty ledger.
     #[must_use]
-    pub fn new(bounds: Limits) -> Self {
+    pub fn new(limits: Limits) -> Self {
         Self {
-            bounds,
+            limits,
             now_ms: 0,
             records: BTreeMap::new(),
             timers: BTreeSet::new(),
@@ -172,12 +172,12 @@
 
     fn refusal(&self, key: &Key) -> Option<Refusal> {
         let Some(minted) = key.minted_ms() else {
-            return (!self.bounds.untimed).then_some(Refusal::Untimed);
+            return (!self.limits.untimed).then_some(Refusal::Untimed);
         };
-        if minted > self.now_ms.saturating_add(self.bounds.early_ms) {
+        if minted > self.now_ms.saturating_add(self.limits.early_ms) {
             return Some(Refusal::Early);
         }
-        let end = minted.saturating_add(self.bounds.window_ms);
+        let end = minted.saturating_add(self.limits.window_ms);
         (end < self.now_ms).then_some(Refusal::Expired)
     }
 
@@ -193,7 +193,7 @@
 
     fn grant(&mut self, key: Key, claim: &Claim) -> Kind {
         self.take(&key);
-        let hold_ms = u64::from(claim.hold_ms).clamp(1, self.bounds.hold_ms);
+        let hold_ms = u64::from(claim.hold_ms).clamp(1, self.limits.hold_ms);
         let record = Record {
             digest: Some(claim.digest),
             standing: Standing::InFlight,
@@ -251,8 +251,8 @@
         record.due_ms = self.end_ms(&key);
         record.standing = match settled {
             Settled::Done => {
-                let room = self.bounds.answers.saturating_sub(self.counts.answers);
-                Standing::Done(KeptAnswer::within(&self.bounds, answer, room))
+                let room = self.limits.answers.saturating_sub(self.counts.answers);
+                Standing::Done(KeptAnswer::within(&self.limits, answer, room))
             }
             Settled::NotRun => Standing::NotRun,
             Settled::Unknown | Settled::Unspecified => Standing::Unknown,
@@ -266,7 +266,7 @@
     /// is lost with the record.
     fn end_ms(&self, key: &Key) -> u64 {
         let from = key.minted_ms().unwrap_or(self.now_ms);
-        let end = from.saturating_add(self.bounds.window_ms).saturating_add(1);
+        let end = from.saturating_add(self.limits.window_ms).saturating_add(1);
         end.max(self.now_ms + 1)
     }
 
@@ -277,7 +277,7 @@
 
     fn is_full(&self, service: &str) -> bool {
         let taken = self.services.get(service).copied().unwrap_or(0);
-        self.records.len() >= self.bounds.records || taken >= self.bounds.service
+        self.records.len() >= self.limits.records || taken >= self.limits.service
     }
 
     pub(crate) fn put(&mut self, key: Key, record: Record) {
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -5,8 +5,8 @@
 use strum::IntoStaticStr;
 use wire::ledger::Answer;
 
-use crate::bounds::Limits;
-use crate::bounds::MAX_CONTENT_TYPE;
+use crate::limits::Limits;
+use crate::limits::MAX_CONTENT_TYPE;
 
 /// Where a record stands.
 #[derive(Clone, Debug, PartialEq, IntoStaticStr, Display)]
@@ -52,7 +52,7 @@
     /// Takes `answer` whole where it is within `bounds` and true to its
     /// digest, else without its body.
     #[must_use]
-    pub fn within(bounds: &Limits, answer: Option<&Answer>, room: usize) -> Self {
+    pub fn within(limits: &Limits, answer: Option<&Answer>, room: usize) -> Self {
         let Some(answer) = answer else {
             return Self::new(&Answer {
                 omitted: true,
@@ -60,7 +60,7 @@
             });
         };
         let whole = !answer.omitted
-            && answer.body.len() <= bounds.body
+            && answer.body.len() <= limits.body
             && answer.content_type.len() <= MAX_CONTENT_TYPE
             && answer.encoded_len() <= room
             && digest(&answer.body) == answer.digest;
--- a/crates/ledger/src/snapshot.rs
+++ b/crates/ledger/src/snapshot.rs
@@ -4,7 +4,7 @@
 use wire::ledger::Snapshot;
 use wire::ledger::Standing as WireStanding;
 
-use crate::bounds::Limits;
+use crate::limits::Limits;
 use crate::key::Key;
 use crate::machine::Ledger;
 use crate::record::KeptAnswer;
@@ -49,8 +49,8 @@
     /// # Errors
     ///
     /// Fails on a record that no ledger writes.
-    pub fn restore(bounds: Limits, snapshot: &Snapshot) -> Result<Self, RestoreError> {
-        let mut ledger = Self::new(bounds);
+    pub fn restore(limits: Limits, snapshot: &Snapshot) -> Result<Self, RestoreError> {
+        let mut ledger = Self::new(limits);
         ledger.now_ms = snapshot.now_ms;
         for (index, record) in snapshot.records.iter().enumerate() {
             let key = Key::read(&record.service, &record.caller, &record.key)
--- a/crates/ledger/tests/test_ledger.rs
+++ b/crates/ledger/tests/test_ledger.rs
@@ -170,10 +170,10 @@
 
 #[test]
 fn test_ledger_windows() {
-    let bounds = Limits::default();
-    let window = bounds.window_ms;
+    let limits = Limits::default();
+    let window = limits.window_ms;
     let timed = timed_key(START_MS);
-    let early = timed_key(START_MS + bounds.early_ms + 1);
+    let early = timed_key(START_MS + limits.early_ms + 1);
     let cases = [
         (
             "a timed key is refused after its window, whatever became of it",
@@ -215,11 +215,11 @@
         ),
     ];
     for (name, steps) in cases {
-        run(name, &mut Ledger::new(bounds), &steps);
+        run(name, &mut Ledger::new(limits), &steps);
     }
     let mut strict = Ledger::new(Limits {
         untimed: false,
-        ..bounds
+        ..limits
     });
     let steps = [
         step(0, claim("k", "a", 1), "REFUSAL_UNTIMED"),
@@ -230,14 +230,14 @@
 
 #[test]
 fn test_ledger_bounds() {
-    let bounds = Limits {
+    let limits = Limits {
         records: 3,
         service: 2,
         answers: answer(b"12345678").encoded_len(),
         body: 16,
         ..Limits::default()
     };
-    let mut ledger = Ledger::new(bounds);
+    let mut ledger = Ledger::new(limits);
     let long = answer(b"seventeen bytes!!");
     let forged = Answer {
         digest: 1,
@@ -256,20 +256,20 @@
             "recorded",
         ),
         step(0, claim("k2", "b", 1), "done:omitted"),
-        step(bounds.window_ms + 1, claim("k3", "a", 1), "granted"),
-        step(bounds.window_ms + 1, claim("k4", "a", 1), "granted"),
+        step(limits.window_ms + 1, claim("k3", "a", 1), "granted"),
+        step(limits.window_ms + 1, claim("k4", "a", 1), "granted"),
         step(
-            bounds.window_ms + 1,
+            limits.window_ms + 1,
             settle("k3", "a", Settled::Done, Some(answer(b"12345678"))),
             "recorded",
         ),
         step(
-            bounds.window_ms + 1,
+            limits.window_ms + 1,
             settle("k4", "a", Settled::Done, Some(answer(b"12345678"))),
             "recorded",
         ),
-        step(bounds.window_ms + 1, claim("k3", "b", 1), "done:12345678"),
-        step(bounds.window_ms + 1, claim("k4", "b", 1), "done:omitted"),
+        step(limits.window_ms + 1, claim("k3", "b", 1), "done:12345678"),
+        step(limits.window_ms + 1, claim("k4", "b", 1), "done:omitted"),
     ];
     run("bounds", &mut ledger, &steps);
     let omitted = Answer {
@@ -281,7 +281,7 @@
     let expect = Counts {
         records: 2,
         in_flight: 0,
-        answers: bounds.answers + omitted.encoded_len(),
+        answers: limits.answers + omitted.encoded_len(),
     };
     assert_eq!(ledger.counts(), expect);
     let expire = Command {
--- a/crates/ledger/tests/test_schedules.rs
+++ b/crates/ledger/tests/test_schedules.rs
@@ -48,11 +48,11 @@
 
 /// Plays a schedule; `Err` names the first step that broke the promise.
 fn play(moves: &[Move], keys: &[String; 3], window_ms: u64) -> Result<(), String> {
-    let bounds = Limits {
+    let limits = Limits {
         window_ms,
         ..Limits::default()
     };
-    let mut ledger = Ledger::new(bounds);
+    let mut ledger = Ledger::new(limits);
     let mut seen = [Seen::default(), Seen::default(), Seen::default()];
     let mut now = START_MS;
     for (index, m) in moves.iter().enumerate() {
@@ -72,7 +72,7 @@
             6 => Some(Settled::Unknown),
             _ => {
                 let snapshot = ledger.snapshot();
-                ledger = Ledger::restore(bounds, &snapshot).map_err(|e| e.to_string())?;
+                ledger = Ledger::restore(limits, &snapshot).map_err(|e| e.to_string())?;
                 if ledger.snapshot() != snapshot {
                     return Err(format!("step {index}: the snapshot isn't restored whole"));
                 }
