--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -177,7 +177,7 @@
     }
 
     async fn claim(self, _: Context, claim: Claim) -> ClaimReply {
-        let known = Key::read(&claim.service, &claim.caller, &claim.key).is_some();
+        let known = Key::from_parts(&claim.service, &claim.caller, &claim.key).is_some();
         if !known || claim.claim_id.len() > MAX_CLAIM_ID {
             return claim_reply(claim_reply::Kind::Refused(Refused {
                 refusal: Refusal::Form.into(),
--- a/crates/ledger/src/key.rs
+++ b/crates/ledger/src/key.rs
@@ -24,7 +24,7 @@
 impl Key {
     /// Takes the three names; `None` when one is no name.
     #[must_use]
-    pub fn read(service: &str, caller: &str, request: &str) -> Option<Self> {
+    pub fn from_parts(service: &str, caller: &str, request: &str) -> Option<Self> {
         for part in [service, caller, request] {
             name::check(part).ok()?;
         }
--- a/crates/ledger/src/machine.rs
+++ b/crates/ledger/src/machine.rs
@@ -143,7 +143,7 @@
         if !is_claim_id(&claim.claim_id) {
             return refused(Refusal::Form);
         }
-        let Some(key) = Key::read(&claim.service, &claim.caller, &claim.key) else {
+        let Some(key) = Key::from_parts(&claim.service, &claim.caller, &claim.key) else {
             return refused(Refusal::Form);
         };
         if let Some(refusal) = self.refusal(&key) {
@@ -209,7 +209,7 @@
         if settled == Settled::Unspecified || !is_claim_id(&settle.claim_id) {
             return false;
         }
-        let Some(key) = Key::read(&settle.service, &settle.caller, &settle.key) else {
+        let Some(key) = Key::from_parts(&settle.service, &settle.caller, &settle.key) else {
             return false;
         };
         let Some(record) = self.records.get(&key) else {
--- a/crates/ledger/src/snapshot.rs
+++ b/crates/ledger/src/snapshot.rs
@@ -53,7 +53,7 @@
         let mut ledger = Self::new(limits);
         ledger.now_ms = snapshot.now_ms;
         for (index, record) in snapshot.records.iter().enumerate() {
-            let key = Key::read(&record.service, &record.caller, &record.key)
+            let key = Key::from_parts(&record.service, &record.caller, &record.key)
                 .ok_or(RestoreError::Key(index))?;
             if ledger.records.contains_key(&key) {
                 return Err(RestoreError::Twice(index));
--- a/crates/ledger/tests/test_ledger.rs
+++ b/crates/ledger/tests/test_ledger.rs
@@ -317,10 +317,10 @@
 
 #[test]
 fn test_ledger_key_parts() {
-    let key = |request: &str| Key::read("grants", "c", request).and_then(|k| k.minted_ms());
+    let key = |request: &str| Key::from_parts("grants", "c", request).and_then(|k| k.minted_ms());
     assert_eq!(key(&timed_key(START_MS)), Some(START_MS));
     assert_eq!(key("018bcfe5-6800-4000-8000-000000000001"), None);
     assert_eq!(key("018bcfe5-6800-7000-c000-000000000001"), None);
     assert_eq!(key("grant-17"), None);
-    assert_eq!(Key::read("grants", "", "k"), None);
+    assert_eq!(Key::from_parts("grants", "", "k"), None);
 }
