--- a/crates/catalogue/examples/catalogue_slopes.rs
+++ b/crates/catalogue/examples/catalogue_slopes.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use catalogue::State;
-use catalogue::history::Window;
+use catalogue::history::RetentionLimits;
 use prost::Message;
 use wire::catalogue::Change;
 use wire::catalogue::Class;
@@ -64,7 +64,7 @@
     let apply = start.elapsed().as_nanos() / u128::from(changes);
     let snapshot = state.snapshot().encode_to_vec();
     let start = Instant::now();
-    let restored = State::restore(Window::default(), &state.snapshot());
+    let restored = State::restore(RetentionLimits::default(), &state.snapshot());
     let restore = start.elapsed().as_micros();
     println!(
         "services={services} changes={changes} accepted={} catalogue_bytes={} ns_a_change={apply} snapshot_bytes={} restore_us={restore} restored={}",
--- a/crates/catalogue/src/history.rs
+++ b/crates/catalogue/src/history.rs
@@ -18,7 +18,7 @@
 
 /// What is kept at most; equal on all replicas, as it decides replies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Window {
+pub struct RetentionLimits {
     /// Accepted changes, nearly six days of them at 1,400 a day.
     pub accepted: usize,
     /// Refused changes.
@@ -27,7 +27,7 @@
     pub edits: usize,
 }
 
-impl Default for Window {
+impl Default for RetentionLimits {
     fn default() -> Self {
         Self {
             accepted: 8_192,
@@ -48,7 +48,7 @@
 /// items of `accepted` and `refused`.
 #[derive(Clone, Debug)]
 pub(crate) struct Answers {
-    window: Window,
+    window: RetentionLimits,
     pub(crate) accepted: VecDeque<Kept>,
     pub(crate) refused: VecDeque<Kept>,
     ids: BTreeMap<String, First>,
@@ -66,7 +66,7 @@
 }
 
 impl Answers {
-    pub(crate) fn new(window: Window) -> Self {
+    pub(crate) fn new(window: RetentionLimits) -> Self {
         Self {
             window,
             accepted: VecDeque::new(),
--- a/crates/catalogue/src/state.rs
+++ b/crates/catalogue/src/state.rs
@@ -19,7 +19,7 @@
 use crate::fault::Field;
 use crate::fault::Problem;
 use crate::history::Answers;
-use crate::history::Window;
+use crate::history::RetentionLimits;
 use crate::history::reply;
 
 quick_error! {
@@ -50,14 +50,14 @@
 
 impl Default for State {
     fn default() -> Self {
-        Self::new(Window::default())
+        Self::new(RetentionLimits::default())
     }
 }
 
 impl State {
     /// An empty catalogue at version zero.
     #[must_use]
-    pub fn new(window: Window) -> Self {
+    pub fn new(window: RetentionLimits) -> Self {
         Self {
             catalogue: Arc::default(),
             answers: Answers::new(window),
@@ -137,7 +137,7 @@
     /// # Errors
     ///
     /// Fails on a snapshot that no state writes.
-    pub fn restore(window: Window, snapshot: &Snapshot) -> Result<Self, RestoreError> {
+    pub fn restore(window: RetentionLimits, snapshot: &Snapshot) -> Result<Self, RestoreError> {
         let catalogue = snapshot.catalogue.clone().unwrap_or_default();
         let catalogue = Catalogue::from_wire(&catalogue).map_err(RestoreError::Catalogue)?;
         check_versions(&snapshot.accepted, catalogue.version)?;
--- a/crates/catalogue/tests/test_state.rs
+++ b/crates/catalogue/tests/test_state.rs
@@ -2,7 +2,7 @@
 
 use catalogue::RestoreError;
 use catalogue::State;
-use catalogue::history::Window;
+use catalogue::history::RetentionLimits;
 use prost::Message;
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
@@ -169,7 +169,7 @@
 
 #[test]
 fn test_state_forgets_within_bounds() {
-    let window = Window {
+    let window = RetentionLimits {
         accepted: 3,
         refused: 2,
         edits: 2 * Edit {
@@ -238,7 +238,7 @@
     gap.accepted[1].version = 9;
     let mut bad = whole.clone();
     bad.catalogue.as_mut().expect("a catalogue").entries[0].class = 0;
-    let restore = |snapshot| State::restore(Window::default(), &snapshot).err();
+    let restore = |snapshot| State::restore(RetentionLimits::default(), &snapshot).err();
     assert_eq!(restore(gap), Some(RestoreError::Versions(9, 2)));
     assert!(matches!(restore(bad), Some(RestoreError::Catalogue(faults)) if faults.len() == 1));
     assert_eq!(restore(whole), None);
@@ -266,7 +266,7 @@
 
 /// Plays racing operators; `Err` names the first broken promise.
 fn play(tries: &[Try]) -> Result<(), String> {
-    let window = Window {
+    let window = RetentionLimits {
         accepted: 4,
         refused: 4,
         edits: 400,
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -132,7 +132,7 @@
         let ledger = state.ledger.unwrap_or_default();
         let evacuations = state.evacuations.unwrap_or_default();
         Ok(Self {
-            book: Book::restore(catalogue::history::Window::default(), &book)?,
+            book: Book::restore(catalogue::history::RetentionLimits::default(), &book)?,
             ledger: Ledger::restore(Limits::default(), &ledger)?,
             table: Arc::new(state.table.unwrap_or_default()),
             registry: Arc::new(restored(state.instances)),
