--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -17,7 +17,7 @@
 
 /// What a daemon is asked to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum SignalAction {
     /// Stop gracefully.
     Stop,
     /// Read the settings again.
@@ -69,18 +69,18 @@
     }
 
     /// Waits until the daemon is asked for something.
-    pub async fn next(&mut self) -> Asked {
+    pub async fn next(&mut self) -> SignalAction {
         loop {
             tokio::select! {
-                _ = self.terminate.recv() => return Asked::Stop,
-                _ = self.interrupt.recv() => return Asked::Stop,
+                _ = self.terminate.recv() => return SignalAction::Stop,
+                _ = self.interrupt.recv() => return SignalAction::Stop,
                 _ = self.hangup.recv() => {
                     self.is_changed();
-                    return Asked::Reload;
+                    return SignalAction::Reload;
                 }
                 _ = self.looks.tick() => {
                     if self.is_changed() {
-                        return Asked::Reload;
+                        return SignalAction::Reload;
                     }
                 }
             }
--- a/crates/daemon/tests/test_signals.rs
+++ b/crates/daemon/tests/test_signals.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::PathBuf;
 
-use daemon::signals::Asked;
+use daemon::signals::SignalAction;
 use daemon::signals::Signals;
 
 #[tokio::test(start_paused = true)]
@@ -13,11 +13,11 @@
     let mut signals = Signals::new(&path).expect("takes over");
     assert_eq!(signals.path(), path);
     fs::write(&path, "a = 2\n").expect("writes");
-    assert_eq!(signals.next().await, Asked::Reload);
+    assert_eq!(signals.next().await, SignalAction::Reload);
     // One that is being replaced is looked at again.
     fs::remove_file(&path).expect("removes");
     let looks = tokio::time::timeout(std::time::Duration::from_secs(5), signals.next());
     assert!(looks.await.is_err());
     fs::write(&path, "a = 3\n").expect("writes");
-    assert_eq!(signals.next().await, Asked::Reload);
+    assert_eq!(signals.next().await, SignalAction::Reload);
 }
--- a/crates/entry/src/bin/rwr-entry.rs
+++ b/crates/entry/src/bin/rwr-entry.rs
@@ -5,7 +5,7 @@
 
 use conf::ConfError;
 use daemon::Daemon;
-use daemon::signals::Asked;
+use daemon::signals::SignalAction;
 use daemon::signals::Signals;
 use entry::Dialect;
 use entry::Entry;
@@ -37,7 +37,7 @@
 
     async fn run(settings: Settings, log: Logger, mut signals: Signals) -> Result<(), EntryError> {
         let entry = Entry::start(settings, Dialect::default(), log).await?;
-        while signals.next().await == Asked::Reload {
+        while signals.next().await == SignalAction::Reload {
             entry.reload(Settings::open(signals.path()));
         }
         entry.shut_down().await;
--- a/crates/hub/src/bin/rwr-hub.rs
+++ b/crates/hub/src/bin/rwr-hub.rs
@@ -5,7 +5,7 @@
 
 use conf::ConfError;
 use daemon::Daemon;
-use daemon::signals::Asked;
+use daemon::signals::SignalAction;
 use daemon::signals::Signals;
 use hub::Hub;
 use hub::HubError;
@@ -37,7 +37,7 @@
         let mut hub = Hub::start(settings, log).await?;
         let commands = hub.commands().clone();
         let reloading = async {
-            while signals.next().await == Asked::Reload {
+            while signals.next().await == SignalAction::Reload {
                 commands.reload(Settings::open(signals.path()));
             }
         };
