--- a/crates/catalogue/src/change.rs
+++ b/crates/catalogue/src/change.rs
@@ -9,7 +9,7 @@
 use wire::catalogue::Edit;
 use wire::catalogue::edit::Kind;
 
-use crate::book::Catalogue;
+use crate::catalogue::Catalogue;
 use crate::entry::Entry;
 use crate::entry::is_owner;
 use crate::fault::Fault;
--- a/crates/catalogue/src/diff.rs
+++ b/crates/catalogue/src/diff.rs
@@ -6,7 +6,7 @@
 use wire::catalogue::Edit;
 use wire::catalogue::edit::Kind;
 
-use crate::book::Catalogue;
+use crate::catalogue::Catalogue;
 use crate::entry::Entry;
 use crate::fault::Field;
 use crate::file;
--- a/crates/catalogue/src/file.rs
+++ b/crates/catalogue/src/file.rs
@@ -20,7 +20,7 @@
 use conf::value::Text;
 use conf::value::Value;
 
-use crate::book::Catalogue;
+use crate::catalogue::Catalogue;
 use crate::entry::Entry;
 use crate::entry::Limits;
 use crate::fault::Fault;
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -5,7 +5,7 @@
 //! same changes in the same order and holds the same bytes. Faults are
 //! collected, so that an operator learns all of them from one answer.
 
-pub mod book;
+pub mod catalogue;
 pub mod change;
 pub mod diff;
 pub mod entry;
@@ -14,7 +14,7 @@
 pub mod history;
 pub mod state;
 
-pub use book::Catalogue;
+pub use catalogue::Catalogue;
 pub use entry::Entry;
 pub use entry::Limits;
 pub use fault::Fault;
--- a/crates/catalogue/src/state.rs
+++ b/crates/catalogue/src/state.rs
@@ -12,7 +12,7 @@
 use wire::catalogue::Snapshot;
 use wire::catalogue::change_reply::Kind;
 
-use crate::book::Catalogue;
+use crate::catalogue::Catalogue;
 use crate::change;
 use crate::fault;
 use crate::fault::Fault;
