--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -5,7 +5,7 @@
 //! wrong command line or wrong settings are told on standard error.
 
 pub mod command;
-pub mod page;
+pub mod metrics;
 pub mod signals;
 
 use std::fmt;
@@ -123,9 +123,9 @@
     };
     info!(log, "starting"; "version" => D::VERSION, "settings" => %config.display());
     if let Some(address) = D::telemetry(&settings).listen {
-        match page::bind(address).await {
+        match metrics::bind(address).await {
             Ok(listener) => {
-                tokio::spawn(page::serve(listener, log.clone()));
+                tokio::spawn(metrics::serve(listener, log.clone()));
             }
             Err(err) => return failed(&log, &err),
         }
