--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use ledger::Limits;
 use ledger::Key;
+use ledger::Limits;
 use ledger::limits::MAX_CLAIM_ID;
 use slog::Logger;
 use slog::info;
@@ -195,7 +195,7 @@
         }
         // The ledger would drop a long answer, so the log needn't carry it.
         if let Some(answer) = &mut settle.answer
-            && answer.body.len() > Limits::default().body
+            && answer.body.len() > Limits::default().max_body_bytes
         {
             answer.body.clear();
             answer.omitted = true;
--- a/crates/ledger/examples/ledger_slopes.rs
+++ b/crates/ledger/examples/ledger_slopes.rs
@@ -1,14 +1,14 @@
-//! Time and memory of a ledger of so many records, with answers of so many bytes:
+//! Measures time and memory of a ledger with a given number of records and answer size:
 //! `cargo run --release -p ledger --example ledger_slopes -- 65536 256`.
 //!
-//! One size a run, as memory that an earlier ledger gave back hides the next one's.
+//! Each run measures one size, because memory freed by an earlier ledger would be reused.
 
 use std::fs;
 use std::time::Instant;
 
 use bytes::Bytes;
-use ledger::Limits;
 use ledger::Ledger;
+use ledger::Limits;
 use ledger::record::digest;
 use prost::Message;
 use wire::ledger::Answer;
@@ -19,10 +19,10 @@
 use wire::ledger::command::Kind;
 
 const START_MS: u64 = 1_700_000_000_000;
-const RECORDS: u64 = 65_536;
-const ANSWER: usize = 256;
-/// Bytes of a page, as the kernel counts resident memory.
-const PAGE: u64 = 4_096;
+const DEFAULT_RECORDS: u64 = 65_536;
+const DEFAULT_ANSWER_BYTES: usize = 256;
+/// Size of a memory page; `/proc/self/statm` counts pages.
+const PAGE_BYTES: u64 = 4_096;
 
 fn key(n: u64) -> String {
     let head = START_MS >> 16;
@@ -64,22 +64,22 @@
     }
 }
 
-/// Resident memory of this process in bytes, zero where the system doesn't tell.
-fn resident() -> u64 {
+/// Resident memory of this process in bytes, or zero if it is not available.
+fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok());
-    pages.unwrap_or(0) * PAGE
+    pages.unwrap_or(0) * PAGE_BYTES
 }
 
 fn measure(records: u64, answer: usize) {
     let limits = Limits {
-        records: usize::MAX,
-        service: usize::MAX,
-        answers: usize::MAX,
+        max_records: usize::MAX,
+        max_service_records: usize::MAX,
+        max_answer_bytes: usize::MAX,
         ..Limits::default()
     };
     let body = Bytes::from(vec![b'x'; answer]);
-    let before = resident();
+    let before = resident_bytes();
     let mut ledger = Ledger::new(limits);
     let mut nanos = 0;
     for n in 0..records {
@@ -90,7 +90,7 @@
         }
         nanos += start.elapsed().as_nanos();
     }
-    let grown = resident().saturating_sub(before);
+    let grown = resident_bytes().saturating_sub(before);
     let start = Instant::now();
     let snapshot = ledger.snapshot().encode_to_vec();
     let millis = start.elapsed().as_millis();
@@ -104,7 +104,13 @@
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let records = args.first().and_then(|n| n.parse().ok()).unwrap_or(RECORDS);
-    let answer = args.get(1).and_then(|n| n.parse().ok()).unwrap_or(ANSWER);
+    let records = args
+        .first()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(DEFAULT_RECORDS);
+    let answer = args
+        .get(1)
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(DEFAULT_ANSWER_BYTES);
     measure(records, answer);
 }
--- a/crates/ledger/src/machine.rs
+++ b/crates/ledger/src/machine.rs
@@ -1,4 +1,4 @@
-//! Applies claims and settlements in the order of the log.
+//! The state machine, which applies claims and settlements in log order.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,65 +21,66 @@
 use wire::ledger::claim_reply::Kind;
 use wire::ledger::command;
 
+use crate::key::Key;
 use crate::limits::Limits;
 use crate::limits::MAX_CLAIM_ID;
-use crate::limits::MAX_RETRY_MS;
-use crate::key::Key;
-use crate::record::KeptAnswer;
+use crate::limits::MAX_RETRY_AFTER_MS;
 use crate::record::Record;
-use crate::record::Standing;
+use crate::record::RecordState;
+use crate::record::StoredAnswer;
 
-/// What a command got.
+/// Reply to a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// To a claim.
+    /// Reply to a claim.
     Claim(ClaimReply),
-    /// To a settlement.
+    /// Reply to a settlement.
     Settle(SettleReply),
-    /// To the passing of time.
+    /// The command only advanced the ledger's time.
     Expire,
 }
 
-/// Sizes of a ledger.
+/// Record counts and memory use of a ledger.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Records of all standings.
+    /// Records in any state.
     pub records: usize,
     /// Records in flight.
     pub in_flight: usize,
-    /// Bytes of the answers kept.
-    pub answers: usize,
+    /// Total size of the stored answers, encoded.
+    pub answer_bytes: usize,
 }
 
 /// The ledger's state.
 ///
-/// Invariant: `timers` has exactly one item for each record, at its `due_ms`,
-/// and none of them lies at or before `now_ms`.
+/// Invariant: `expirations` has exactly one item for each record, at its `expires_at_ms`,
+/// and all of them are later than `now_ms`.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     pub(crate) limits: Limits,
     pub(crate) now_ms: u64,
     pub(crate) records: BTreeMap<Key, Record>,
-    timers: BTreeSet<(u64, Key)>,
-    services: BTreeMap<Box<str>, usize>,
+    expirations: BTreeSet<(u64, Key)>,
+    service_records: BTreeMap<Box<str>, usize>,
     counts: Counts,
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
             now_ms: 0,
             records: BTreeMap::new(),
-            timers: BTreeSet::new(),
-            services: BTreeMap::new(),
+            expirations: BTreeSet::new(),
+            service_records: BTreeMap::new(),
             counts: Counts::default(),
         }
     }
 
-    /// Applies one command of the log, stamped `now_ms` since the Unix epoch by the leader.
+    /// Applies one command of the log; `now_ms` is the leader's stamp, in milliseconds since the
+    /// Unix epoch.
     pub fn apply(&mut self, now_ms: u64, command: &Command) -> Reply {
         self.advance(now_ms);
         match &command.kind {
@@ -93,25 +94,27 @@
         }
     }
 
-    /// The ledger's time, milliseconds since the Unix epoch; never goes back.
+    /// The ledger's time in milliseconds since the Unix epoch; it never decreases.
     #[must_use]
     pub fn now_ms(&self) -> u64 {
         self.now_ms
     }
 
-    /// When the next record changes by itself; a leader then logs an `Expire`.
+    /// Time at which the next hold or record expires; the leader then logs an `Expire`.
     #[must_use]
     pub fn next_expiry_ms(&self) -> Option<u64> {
-        self.timers.first().map(|(due, _)| *due)
+        self.expirations
+            .first()
+            .map(|(expires_at_ms, _)| *expires_at_ms)
     }
 
-    /// Its sizes.
+    /// Current record counts and memory use.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The record of `key`.
+    /// Returns the record of `key`.
     #[must_use]
     pub fn get(&self, key: &Key) -> Option<&Record> {
         self.records.get(key)
@@ -119,24 +122,24 @@
 
     fn advance(&mut self, now_ms: u64) {
         self.now_ms = self.now_ms.max(now_ms);
-        while let Some((due, key)) = self.timers.first().cloned() {
-            if due > self.now_ms {
+        while let Some((expires_at_ms, key)) = self.expirations.first().cloned() {
+            if expires_at_ms > self.now_ms {
                 return;
             }
-            self.fall_due(&key);
+            self.expire(&key);
         }
     }
 
-    fn fall_due(&mut self, key: &Key) {
-        let Some(mut record) = self.take(key) else {
+    fn expire(&mut self, key: &Key) {
+        let Some(mut record) = self.remove_record(key) else {
             return;
         };
-        if record.standing != Standing::InFlight {
+        if record.state != RecordState::InFlight {
             return;
         }
-        record.standing = Standing::Unknown;
-        record.due_ms = self.end_ms(key);
-        self.put(key.clone(), record);
+        record.state = RecordState::Unknown;
+        record.expires_at_ms = self.record_expiry_ms(key);
+        self.insert_record(key.clone(), record);
     }
 
     fn claim(&mut self, claim: &Claim) -> Kind {
@@ -146,7 +149,7 @@
         let Some(key) = Key::from_parts(&claim.service, &claim.caller, &claim.key) else {
             return refused(Refusal::Form);
         };
-        if let Some(refusal) = self.refusal(&key) {
+        if let Some(refusal) = self.time_refusal(&key) {
             return refused(refusal);
         }
         let Some(record) = self.records.get(&key) else {
@@ -155,26 +158,26 @@
         if record.digest.is_some_and(|digest| digest != claim.digest) {
             return Kind::Mismatch(Mismatch {});
         }
-        let same = *record.claim == *claim.claim_id;
-        match &record.standing {
-            Standing::InFlight if same => Kind::Granted(Granted {}),
-            Standing::InFlight => Kind::InFlight(InFlight {
-                retry_ms: self.retry_ms(record.due_ms),
+        let same_claim = *record.claim_id == *claim.claim_id;
+        match &record.state {
+            RecordState::InFlight if same_claim => Kind::Granted(Granted {}),
+            RecordState::InFlight => Kind::InFlight(InFlight {
+                retry_ms: self.retry_after_ms(record.expires_at_ms),
             }),
-            Standing::Done(answer) => Kind::Done(Done {
+            RecordState::Done(answer) => Kind::Done(Done {
                 answer: Some(answer.answer()),
             }),
-            Standing::Unknown => Kind::Unknown(Unknown {}),
-            Standing::NotRun if same => refused(Refusal::Spent),
-            Standing::NotRun => self.grant(key, claim),
+            RecordState::Unknown => Kind::Unknown(Unknown {}),
+            RecordState::NotRun if same_claim => refused(Refusal::Spent),
+            RecordState::NotRun => self.grant(key, claim),
         }
     }
 
-    fn refusal(&self, key: &Key) -> Option<Refusal> {
+    fn time_refusal(&self, key: &Key) -> Option<Refusal> {
         let Some(minted) = key.minted_ms() else {
-            return (!self.limits.untimed).then_some(Refusal::Untimed);
+            return (!self.limits.allow_untimed).then_some(Refusal::Untimed);
         };
-        if minted > self.now_ms.saturating_add(self.limits.early_ms) {
+        if minted > self.now_ms.saturating_add(self.limits.max_ahead_ms) {
             return Some(Refusal::Early);
         }
         let end = minted.saturating_add(self.limits.window_ms);
@@ -183,24 +186,24 @@
 
     fn first_claim(&mut self, key: Key, claim: &Claim) -> Kind {
         if self.is_full(key.service()) {
-            let due = self.next_expiry_ms().unwrap_or(self.now_ms);
+            let next_expiry_ms = self.next_expiry_ms().unwrap_or(self.now_ms);
             return Kind::Full(Full {
-                retry_ms: self.retry_ms(due),
+                retry_ms: self.retry_after_ms(next_expiry_ms),
             });
         }
         self.grant(key, claim)
     }
 
     fn grant(&mut self, key: Key, claim: &Claim) -> Kind {
-        self.take(&key);
-        let hold_ms = u64::from(claim.hold_ms).clamp(1, self.limits.hold_ms);
+        self.remove_record(&key);
+        let hold_ms = u64::from(claim.hold_ms).clamp(1, self.limits.max_hold_ms);
         let record = Record {
             digest: Some(claim.digest),
-            standing: Standing::InFlight,
-            claim: claim.claim_id.as_ref().into(),
-            due_ms: self.now_ms.saturating_add(hold_ms),
+            state: RecordState::InFlight,
+            claim_id: claim.claim_id.as_ref().into(),
+            expires_at_ms: self.now_ms.saturating_add(hold_ms),
         };
-        self.put(key, record);
+        self.insert_record(key, record);
         Kind::Granted(Granted {})
     }
 
@@ -215,100 +218,113 @@
         let Some(record) = self.records.get(&key) else {
             return settled == Settled::NotRun && self.settle_before_claim(key, settle);
         };
-        if *record.claim != *settle.claim_id {
+        if *record.claim_id != *settle.claim_id {
             return false;
         }
-        match &record.standing {
-            Standing::InFlight => self.close(key, settled, settle.answer.as_ref()),
-            // A resent settlement finds its own result.
-            Standing::Done(_) => return settled == Settled::Done,
-            Standing::NotRun => return settled == Settled::NotRun,
-            Standing::Unknown => return settled == Settled::Unknown,
+        match &record.state {
+            RecordState::InFlight => self.close(key, settled, settle.answer.as_ref()),
+            // A resent settlement gets the same reply as the first.
+            RecordState::Done(_) => return settled == Settled::Done,
+            RecordState::NotRun => return settled == Settled::NotRun,
+            RecordState::Unknown => return settled == Settled::Unknown,
         }
         true
     }
 
-    /// Notes a claim that its gateway gave up before the log had it, so that
-    /// it is not granted to nobody when it comes.
+    /// Records a claim that its gateway abandoned before it was in the log, so that the claim
+    /// is not granted when it arrives later.
     fn settle_before_claim(&mut self, key: Key, settle: &Settle) -> bool {
-        if self.refusal(&key).is_some() || self.is_full(key.service()) {
+        if self.time_refusal(&key).is_some() || self.is_full(key.service()) {
             return false;
         }
         let record = Record {
             digest: None,
-            standing: Standing::NotRun,
-            claim: settle.claim_id.as_ref().into(),
-            due_ms: self.end_ms(&key),
+            state: RecordState::NotRun,
+            claim_id: settle.claim_id.as_ref().into(),
+            expires_at_ms: self.record_expiry_ms(&key),
         };
-        self.put(key, record);
+        self.insert_record(key, record);
         true
     }
 
     fn close(&mut self, key: Key, settled: Settled, answer: Option<&Answer>) {
-        let Some(mut record) = self.take(&key) else {
+        let Some(mut record) = self.remove_record(&key) else {
             return;
         };
-        record.due_ms = self.end_ms(&key);
-        record.standing = match settled {
+        record.expires_at_ms = self.record_expiry_ms(&key);
+        record.state = match settled {
             Settled::Done => {
-                let room = self.limits.answers.saturating_sub(self.counts.answers);
-                Standing::Done(KeptAnswer::within(&self.limits, answer, room))
+                let available_bytes = self
+                    .limits
+                    .max_answer_bytes
+                    .saturating_sub(self.counts.answer_bytes);
+                RecordState::Done(StoredAnswer::within_limits(
+                    &self.limits,
+                    answer,
+                    available_bytes,
+                ))
             }
-            Settled::NotRun => Standing::NotRun,
-            Settled::Unknown | Settled::Unspecified => Standing::Unknown,
+            Settled::NotRun => RecordState::NotRun,
+            Settled::Unknown | Settled::Unspecified => RecordState::Unknown,
         };
-        self.put(key, record);
+        self.insert_record(key, record);
     }
 
-    /// The first moment at which a record of `key` is needed no more.
+    /// The earliest time at which a record of `key` that is not in flight may be removed.
     ///
-    /// A timed key's claims are refused from that moment on, so that nothing
-    /// is lost with the record.
-    fn end_ms(&self, key: &Key) -> u64 {
+    /// From then on, claims of a timed key are refused as expired, so its record isn't
+    /// needed any more.
+    fn record_expiry_ms(&self, key: &Key) -> u64 {
         let from = key.minted_ms().unwrap_or(self.now_ms);
         let end = from.saturating_add(self.limits.window_ms).saturating_add(1);
         end.max(self.now_ms + 1)
     }
 
-    fn retry_ms(&self, due_ms: u64) -> u32 {
-        let left = due_ms.saturating_sub(self.now_ms).clamp(1, MAX_RETRY_MS);
-        u32::try_from(left).unwrap_or(u32::MAX)
+    fn retry_after_ms(&self, expires_at_ms: u64) -> u32 {
+        let delay_ms = expires_at_ms
+            .saturating_sub(self.now_ms)
+            .clamp(1, MAX_RETRY_AFTER_MS);
+        u32::try_from(delay_ms).unwrap_or(u32::MAX)
     }
 
     fn is_full(&self, service: &str) -> bool {
-        let taken = self.services.get(service).copied().unwrap_or(0);
-        self.records.len() >= self.limits.records || taken >= self.limits.service
+        let service_records = self.service_records.get(service).copied().unwrap_or(0);
+        self.records.len() >= self.limits.max_records
+            || service_records >= self.limits.max_service_records
     }
 
-    pub(crate) fn put(&mut self, key: Key, record: Record) {
-        self.count(key.service(), &record, true);
-        self.timers.insert((record.due_ms, key.clone()));
+    pub(crate) fn insert_record(&mut self, key: Key, record: Record) {
+        self.update_counts(key.service(), &record, true);
+        self.expirations.insert((record.expires_at_ms, key.clone()));
         self.records.insert(key, record);
         self.counts.records = self.records.len();
     }
 
-    fn take(&mut self, key: &Key) -> Option<Record> {
+    fn remove_record(&mut self, key: &Key) -> Option<Record> {
         let record = self.records.remove(key)?;
-        self.timers.remove(&(record.due_ms, key.clone()));
-        self.count(key.service(), &record, false);
+        self.expirations
+            .remove(&(record.expires_at_ms, key.clone()));
+        self.update_counts(key.service(), &record, false);
         self.counts.records = self.records.len();
         Some(record)
     }
 
-    fn count(&mut self, service: &str, record: &Record, comes: bool) {
-        let step = |count: &mut usize, by: usize| {
-            *count = if comes { *count + by } else { *count - by };
+    fn update_counts(&mut self, service: &str, record: &Record, added: bool) {
+        let adjust = |count: &mut usize, by: usize| {
+            *count = if added { *count + by } else { *count - by };
         };
-        let taken = self.services.get_mut(service);
-        match taken {
-            None => drop(self.services.insert(service.into(), 1)),
-            Some(1) if !comes => drop(self.services.remove(service)),
-            Some(taken) => step(taken, 1),
+        let service_records = self.service_records.get_mut(service);
+        match service_records {
+            None => drop(self.service_records.insert(service.into(), 1)),
+            Some(1) if !added => drop(self.service_records.remove(service)),
+            Some(count) => adjust(count, 1),
         }
-        match &record.standing {
-            Standing::InFlight => step(&mut self.counts.in_flight, 1),
-            Standing::Done(answer) => step(&mut self.counts.answers, answer.weight()),
-            Standing::NotRun | Standing::Unknown => {}
+        match &record.state {
+            RecordState::InFlight => adjust(&mut self.counts.in_flight, 1),
+            RecordState::Done(answer) => {
+                adjust(&mut self.counts.answer_bytes, answer.encoded_len());
+            }
+            RecordState::NotRun | RecordState::Unknown => {}
         }
     }
 }
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,4 +1,4 @@
-//! One key's record.
+//! The record of one key.
 
 use prost::Message;
 use strum::Display;
@@ -8,63 +8,63 @@
 use crate::limits::Limits;
 use crate::limits::MAX_CONTENT_TYPE;
 
-/// Where a record stands.
+/// State of a record.
 #[derive(Clone, Debug, PartialEq, IntoStaticStr, Display)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Standing {
-    /// One claim is granted and not settled.
+pub enum RecordState {
+    /// A claim was granted and is not settled yet.
     InFlight,
-    /// It ran; the answer is kept unless it was too long.
-    Done(KeptAnswer),
-    /// It was certainly not run, and may be claimed again.
+    /// The request ran; the body of its answer is omitted if it exceeded the limits.
+    Done(StoredAnswer),
+    /// The request was not run, and may be claimed again.
     NotRun,
-    /// It may have run; it is never granted again.
+    /// The request may have run; no further claim is granted.
     Unknown,
 }
 
-/// What is known of one key.
+/// The state of one key and its latest claim.
 ///
-/// Invariant: `Done` and `Unknown` are terminal; only `InFlight` and `NotRun`
-/// change, and `InFlight` only by its own claim or by the end of its hold.
+/// Invariant: `Done` and `Unknown` are terminal. `InFlight` changes only when its own
+/// claim is settled or its hold expires.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// Digest of the request; `None` when a settlement came before its claim.
+    /// Digest of the request; `None` if the settlement arrived before its claim.
     pub digest: Option<u64>,
-    /// Where it stands.
-    pub standing: Standing,
-    /// The last claim that was granted or settled.
-    pub claim: Box<[u8]>,
-    /// End of the hold while in flight, else of the record, in log time.
-    pub due_ms: u64,
+    /// State of the record.
+    pub state: RecordState,
+    /// Id of the latest claim that was granted or settled.
+    pub claim_id: Box<[u8]>,
+    /// Log time at which the hold (while in flight) or the record expires.
+    pub expires_at_ms: u64,
 }
 
-/// An answer in its encoded form, as a ledger keeps very many.
+/// An answer, stored encoded to save memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeptAnswer(Box<[u8]>);
+pub struct StoredAnswer(Box<[u8]>);
 
-impl KeptAnswer {
-    /// Takes `answer` as it is.
+impl StoredAnswer {
+    /// Stores `answer` without checks.
     #[must_use]
     pub fn new(answer: &Answer) -> Self {
         Self(answer.encode_to_vec().into())
     }
 
-    /// Takes `answer` whole where it is within `bounds` and true to its
-    /// digest, else without its body.
+    /// Stores `answer`, without its body if the answer exceeds `limits` or `available_bytes`,
+    /// or doesn't match its digest.
     #[must_use]
-    pub fn within(limits: &Limits, answer: Option<&Answer>, room: usize) -> Self {
+    pub fn within_limits(limits: &Limits, answer: Option<&Answer>, available_bytes: usize) -> Self {
         let Some(answer) = answer else {
             return Self::new(&Answer {
                 omitted: true,
                 ..Answer::default()
             });
         };
-        let whole = !answer.omitted
-            && answer.body.len() <= limits.body
+        let fits = !answer.omitted
+            && answer.body.len() <= limits.max_body_bytes
             && answer.content_type.len() <= MAX_CONTENT_TYPE
-            && answer.encoded_len() <= room
+            && answer.encoded_len() <= available_bytes
             && digest(&answer.body) == answer.digest;
-        if whole {
+        if fits {
             return Self::new(answer);
         }
         Self::new(&Answer {
@@ -75,21 +75,21 @@
         })
     }
 
-    /// The answer.
+    /// Decodes the answer.
     #[must_use]
     pub fn answer(&self) -> Answer {
-        // Only an encoded answer is ever kept, so it can be decoded.
+        // The bytes come from `encode_to_vec`, so decoding can't fail.
         Answer::decode(&*self.0).unwrap_or_default()
     }
 
-    /// Bytes that it takes of the ledger's bound.
+    /// Size in bytes that counts towards [`Limits::max_answer_bytes`].
     #[must_use]
-    pub fn weight(&self) -> usize {
+    pub fn encoded_len(&self) -> usize {
         self.0.len()
     }
 }
 
-/// The digest of an answer's body.
+/// XXH3 digest of an answer's body.
 #[must_use]
 pub fn digest(body: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64(body)
--- a/crates/ledger/src/snapshot.rs
+++ b/crates/ledger/src/snapshot.rs
@@ -1,37 +1,37 @@
-//! The ledger as one message, and back.
+//! Conversion between the ledger and its snapshot message.
 
 use quick_error::quick_error;
 use wire::ledger::Snapshot;
 use wire::ledger::Standing as WireStanding;
 
-use crate::limits::Limits;
 use crate::key::Key;
+use crate::limits::Limits;
 use crate::machine::Ledger;
-use crate::record::KeptAnswer;
 use crate::record::Record;
-use crate::record::Standing;
+use crate::record::RecordState;
+use crate::record::StoredAnswer;
 
 quick_error! {
-    /// Why a snapshot can't be restored.
+    /// Reason that a snapshot can't be restored.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum RestoreError {
-        /// A record's key has a part that is no name.
-        Key(index: usize) {
-            display("record {index} has a key that is no name")
+        /// A part of a record's key is not a valid name.
+        InvalidKey(index: usize) {
+            display("record {index} has an invalid service, caller or key name")
         }
-        /// A record stands nowhere.
-        Standing(index: usize) {
-            display("record {index} has no standing")
+        /// The state of a record is missing or unknown.
+        MissingState(index: usize) {
+            display("record {index} has no valid state")
         }
-        /// A key stands twice.
-        Twice(index: usize) {
-            display("record {index} has the key of an earlier one")
+        /// Two records have the same key.
+        DuplicateKey(index: usize) {
+            display("record {index} has the same key as an earlier record")
         }
     }
 }
 
 impl Ledger {
-    /// The whole state; equal states give equal bytes.
+    /// Returns the complete state; equal states encode to equal bytes.
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
@@ -44,59 +44,59 @@
         }
     }
 
-    /// The ledger that `snapshot` was taken of.
+    /// Restores the ledger from which `snapshot` was taken.
     ///
     /// # Errors
     ///
-    /// Fails on a record that no ledger writes.
+    /// Fails on an invalid name, a missing state or a duplicate key.
     pub fn restore(limits: Limits, snapshot: &Snapshot) -> Result<Self, RestoreError> {
         let mut ledger = Self::new(limits);
         ledger.now_ms = snapshot.now_ms;
         for (index, record) in snapshot.records.iter().enumerate() {
             let key = Key::from_parts(&record.service, &record.caller, &record.key)
-                .ok_or(RestoreError::Key(index))?;
+                .ok_or(RestoreError::InvalidKey(index))?;
             if ledger.records.contains_key(&key) {
-                return Err(RestoreError::Twice(index));
+                return Err(RestoreError::DuplicateKey(index));
             }
-            ledger.put(key, from_wire(index, record)?);
+            ledger.insert_record(key, from_wire(index, record)?);
         }
         Ok(ledger)
     }
 }
 
 fn to_wire(key: &Key, record: &Record) -> wire::ledger::Record {
-    let (standing, answer) = match &record.standing {
-        Standing::InFlight => (WireStanding::InFlight, None),
-        Standing::Done(answer) => (WireStanding::Done, Some(answer.answer())),
-        Standing::NotRun => (WireStanding::NotRun, None),
-        Standing::Unknown => (WireStanding::Unknown, None),
+    let (state, answer) = match &record.state {
+        RecordState::InFlight => (WireStanding::InFlight, None),
+        RecordState::Done(answer) => (WireStanding::Done, Some(answer.answer())),
+        RecordState::NotRun => (WireStanding::NotRun, None),
+        RecordState::Unknown => (WireStanding::Unknown, None),
     };
     wire::ledger::Record {
         service: key.service().into(),
         caller: key.caller().into(),
         key: key.request().into(),
         digest: record.digest,
-        standing: standing.into(),
-        claim_id: record.claim.to_vec().into(),
-        due_ms: record.due_ms,
+        standing: state.into(),
+        claim_id: record.claim_id.to_vec().into(),
+        due_ms: record.expires_at_ms,
         answer,
     }
 }
 
 fn from_wire(index: usize, record: &wire::ledger::Record) -> Result<Record, RestoreError> {
-    let standing = match record.standing() {
-        WireStanding::Unspecified => return Err(RestoreError::Standing(index)),
-        WireStanding::InFlight => Standing::InFlight,
-        WireStanding::Done => {
-            Standing::Done(KeptAnswer::new(&record.answer.clone().unwrap_or_default()))
-        }
-        WireStanding::NotRun => Standing::NotRun,
-        WireStanding::Unknown => Standing::Unknown,
+    let state = match record.standing() {
+        WireStanding::Unspecified => return Err(RestoreError::MissingState(index)),
+        WireStanding::InFlight => RecordState::InFlight,
+        WireStanding::Done => RecordState::Done(StoredAnswer::new(
+            &record.answer.clone().unwrap_or_default(),
+        )),
+        WireStanding::NotRun => RecordState::NotRun,
+        WireStanding::Unknown => RecordState::Unknown,
     };
     Ok(Record {
         digest: record.digest,
-        standing,
-        claim: record.claim_id.as_ref().into(),
-        due_ms: record.due_ms,
+        state,
+        claim_id: record.claim_id.as_ref().into(),
+        expires_at_ms: record.due_ms,
     })
 }
--- a/crates/ledger/tests/helpers/mod.rs
+++ b/crates/ledger/tests/helpers/mod.rs
@@ -1,4 +1,4 @@
-//! Commands for the ledger's tests, and replies as words.
+//! Builds commands and formats replies for the ledger's tests.
 
 use bytes::Bytes;
 use ledger::Reply;
@@ -60,8 +60,8 @@
     )
 }
 
-/// A reply as one word, so that tables stay narrow.
-pub fn word(reply: &Reply) -> String {
+/// Formats a reply as a short text for the test tables.
+pub fn reply_text(reply: &Reply) -> String {
     match reply {
         Reply::Claim(reply) => match reply.kind.as_ref().expect("a kind") {
             Kind::Granted(_) => "granted".into(),
--- a/crates/ledger/tests/test_ledger.rs
+++ b/crates/ledger/tests/test_ledger.rs
@@ -1,4 +1,4 @@
-//! Each rule of the ledger, as tables of commands and replies.
+//! Replies of the ledger to sequences of commands.
 
 mod helpers;
 
@@ -6,13 +6,13 @@
 use helpers::START_MS;
 use helpers::answer;
 use helpers::claim;
+use helpers::reply_text;
 use helpers::settle;
 use helpers::timed_key;
-use helpers::word;
-use ledger::Limits;
 use ledger::Counts;
 use ledger::Key;
 use ledger::Ledger;
+use ledger::Limits;
 use ledger::Reply;
 use ledger::RestoreError;
 use prost::Message;
@@ -39,7 +39,7 @@
 fn run(name: &str, ledger: &mut Ledger, steps: &[Step]) {
     for (index, step) in steps.iter().enumerate() {
         let reply = ledger.apply(START_MS + step.after_ms, &step.command);
-        assert_eq!(word(&reply), step.expect, "{name}, step {index}");
+        assert_eq!(reply_text(&reply), step.expect, "{name}, step {index}");
     }
 }
 
@@ -49,7 +49,7 @@
     use Settled::NotRun;
     let cases = [
         (
-            "a resent claim gets the same grant while it holds",
+            "a resent claim is granted again until it is settled",
             vec![
                 step(0, claim("k", "a", 1), "granted"),
                 step(1, claim("k", "a", 1), "granted"),
@@ -67,7 +67,7 @@
             ],
         ),
         (
-            "another request under the same key",
+            "a different request with the same key is refused",
             vec![
                 step(0, claim("k", "a", 1), "granted"),
                 step(1, claim("k", "b", 2), "mismatch"),
@@ -76,7 +76,7 @@
             ],
         ),
         (
-            "not run may be claimed again, though not by the spent claim",
+            "a key that was not run may be claimed again, but not by the settled claim",
             vec![
                 step(0, claim("k", "a", 1), "granted"),
                 step(1, settle("k", "a", NotRun, None), "recorded"),
@@ -97,7 +97,7 @@
     use Settled::Unknown;
     let cases = [
         (
-            "a late settlement of an older claim touches nothing",
+            "a late settlement of an older claim is dropped",
             vec![
                 step(0, claim("k", "a", 1), "granted"),
                 step(1, settle("k", "a", NotRun, None), "recorded"),
@@ -108,7 +108,7 @@
             ],
         ),
         (
-            "a hold that runs out is unknown for good",
+            "a claim whose hold expires becomes unknown permanently",
             vec![
                 step(0, claim("k", "a", 1), "granted"),
                 step(1_000, claim("k", "b", 1), "unknown"),
@@ -127,7 +127,7 @@
             ],
         ),
         (
-            "a claim that was given up before the log had it",
+            "a claim that was abandoned before it was in the log",
             vec![
                 step(0, settle("k", "a", NotRun, None), "recorded"),
                 step(1, claim("k", "a", 1), "REFUSAL_SPENT"),
@@ -143,7 +143,7 @@
             ],
         ),
         (
-            "time that goes back moves nothing",
+            "an earlier stamp does not move the ledger's time back",
             vec![
                 step(500, claim("k", "a", 1), "granted"),
                 step(0, claim("k", "b", 1), "in-flight"),
@@ -152,7 +152,7 @@
             ],
         ),
         (
-            "names and ids out of form",
+            "invalid names and claim ids",
             vec![
                 step(0, claim("", "a", 1), "REFUSAL_FORM"),
                 step(0, claim("k k", "a", 1), "REFUSAL_FORM"),
@@ -173,10 +173,10 @@
     let limits = Limits::default();
     let window = limits.window_ms;
     let timed = timed_key(START_MS);
-    let early = timed_key(START_MS + limits.early_ms + 1);
+    let early = timed_key(START_MS + limits.max_ahead_ms + 1);
     let cases = [
         (
-            "a timed key is refused after its window, whatever became of it",
+            "a timed key is refused after its window, in any state",
             vec![
                 step(window, claim(&timed, "a", 1), "granted"),
                 step(window, settle(&timed, "a", Settled::Done, None), "recorded"),
@@ -198,14 +198,14 @@
             ],
         ),
         (
-            "a key from ahead of time",
+            "a key created in the future",
             vec![
                 step(0, claim(&early, "a", 1), "REFUSAL_EARLY"),
                 step(1, claim(&early, "a", 1), "granted"),
             ],
         ),
         (
-            "an untimed key's record ends a window after its settlement",
+            "the record of an untimed key expires one window after its settlement",
             vec![
                 step(0, claim("k", "a", 1), "granted"),
                 step(9, settle("k", "a", Settled::Unknown, None), "recorded"),
@@ -218,23 +218,23 @@
         run(name, &mut Ledger::new(limits), &steps);
     }
     let mut strict = Ledger::new(Limits {
-        untimed: false,
+        allow_untimed: false,
         ..limits
     });
     let steps = [
         step(0, claim("k", "a", 1), "REFUSAL_UNTIMED"),
         step(0, claim(&timed, "a", 1), "granted"),
     ];
-    run("only timed keys", &mut strict, &steps);
+    run("only timed keys allowed", &mut strict, &steps);
 }
 
 #[test]
 fn test_ledger_bounds() {
     let limits = Limits {
-        records: 3,
-        service: 2,
-        answers: answer(b"12345678").encoded_len(),
-        body: 16,
+        max_records: 3,
+        max_service_records: 2,
+        max_answer_bytes: answer(b"12345678").encoded_len(),
+        max_body_bytes: 16,
         ..Limits::default()
     };
     let mut ledger = Ledger::new(limits);
@@ -281,14 +281,14 @@
     let expect = Counts {
         records: 2,
         in_flight: 0,
-        answers: limits.answers + omitted.encoded_len(),
+        answer_bytes: limits.max_answer_bytes + omitted.encoded_len(),
     };
     assert_eq!(ledger.counts(), expect);
     let expire = Command {
         kind: Some(command::Kind::Expire(Expire {})),
     };
-    let due = ledger.next_expiry_ms().expect("records are due");
-    assert_eq!(ledger.apply(due, &expire), Reply::Expire);
+    let next_expiry_ms = ledger.next_expiry_ms().expect("a record expires");
+    assert_eq!(ledger.apply(next_expiry_ms, &expire), Reply::Expire);
     assert_eq!(ledger.counts(), Counts::default());
     assert_eq!(ledger.next_expiry_ms(), None);
 }
@@ -297,17 +297,17 @@
 fn test_ledger_restore_faults() {
     let mut ledger = Ledger::new(Limits::default());
     ledger.apply(START_MS, &claim("k", "a", 1));
-    let whole = ledger.snapshot();
-    let mut nameless = whole.clone();
-    nameless.records[0].key.clear();
-    let mut nowhere = whole.clone();
-    nowhere.records[0].standing = 0;
-    let mut twice = whole.clone();
-    twice.records.push(whole.records[0].clone());
+    let valid = ledger.snapshot();
+    let mut invalid_key = valid.clone();
+    invalid_key.records[0].key.clear();
+    let mut missing_state = valid.clone();
+    missing_state.records[0].standing = 0;
+    let mut duplicate_key = valid.clone();
+    duplicate_key.records.push(valid.records[0].clone());
     let cases = [
-        (nameless, RestoreError::Key(0)),
-        (nowhere, RestoreError::Standing(0)),
-        (twice, RestoreError::Twice(1)),
+        (invalid_key, RestoreError::InvalidKey(0)),
+        (missing_state, RestoreError::MissingState(0)),
+        (duplicate_key, RestoreError::DuplicateKey(1)),
     ];
     for (snapshot, expect) in cases {
         let found = Ledger::restore(Limits::default(), &snapshot).map(|l| l.counts());
--- a/crates/ledger/tests/test_schedules.rs
+++ b/crates/ledger/tests/test_schedules.rs
@@ -1,5 +1,5 @@
-//! Random schedules of claims, resends, settlements, expiry and restores: at
-//! most one claim of a key is granted, and none after it is done or unknown.
+//! Random schedules of claims, resends, settlements, expiry and restores: guards against
+//! two claims of a key being granted at once, or one after the key is done or unknown.
 
 mod helpers;
 
@@ -7,65 +7,69 @@
 use helpers::START_MS;
 use helpers::answer;
 use helpers::claim;
+use helpers::reply_text;
 use helpers::settle;
 use helpers::timed_key;
-use helpers::word;
-use ledger::Limits;
 use ledger::Ledger;
+use ledger::Limits;
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
 use wire::ledger::Settled;
 
-/// One step of a random schedule, read modulo what there is.
+/// One step of a random schedule.
 #[derive(Clone, Debug)]
-struct Move {
+struct ScheduleStep {
     kind: u8,
     key: u8,
     claim: u8,
-    wait: u8,
+    delay: u8,
 }
 
-impl Arbitrary for Move {
+impl Arbitrary for ScheduleStep {
     fn arbitrary(g: &mut Gen) -> Self {
         Self {
             kind: u8::arbitrary(g) % 8,
             key: u8::arbitrary(g) % 3,
             claim: u8::arbitrary(g) % 4,
-            wait: u8::arbitrary(g) % 16,
+            delay: u8::arbitrary(g) % 16,
         }
     }
 }
 
-/// What an onlooker may conclude of one key from the replies alone.
+/// State of one key as derived from the replies alone.
 #[derive(Clone, Default)]
-struct Seen {
-    /// The claim granted and not settled as not run.
-    owner: Option<u8>,
+struct ObservedKey {
+    /// The granted claim, unless it was settled as not run.
+    granted_claim: Option<u8>,
     granted_ms: u64,
-    /// Done, or unknown, or its hold ran out.
+    /// The key is done or unknown, or the hold of its claim expired.
     closed: bool,
 }
 
-/// Plays a schedule; `Err` names the first step that broke the promise.
-fn play(moves: &[Move], keys: &[String; 3], window_ms: u64) -> Result<(), String> {
+/// Runs a schedule; `Err` describes the first step that violated an invariant.
+fn run_schedule(steps: &[ScheduleStep], keys: &[String; 3], window_ms: u64) -> Result<(), String> {
     let limits = Limits {
         window_ms,
         ..Limits::default()
     };
     let mut ledger = Ledger::new(limits);
-    let mut seen = [Seen::default(), Seen::default(), Seen::default()];
+    let mut observed = [
+        ObservedKey::default(),
+        ObservedKey::default(),
+        ObservedKey::default(),
+    ];
     let mut now = START_MS;
-    for (index, m) in moves.iter().enumerate() {
-        now += match m.wait {
+    for (index, step) in steps.iter().enumerate() {
+        now += match step.delay {
             0..10 => 1,
             10..13 => 400,
             13 => u64::from(HOLD_MS),
             14 => 3_000,
             _ => 5_000,
         };
-        let key = &keys[usize::from(m.key)];
-        let id = m.claim.to_string();
-        let settled = match m.kind {
+        let key = &keys[usize::from(step.key)];
+        let id = step.claim.to_string();
+        let settled = match step.kind {
             0..3 => None,
             3 | 4 => Some(Settled::NotRun),
             5 => Some(Settled::Done),
@@ -74,7 +78,9 @@
                 let snapshot = ledger.snapshot();
                 ledger = Ledger::restore(limits, &snapshot).map_err(|e| e.to_string())?;
                 if ledger.snapshot() != snapshot {
-                    return Err(format!("step {index}: the snapshot isn't restored whole"));
+                    return Err(format!(
+                        "step {index}: the restored ledger differs from its snapshot"
+                    ));
                 }
                 continue;
             }
@@ -83,37 +89,48 @@
             None => claim(key, &id, 1),
             Some(settled) => settle(key, &id, settled, Some(answer(b"ok"))),
         };
-        // Half of the stamps come from a leader whose clock is behind.
-        let stamp = if m.claim % 2 == 0 { now } else { now - 6_000 };
-        let reply = word(&ledger.apply(stamp, &command));
-        let seen = &mut seen[usize::from(m.key)];
-        let ended = seen.granted_ms + u64::from(HOLD_MS) <= ledger.now_ms();
-        seen.closed |= seen.owner.is_some() && ended;
+        // Half of the stamps are from a leader whose clock is behind.
+        let stamp = if step.claim % 2 == 0 {
+            now
+        } else {
+            now - 6_000
+        };
+        let reply = reply_text(&ledger.apply(stamp, &command));
+        let observed = &mut observed[usize::from(step.key)];
+        let hold_expired = observed.granted_ms + u64::from(HOLD_MS) <= ledger.now_ms();
+        observed.closed |= observed.granted_claim.is_some() && hold_expired;
         match (settled, reply.as_str()) {
             (None, "granted") => {
-                if seen.closed {
-                    return Err(format!("step {index}: granted after done or unknown"));
+                if observed.closed {
+                    return Err(format!(
+                        "step {index}: claim granted after the key was done or unknown"
+                    ));
                 }
-                if seen.owner.is_some_and(|owner| owner != m.claim) {
-                    return Err(format!("step {index}: two claims granted at once"));
+                if observed
+                    .granted_claim
+                    .is_some_and(|granted_claim| granted_claim != step.claim)
+                {
+                    return Err(format!("step {index}: two claims granted at the same time"));
                 }
-                if seen.owner.is_none() {
-                    seen.owner = Some(m.claim);
-                    seen.granted_ms = ledger.now_ms();
+                if observed.granted_claim.is_none() {
+                    observed.granted_claim = Some(step.claim);
+                    observed.granted_ms = ledger.now_ms();
                 }
             }
-            (Some(Settled::NotRun), "recorded") if seen.owner == Some(m.claim) => {
-                if seen.closed {
-                    return Err(format!("step {index}: a closed key was opened"));
+            (Some(Settled::NotRun), "recorded") if observed.granted_claim == Some(step.claim) => {
+                if observed.closed {
+                    return Err(format!("step {index}: a closed key was reopened"));
                 }
-                seen.owner = None;
+                observed.granted_claim = None;
             }
-            (Some(Settled::Done | Settled::Unknown), "recorded") => seen.closed = true,
+            (Some(Settled::Done | Settled::Unknown), "recorded") => observed.closed = true,
             _ => {}
         }
-        let due = ledger.next_expiry_ms().is_none_or(|due| due > ledger.now_ms());
-        if !due {
-            return Err(format!("step {index}: a record is past its due time"));
+        let none_overdue = ledger
+            .next_expiry_ms()
+            .is_none_or(|expiry_ms| expiry_ms > ledger.now_ms());
+        if !none_overdue {
+            return Err(format!("step {index}: an expired record was not processed"));
         }
     }
     Ok(())
@@ -127,9 +144,9 @@
     for seed in SEEDS {
         let mut g = Gen::from_size_and_seed(STEPS, seed);
         for schedule in 0..SCHEDULES {
-            let moves = Vec::<Move>::arbitrary(&mut g);
-            if let Err(why) = play(&moves, keys, window_ms) {
-                panic!("seed {seed}, schedule {schedule}: {why}; {moves:?}");
+            let steps = Vec::<ScheduleStep>::arbitrary(&mut g);
+            if let Err(violation) = run_schedule(&steps, keys, window_ms) {
+                panic!("seed {seed}, schedule {schedule}: {violation}; {steps:?}");
             }
         }
     }
@@ -143,6 +160,6 @@
 
 #[test]
 fn test_schedules_untimed_keys_run_once_in_the_window() {
-    let longest = u64::try_from(STEPS).expect("a small number") * 5_000;
-    check_schedules(&["k1", "k2", "k3"].map(String::from), longest);
+    let window_ms = u64::try_from(STEPS).expect("fits u64") * 5_000;
+    check_schedules(&["k1", "k2", "k3"].map(String::from), window_ms);
 }
