--- a/crates/catalogue/examples/catalogue_slopes.rs
+++ b/crates/catalogue/examples/catalogue_slopes.rs
@@ -1,5 +1,5 @@
-//! Size and time of the catalogue's state machine against its services and the
-//! changes behind it: `cargo run --release -p catalogue --example catalogue_slopes`.
+//! Measures size and time of the catalogue's state machine for several numbers of services and
+//! changes: `cargo run --release -p catalogue --example catalogue_slopes`.
 
 use std::time::Instant;
 
@@ -14,7 +14,7 @@
 use wire::catalogue::edit::Kind;
 
 const SERVICES: [u64; 3] = [8, 33, 130];
-/// A tenth of a day, a day and the window of kept answers.
+/// The last one is the default of [`RetentionLimits::max_accepted`].
 const CHANGES: [u64; 3] = [140, 1_400, 8_192];
 const GATEWAYS: u64 = 15;
 
--- a/crates/catalogue/src/catalogue.rs
+++ b/crates/catalogue/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The whole catalogue at one version.
+//! The catalogue at one version.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,68 +12,68 @@
 use crate::fault::Field;
 use crate::fault::Problem;
 
-/// Most services.
+/// Maximum number of services.
 pub const MAX_ENTRIES: usize = 1_024;
-/// Most gateways.
+/// Maximum number of gateways.
 pub const MAX_GATEWAYS: usize = 512;
 
-/// The catalogue, immutable once it is made.
+/// Services and registered gateways at one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Catalogue {
-    /// Counts accepted changes; zero before the first.
+    /// Number of changes accepted so far.
     pub version: u64,
-    /// Its services.
+    /// Services by name.
     pub entries: BTreeMap<ServiceName, Entry>,
-    /// Gateways registered; the measuring budget is divided by their number.
+    /// Registered gateways; each service's probe budget is divided by their number.
     pub gateways: BTreeSet<HostName>,
 }
 
 impl Catalogue {
-    /// Takes the wire form.
+    /// Converts and checks the wire form.
     ///
     /// # Errors
     ///
-    /// Fails with every fault of every entry and of the whole.
+    /// Fails with all faults of the entries and of the catalogue as a whole.
     pub fn from_wire(catalogue: &wire::catalogue::Catalogue) -> Result<Self, Vec<Fault>> {
         let mut faults = Vec::new();
-        let mut taken = Self {
+        let mut converted = Self {
             version: catalogue.version,
             ..Self::default()
         };
         for entry in &catalogue.entries {
             match Entry::from_wire(entry) {
-                Ok(entry) if taken.entries.contains_key(&entry.service) => {
+                Ok(entry) if converted.entries.contains_key(&entry.service) => {
                     faults.push(Fault::new(
                         entry.service.as_str(),
                         Field::Service,
-                        Problem::Twice,
+                        Problem::Duplicate,
                     ));
                 }
                 Ok(entry) => {
-                    taken.entries.insert(entry.service.clone(), entry);
+                    converted.entries.insert(entry.service.clone(), entry);
                 }
                 Err(found) => faults.extend(found),
             }
         }
         for gateway in &catalogue.gateways {
             match HostName::new(gateway) {
-                Ok(host) if taken.gateways.contains(&host) => {
-                    faults.push(Fault::new(gateway, Field::Gateway, Problem::Twice));
+                Ok(host) if converted.gateways.contains(&host) => {
+                    faults.push(Fault::new(gateway, Field::Gateway, Problem::Duplicate));
                 }
                 Ok(host) => {
-                    taken.gateways.insert(host);
+                    converted.gateways.insert(host);
                 }
                 Err(err) => faults.push(Fault::new(gateway, Field::Gateway, err)),
             }
         }
-        faults.extend(taken.faults());
+        faults.extend(converted.faults());
         if faults.is_empty() {
-            return Ok(taken);
+            return Ok(converted);
         }
         Err(faults)
     }
 
-    /// The wire form, sorted.
+    /// Converts to the wire form, sorted by name.
     #[must_use]
     pub fn to_wire(&self) -> wire::catalogue::Catalogue {
         wire::catalogue::Catalogue {
@@ -83,7 +83,8 @@
         }
     }
 
-    /// What no single entry shows to be wrong.
+    /// Checks rules that involve several entries: the numbers of services and gateways, and each
+    /// gateway's share of the probe budgets.
     #[must_use]
     pub fn faults(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
@@ -91,17 +92,17 @@
             (Field::Service, self.entries.len(), MAX_ENTRIES),
             (Field::Gateway, self.gateways.len(), MAX_GATEWAYS),
         ];
-        for (field, found, most) in counts {
-            if found > most {
-                faults.push(Fault::new("", field, Problem::Many(found, most)));
+        for (field, found, max) in counts {
+            if found > max {
+                faults.push(Fault::new("", field, Problem::TooMany(found, max)));
             }
         }
         let gateways = u32::try_from(self.gateways.len()).unwrap_or(u32::MAX);
-        let without_share = |probes: u32| probes > 0 && probes < gateways;
+        let too_small = |probes: u32| probes > 0 && probes < gateways;
         for entry in self.entries.values() {
-            if without_share(entry.limits.probes) {
-                let why = Contradiction::BudgetWithoutShare;
-                let problem = Problem::Contradicts(why);
+            if too_small(entry.limits.probes) {
+                let contradiction = Contradiction::ProbeBudgetTooSmall;
+                let problem = Problem::Contradicts(contradiction);
                 faults.push(Fault::new(entry.service.as_str(), Field::Probes, problem));
             }
         }
--- a/crates/catalogue/src/change.rs
+++ b/crates/catalogue/src/change.rs
@@ -1,4 +1,4 @@
-//! One atomic change: checks of its content, and its effect on a catalogue.
+//! Checks a change and applies it to a catalogue.
 
 use std::collections::BTreeSet;
 
@@ -11,56 +11,56 @@
 
 use crate::catalogue::Catalogue;
 use crate::entry::Entry;
-use crate::entry::is_owner;
+use crate::entry::is_valid_owner;
 use crate::fault::Fault;
 use crate::fault::Field;
 use crate::fault::Problem;
 
-/// Most edits of one change.
+/// Maximum number of edits of one change.
 pub const MAX_EDITS: usize = 2_048;
 
-/// What is wrong with the change itself, whatever the catalogue holds.
+/// Checks the content of a change independently of the catalogue.
 ///
-/// The answer depends on nothing else, so a refusal by it needs no record: a
-/// resend gets the same.
+/// The result depends only on the change, so that a refusal need not be stored: a resend
+/// gets the same reply.
 #[must_use]
 pub fn check(change: &Change) -> Vec<Fault> {
     let mut faults = Vec::new();
     if let Err(err) = ChangeId::new(&change.id) {
         faults.push(Fault::new("", Field::Id, err));
     }
-    if !is_owner(&change.author) {
-        faults.push(Fault::new("", Field::Author, Problem::Text));
+    if !is_valid_owner(&change.author) {
+        faults.push(Fault::new("", Field::Author, Problem::InvalidText));
     }
     if change.edits.is_empty() {
         faults.push(Fault::new("", Field::Edits, Problem::Missing));
     }
     if change.edits.len() > MAX_EDITS {
-        let problem = Problem::Many(change.edits.len(), MAX_EDITS);
+        let problem = Problem::TooMany(change.edits.len(), MAX_EDITS);
         faults.push(Fault::new("", Field::Edits, problem));
         return faults;
     }
-    let mut touched = BTreeSet::new();
+    let mut targets = BTreeSet::new();
     for edit in &change.edits {
         faults.extend(check_edit(edit));
         let target = Target::of(edit);
-        if !touched.insert(target) {
-            faults.push(target.fault(Problem::Twice));
+        if !targets.insert(target) {
+            faults.push(target.fault(Problem::Duplicate));
         }
     }
     faults
 }
 
-/// The catalogue that `change` makes of `from`.
+/// Applies `change` to a copy of `from`.
 ///
 /// # Errors
 ///
-/// Fails with every fault; `from` stays as it is.
-pub fn effect(from: &Catalogue, change: &Change) -> Result<Catalogue, Vec<Fault>> {
+/// Fails with all faults.
+pub fn apply(from: &Catalogue, change: &Change) -> Result<Catalogue, Vec<Fault>> {
     let mut next = from.clone();
     let mut faults = Vec::new();
     for edit in &change.edits {
-        faults.extend(edit_catalogue(&mut next, edit));
+        faults.extend(apply_edit(&mut next, edit));
     }
     next.version += 1;
     faults.extend(next.faults());
@@ -70,16 +70,16 @@
     Err(faults)
 }
 
-/// Digest of all that a change says, its id included.
+/// XXH3 digest of the encoded change, including its id.
 #[must_use]
 pub fn digest(change: &Change) -> u64 {
     xxhash_rust::xxh3::xxh3_64(&change.encode_to_vec())
 }
 
-/// What one edit touches.
+/// The service or gateway that an edit applies to.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Target<'a> {
-    Nothing,
+    Unspecified,
     Service(&'a str),
     Gateway(&'a str),
 }
@@ -87,7 +87,7 @@
 impl<'a> Target<'a> {
     fn of(edit: &'a Edit) -> Self {
         match &edit.kind {
-            None => Self::Nothing,
+            None => Self::Unspecified,
             Some(Kind::Put(entry)) => Self::Service(&entry.service),
             Some(Kind::Remove(service)) => Self::Service(service),
             Some(Kind::AddGateway(host) | Kind::RemoveGateway(host)) => Self::Gateway(host),
@@ -96,7 +96,7 @@
 
     fn fault(self, problem: Problem) -> Fault {
         match self {
-            Self::Nothing => Fault::new("", Field::Edits, problem),
+            Self::Unspecified => Fault::new("", Field::Edits, problem),
             Self::Service(service) => Fault::new(service, Field::Service, problem),
             Self::Gateway(host) => Fault::new(host, Field::Gateway, problem),
         }
@@ -117,16 +117,17 @@
         .collect()
 }
 
-fn edit_catalogue(catalogue: &mut Catalogue, edit: &Edit) -> Vec<Fault> {
+fn apply_edit(catalogue: &mut Catalogue, edit: &Edit) -> Vec<Fault> {
     let target = Target::of(edit);
-    let done = match &edit.kind {
+    let result = match &edit.kind {
         None => Err(Problem::Missing),
         Some(Kind::Put(entry)) => return put(catalogue, entry),
         Some(Kind::Remove(service)) => remove(catalogue, service),
         Some(Kind::AddGateway(host)) => add_gateway(catalogue, host),
         Some(Kind::RemoveGateway(host)) => remove_gateway(catalogue, host),
     };
-    done.err()
+    result
+        .err()
         .map(|problem| target.fault(problem))
         .into_iter()
         .collect()
@@ -147,15 +148,15 @@
         .entries
         .remove(service)
         .map(drop)
-        .ok_or(Problem::Absent)
+        .ok_or(Problem::NotFound)
 }
 
 fn add_gateway(catalogue: &mut Catalogue, host: &str) -> Result<(), Problem> {
-    let fresh = catalogue.gateways.insert(HostName::new(host)?);
-    fresh.then_some(()).ok_or(Problem::Present)
+    let inserted = catalogue.gateways.insert(HostName::new(host)?);
+    inserted.then_some(()).ok_or(Problem::AlreadyExists)
 }
 
 fn remove_gateway(catalogue: &mut Catalogue, host: &str) -> Result<(), Problem> {
-    let found = catalogue.gateways.remove(host);
-    found.then_some(()).ok_or(Problem::Absent)
+    let removed = catalogue.gateways.remove(host);
+    removed.then_some(()).ok_or(Problem::NotFound)
 }
--- a/crates/catalogue/src/diff.rs
+++ b/crates/catalogue/src/diff.rs
@@ -1,4 +1,4 @@
-//! What one catalogue has that another hasn't, as edits and as rows for people.
+//! Differences between two catalogues, as edits and for display.
 
 use std::collections::BTreeSet;
 
@@ -11,42 +11,43 @@
 use crate::fault::Field;
 use crate::file;
 
-/// What happens to one thing.
+/// Kind of a difference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Effect {
-    /// It is new.
+    /// A service or gateway is added.
     Add,
-    /// It stays with another value.
+    /// A field of a service gets another value.
     Change,
-    /// It goes.
+    /// A service or gateway is removed.
     Remove,
 }
 
-/// One difference.
+/// One difference between two catalogues.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// What happens.
+    /// Kind of the difference.
     pub effect: Effect,
-    /// [`Field::Gateway`] for a gateway, [`Field::Service`] for a whole entry.
+    /// [`Field::Gateway`] for a gateway, [`Field::Service`] for an entire entry.
     pub field: Field,
-    /// The service or gateway.
+    /// Name of the service or gateway.
     pub subject: String,
-    /// The value before, empty when it is new.
+    /// The old value; empty for an addition.
     pub from: String,
-    /// The value after, empty when it goes.
+    /// The new value; empty for a removal.
     pub to: String,
 }
 
-/// The edits that make `to` of `from`, sorted.
+/// Returns the edits that turn `from` into `to`: removed services, then added or changed
+/// services, then added gateways, then removed gateways, each sorted by name.
 #[must_use]
 pub fn edits(from: &Catalogue, to: &Catalogue) -> Vec<Edit> {
-    let gone = from.entries.keys().filter(|s| !to.entries.contains_key(*s));
+    let removed = from.entries.keys().filter(|s| !to.entries.contains_key(*s));
     let put = to
         .entries
         .values()
         .filter(|e| from.entries.get(&e.service) != Some(*e));
-    let kinds = gone
+    let kinds = removed
         .map(|service| Kind::Remove(service.to_string()))
         .chain(put.map(|entry| Kind::Put(entry.to_wire())))
         .chain(
@@ -62,37 +63,37 @@
     kinds.map(|kind| Edit { kind: Some(kind) }).collect()
 }
 
-/// The differences from `from` to `to`, field by field.
+/// Returns the differences from `from` to `to`, one for each changed field.
 #[must_use]
 pub fn differences(from: &Catalogue, to: &Catalogue) -> Vec<Difference> {
     let services: BTreeSet<_> = from.entries.keys().chain(to.entries.keys()).collect();
-    let mut rows: Vec<Difference> = services
+    let mut differences: Vec<Difference> = services
         .into_iter()
-        .flat_map(|s| entry_rows(from.entries.get(s), to.entries.get(s)))
+        .flat_map(|s| entry_differences(from.entries.get(s), to.entries.get(s)))
         .collect();
-    let row = |effect, host: &dyn ToString| Difference {
+    let gateway_difference = |effect, host: &dyn ToString| Difference {
         effect,
         field: Field::Gateway,
         subject: host.to_string(),
         from: String::new(),
         to: String::new(),
     };
-    rows.extend(
+    differences.extend(
         to.gateways
             .difference(&from.gateways)
-            .map(|h| row(Effect::Add, h)),
+            .map(|h| gateway_difference(Effect::Add, h)),
     );
-    rows.extend(
+    differences.extend(
         from.gateways
             .difference(&to.gateways)
-            .map(|h| row(Effect::Remove, h)),
+            .map(|h| gateway_difference(Effect::Remove, h)),
     );
-    rows
+    differences
 }
 
-fn entry_rows(from: Option<&Entry>, to: Option<&Entry>) -> Vec<Difference> {
+fn entry_differences(from: Option<&Entry>, to: Option<&Entry>) -> Vec<Difference> {
     let (effect, entry) = match (from, to) {
-        (Some(from), Some(to)) => return changed_rows(from, to),
+        (Some(from), Some(to)) => return field_differences(from, to),
         (Some(entry), None) => (Effect::Remove, entry),
         (None, Some(entry)) => (Effect::Add, entry),
         (None, None) => return Vec::new(),
@@ -115,7 +116,7 @@
     }]
 }
 
-fn changed_rows(from: &Entry, to: &Entry) -> Vec<Difference> {
+fn field_differences(from: &Entry, to: &Entry) -> Vec<Difference> {
     file::fields(from)
         .into_iter()
         .zip(file::fields(to))
--- a/crates/catalogue/src/entry.rs
+++ b/crates/catalogue/src/entry.rs
@@ -1,4 +1,4 @@
-//! One service of the catalogue, with its bounds.
+//! A service of the catalogue and its limits.
 
 use std::time::Duration;
 
@@ -12,81 +12,82 @@
 use crate::fault::Field;
 use crate::fault::Problem;
 
-/// Most requests in flight at one gateway.
+/// Maximum of [`Limits::concurrency`].
 pub const MAX_CONCURRENCY: u32 = 100_000;
-/// Most requests queued at one gateway.
+/// Maximum of [`Limits::queue`].
 pub const MAX_QUEUE: u32 = 100_000;
-/// Shortest deadline.
+/// Minimum of [`Limits::deadline`].
 pub const MIN_DEADLINE: Duration = Duration::from_millis(10);
-/// Longest deadline.
+/// Maximum of [`Limits::deadline`].
 pub const MAX_DEADLINE: Duration = Duration::from_mins(10);
-/// Longest deadline of an urgent service.
+/// Maximum of [`Limits::deadline`] for the class urgent.
 pub const MAX_URGENT_DEADLINE: Duration = Duration::from_secs(30);
-/// Largest request body, in bytes.
+/// Maximum of [`Limits::body`], in bytes.
 pub const MAX_BODY: u64 = 64 * 1024 * 1024;
-/// Most retries, in percent of calls.
+/// Maximum of [`Limits::retries`], in percent.
 pub const MAX_RETRIES: u32 = 100;
-/// Most probes that one instance may receive, in thousandths a second.
+/// Maximum of [`Limits::probes`], in thousandths per second.
 pub const MAX_PROBES: u32 = 1_000_000;
-/// Other characters than letters and digits that an owner may have.
-const OWNER_MARKS: &str = " -_.:,&'()/";
+/// Characters besides letters and digits that an owner's name may contain.
+const OWNER_PUNCTUATION: &str = " -_.:,&'()/";
 
-/// Bounds of one service.
+/// Limits of one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Requests in flight at one gateway.
+    /// Maximum number of requests in flight at one gateway.
     pub concurrency: u32,
-    /// Requests queued at one gateway.
+    /// Maximum number of requests queued at one gateway.
     pub queue: u32,
-    /// Deadline of a request that names none, in whole milliseconds.
+    /// Deadline of a request that doesn't set one, in whole milliseconds.
     pub deadline: Duration,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body: u64,
-    /// Retries and hedges, in percent of calls.
+    /// Retry budget for retries and hedges, in percent of calls.
     pub retries: u32,
-    /// Probes that one instance may receive from all gateways together, in thousandths a second.
+    /// Maximum rate of probes to one instance from all gateways together, in thousandths per second.
     pub probes: u32,
 }
 
-/// One service.
+/// A service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its name.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Who answers for it.
+    /// Person or team responsible for the service.
     pub owner: String,
-    /// How its requests are treated.
+    /// Request class, which decides on queueing and retries.
     pub class: Class,
-    /// Its bounds.
+    /// Limits of the service.
     pub limits: Limits,
 }
 
 impl Entry {
-    /// Takes the wire form.
+    /// Converts and checks the wire form.
     ///
     /// # Errors
     ///
-    /// Fails with every fault of the entry.
+    /// Fails with all faults of the entry.
     pub fn from_wire(entry: &wire::catalogue::Entry) -> Result<Self, Vec<Fault>> {
         let mut faults = Vec::new();
-        let mut note = |field, problem| faults.push(Fault::new(&entry.service, field, problem));
+        let mut add_fault =
+            |field, problem| faults.push(Fault::new(&entry.service, field, problem));
         let service = ServiceName::new(&entry.service)
-            .map_err(|err| note(Field::Service, Problem::Name(err)))
+            .map_err(|err| add_fault(Field::Service, Problem::Name(err)))
             .ok();
-        if !is_owner(&entry.owner) {
-            note(Field::Owner, Problem::Text);
+        if !is_valid_owner(&entry.owner) {
+            add_fault(Field::Owner, Problem::InvalidText);
         }
-        let class = read_class(entry.class);
+        let class = class_from_wire(entry.class);
         if class.is_none() {
-            note(Field::Class, Problem::Class(entry.class));
+            add_fault(Field::Class, Problem::UnknownClass(entry.class));
         }
         let limits = entry.limits.unwrap_or_default();
         for (field, problem) in range_faults(&limits) {
-            note(field, problem);
+            add_fault(field, problem);
         }
         let limits = Limits::from_wire(&limits);
-        for (field, why) in class.into_iter().flat_map(|c| contradictions(c, &limits)) {
-            note(field, Problem::Contradicts(why));
+        for (field, contradiction) in class.into_iter().flat_map(|c| contradictions(c, &limits)) {
+            add_fault(field, Problem::Contradicts(contradiction));
         }
         match (service, class) {
             (Some(service), Some(class)) if faults.is_empty() => Ok(Self {
@@ -99,20 +100,20 @@
         }
     }
 
-    /// The wire form.
+    /// Converts to the wire form.
     #[must_use]
     pub fn to_wire(&self) -> wire::catalogue::Entry {
         wire::catalogue::Entry {
             service: self.service.to_string(),
             owner: self.owner.clone(),
-            class: write_class(self.class).into(),
+            class: class_to_wire(self.class).into(),
             limits: Some(self.limits.to_wire()),
         }
     }
 }
 
 impl Limits {
-    /// Takes the wire form as it is; [`Entry::from_wire`] checks it.
+    /// Converts the wire form without checks; [`Entry::from_wire`] checks it.
     #[must_use]
     pub fn from_wire(limits: &wire::catalogue::Limits) -> Self {
         Self {
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The wire form.
+    /// Converts to the wire form.
     #[must_use]
     pub fn to_wire(&self) -> wire::catalogue::Limits {
         wire::catalogue::Limits {
@@ -139,9 +140,9 @@
     }
 }
 
-/// The class of a wire number.
+/// Converts the number of a class on the wire; `None` if it is unknown or unspecified.
 #[must_use]
-pub fn read_class(number: i32) -> Option<Class> {
+pub fn class_from_wire(number: i32) -> Option<Class> {
     match WireClass::try_from(number).ok()? {
         WireClass::Unspecified => None,
         WireClass::Urgent => Some(Class::Urgent),
@@ -151,9 +152,9 @@
     }
 }
 
-/// The wire form of a class.
+/// Converts a class to its wire form.
 #[must_use]
-pub fn write_class(class: Class) -> WireClass {
+pub fn class_to_wire(class: Class) -> WireClass {
     match class {
         Class::Urgent => WireClass::Urgent,
         Class::Once => WireClass::Once,
@@ -162,18 +163,18 @@
     }
 }
 
-/// Whether `text` can name an owner, in the wire form and in a catalogue file.
-pub(crate) fn is_owner(text: &str) -> bool {
-    let allowed = |c: char| c.is_alphanumeric() || OWNER_MARKS.contains(c);
+/// Whether `text` is a valid owner or author, both on the wire and in a catalogue file.
+pub(crate) fn is_valid_owner(text: &str) -> bool {
+    let allowed = |c: char| c.is_alphanumeric() || OWNER_PUNCTUATION.contains(c);
     (1..=name::MAX_NAME_BYTES).contains(&text.len())
         && text.trim() == text
         && text.chars().all(allowed)
 }
 
 fn range_faults(limits: &wire::catalogue::Limits) -> Vec<(Field, Problem)> {
-    let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
+    let millis = |duration: Duration| u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
     let deadline = (millis(MIN_DEADLINE), millis(MAX_DEADLINE));
-    let rows = [
+    let ranges = [
         (
             Field::Concurrency,
             limits.concurrency.into(),
@@ -201,11 +202,10 @@
             "thousandths a second",
         ),
     ];
-    rows.into_iter()
-        .filter(|(_, found, (least, most), _)| found < least || found > most)
-        .map(|(field, found, (least, most), unit)| {
-            (field, Problem::Range(found, least, most, unit))
-        })
+    ranges
+        .into_iter()
+        .filter(|(_, found, (min, max), _)| found < min || found > max)
+        .map(|(field, found, (min, max), unit)| (field, Problem::OutOfRange(found, min, max, unit)))
         .collect()
 }
 
@@ -218,7 +218,7 @@
             vec![(Field::Queue, Contradiction::DeferredWithoutQueue)]
         }
         Class::Urgent if limits.deadline > MAX_URGENT_DEADLINE => {
-            vec![(Field::Deadline, Contradiction::UrgentWithoutHaste)]
+            vec![(Field::Deadline, Contradiction::UrgentDeadlineTooLong)]
         }
         _ => Vec::new(),
     }
--- a/crates/catalogue/src/fault.rs
+++ b/crates/catalogue/src/fault.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with an entry, a catalogue or a change.
+//! Faults of an entry, a catalogue or a change.
 
 use std::fmt;
 
@@ -8,129 +8,132 @@
 use strum::EnumIter;
 use strum::IntoStaticStr;
 
-/// Most faults that one answer carries.
+/// Maximum number of faults in one reply.
 pub const MAX_FAULTS: usize = 64;
 
-/// The part that is at fault, named as in catalogue files.
+/// Field of an entry or a change, named as in catalogue files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Field {
-    /// A service's name.
+    /// Name of a service.
     Service,
-    /// Who answers for a service.
+    /// Owner of a service.
     Owner,
-    /// How its requests are treated.
+    /// Request class of a service.
     Class,
-    /// Requests in flight at one gateway.
+    /// Maximum number of requests in flight at one gateway.
     Concurrency,
-    /// Requests queued at one gateway.
+    /// Maximum number of requests queued at one gateway.
     Queue,
-    /// The deadline of a request that names none.
+    /// Deadline of a request that doesn't set one.
     Deadline,
-    /// Largest request body.
+    /// Maximum size of a request body.
     Body,
-    /// Retries and hedges as a share of calls.
+    /// Retry budget, as a percentage of calls.
     Retries,
-    /// Probes that one instance may receive.
+    /// Maximum rate of probes to one instance.
     Probes,
-    /// A gateway's host name.
+    /// Host name of a gateway.
     Gateway,
-    /// The id of a change.
+    /// Id of a change.
     Id,
-    /// The author of a change.
+    /// Author of a change.
     Author,
-    /// The version that a change is based on.
+    /// Version that a change is based on.
     Base,
-    /// The edits of a change.
+    /// Edits of a change.
     Edits,
 }
 
 quick_error! {
-    /// What is wrong with a field.
+    /// Problem with a field.
+    ///
+    /// Refusals with these texts are stored by the replicas, whose snapshots must be
+    /// byte-identical: changing a text breaks that between two releases.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Problem {
-        /// Nothing stands there.
+        /// The field is missing.
         Missing {
             display("is missing")
         }
-        /// It is no name.
+        /// The text is not a valid name.
         Name(err: NameError) {
             from()
             display("{err}")
         }
-        /// It is no text that may stand in a catalogue file.
-        Text {
+        /// The text is not a valid owner or author.
+        InvalidText {
             display("is 1 to 128 letters, digits, spaces or any of -_.:,&'()/, without a space at either end")
         }
-        /// It is no class.
-        Class(number: i32) {
+        /// The number is not a known class.
+        UnknownClass(number: i32) {
             display("{number} is no class (allowed: urgent, once, durable, deferred)")
         }
-        /// It lies outside its bounds.
-        Range(found: u64, least: u64, most: u64, unit: &'static str) {
-            display("{found} {unit} is outside {least} to {most} {unit}")
+        /// The value is out of range.
+        OutOfRange(found: u64, min: u64, max: u64, unit: &'static str) {
+            display("{found} {unit} is outside {min} to {max} {unit}")
         }
-        /// There are more of them than a catalogue or a change may have.
-        Many(found: usize, most: usize) {
-            display("{found} are more than {most}")
+        /// The number of services, gateways or edits exceeds the maximum.
+        TooMany(found: usize, max: usize) {
+            display("{found} are more than {max}")
         }
-        /// It contradicts another field.
-        Contradicts(why: Contradiction) {
-            display("{why}")
+        /// The field contradicts another one.
+        Contradicts(contradiction: Contradiction) {
+            display("{contradiction}")
         }
-        /// The catalogue has nothing of that name.
-        Absent {
+        /// The catalogue has no service or gateway of that name.
+        NotFound {
             display("is not in the catalogue")
         }
-        /// The catalogue has that name already.
-        Present {
+        /// The gateway is already registered.
+        AlreadyExists {
             display("is in the catalogue already")
         }
-        /// Two edits of one change touch it.
-        Twice {
+        /// The service or gateway appears more than once in a change or catalogue.
+        Duplicate {
             display("stands twice in one change")
         }
         /// The change is based on a version that doesn't exist yet.
-        Ahead(current: u64) {
+        BaseAhead(current: u64) {
             display("is ahead of the current version {current}")
         }
     }
 }
 
-/// Two fields that can't both hold.
+/// A combination of field values that is not allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum Contradiction {
-    /// A durable change must be retried until it arrives.
+    /// Requests of a durable service must be retried until they succeed.
     #[strum(to_string = "class durable must not be lost, which retries of 0% contradict")]
     DurableWithoutRetries,
-    /// Deferred work waits in a queue.
+    /// Requests of a deferred service wait in a queue.
     #[strum(to_string = "class deferred may wait, which a queue of 0 contradicts")]
     DeferredWithoutQueue,
-    /// The caller of an urgent service doesn't wait that long.
+    /// The deadline exceeds [`MAX_URGENT_DEADLINE`](crate::entry::MAX_URGENT_DEADLINE).
     #[strum(
         to_string = "class urgent means that the caller waits, which a deadline over 30s contradicts"
     )]
-    UrgentWithoutHaste,
-    /// A gateway's share of the measuring budget would be nothing.
+    UrgentDeadlineTooLong,
+    /// Each gateway's share of the probe budget would round down to zero.
     #[strum(
         to_string = "the measuring budget divided by the gateways gives less than 0.001/s each; raise it or set 0/s"
     )]
-    BudgetWithoutShare,
+    ProbeBudgetTooSmall,
 }
 
-/// One fault.
+/// A fault and where it was found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The service or gateway at fault, empty for the whole.
+    /// Name of the service or gateway; empty for the catalogue or change as a whole.
     pub subject: String,
-    /// The part at fault.
+    /// Field with the fault.
     pub field: Field,
-    /// What is wrong with it.
+    /// Problem with the field.
     pub problem: Problem,
 }
 
 impl Fault {
-    /// A fault of `field` at `subject`.
+    /// Creates a fault of `field` of `subject`.
     pub fn new(subject: &str, field: Field, problem: impl Into<Problem>) -> Self {
         Self {
             subject: subject.into(),
@@ -159,7 +162,7 @@
     }
 }
 
-/// The wire form of `faults`, the first [`MAX_FAULTS`] of them.
+/// Converts the first [`MAX_FAULTS`] of `faults` to the wire form.
 #[must_use]
 pub fn to_wire(faults: &[Fault]) -> wire::catalogue::Invalid {
     wire::catalogue::Invalid {
--- a/crates/catalogue/src/file.rs
+++ b/crates/catalogue/src/file.rs
@@ -1,8 +1,8 @@
-//! Catalogue files: INI, one section an entry.
+//! Reads and writes catalogue files, which are INI.
 //!
-//! `[service NAME]` has every key of an entry, `[gateway NAME]` has none, and
-//! `[catalogue]` may say the version that the file was made from. A file that
-//! is written can be read back to the same catalogue.
+//! A section `[service NAME]` has all keys of an entry, `[gateway NAME]` has none, and the
+//! optional `[catalogue]` has the version that the file was written from. Reading a written
+//! file yields the same catalogue.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -26,52 +26,52 @@
 use crate::fault::Fault;
 use crate::fault::Field;
 
-const WHOLE: &str = "catalogue";
-const VERSION: &str = "version";
-const SERVICE: &str = "service ";
-const GATEWAY: &str = "gateway ";
+const CATALOGUE_SECTION: &str = "catalogue";
+const VERSION_KEY: &str = "version";
+const SERVICE_PREFIX: &str = "service ";
+const GATEWAY_PREFIX: &str = "gateway ";
 
-/// Reads the file at `path`; its version is zero where it says none.
+/// Reads the file at `path`; the version is zero if the file has none.
 ///
 /// # Errors
 ///
-/// Fails with every fault of the file.
+/// Fails if the file can't be read, or with all faults of its content.
 pub fn open(path: &Path) -> Result<Catalogue, ConfError> {
     read(Reader::open(path)?)
 }
 
-/// Reads `text`, naming it `file` in faults.
+/// Parses `text`; faults name it as `file`.
 ///
 /// # Errors
 ///
-/// Fails with every fault of the text.
+/// Fails with all faults of the text.
 pub fn parse(file: &str, text: &str) -> Result<Catalogue, ConfError> {
     read(Reader::parse(file, text)?)
 }
 
-/// Writes `catalogue` as a file.
+/// Formats `catalogue` as the content of a file.
 #[must_use]
 pub fn write(catalogue: &Catalogue) -> String {
     let mut text = String::new();
     if catalogue.version > 0 {
-        section(&mut text, WHOLE);
+        write_section(&mut text, CATALOGUE_SECTION);
         // Writing to a string can't fail.
-        let _ = writeln!(text, "{VERSION} = {}", catalogue.version);
+        let _ = writeln!(text, "{VERSION_KEY} = {}", catalogue.version);
     }
     for entry in catalogue.entries.values() {
-        section(&mut text, &format!("{SERVICE}{}", entry.service));
+        write_section(&mut text, &format!("{SERVICE_PREFIX}{}", entry.service));
         for (field, value) in fields(entry) {
             // Writing to a string can't fail.
             let _ = writeln!(text, "{field} = {value}");
         }
     }
     for host in &catalogue.gateways {
-        section(&mut text, &format!("{GATEWAY}{host}"));
+        write_section(&mut text, &format!("{GATEWAY_PREFIX}{host}"));
     }
     text
 }
 
-/// An entry's fields as they stand in a file.
+/// Returns an entry's fields, formatted as in a file.
 #[must_use]
 pub fn fields(entry: &Entry) -> [(Field, String); 8] {
     let limits = &entry.limits;
@@ -87,7 +87,7 @@
     ]
 }
 
-fn section(text: &mut String, name: &str) {
+fn write_section(text: &mut String, name: &str) {
     if !text.is_empty() {
         text.push('\n');
     }
@@ -97,18 +97,18 @@
 
 fn read(mut reader: Reader) -> Result<Catalogue, ConfError> {
     let mut catalogue = Catalogue {
-        version: reader.or(WHOLE, VERSION, 0),
+        version: reader.or(CATALOGUE_SECTION, VERSION_KEY, 0),
         ..Catalogue::default()
     };
     for section in reader.sections() {
-        if let Some(name) = section.strip_prefix(SERVICE) {
+        if let Some(name) = section.strip_prefix(SERVICE_PREFIX) {
             read_service(&mut reader, &section, name, &mut catalogue);
-        } else if let Some(name) = section.strip_prefix(GATEWAY) {
+        } else if let Some(name) = section.strip_prefix(GATEWAY_PREFIX) {
             read_gateway(&mut reader, &section, name, &mut catalogue);
         }
     }
     for fault in catalogue.faults() {
-        note(&mut reader, &fault);
+        report(&mut reader, &fault);
     }
     reader.finish()?;
     Ok(catalogue)
@@ -129,12 +129,12 @@
         class,
         limits,
     };
-    // The wire form is what a change carries, so its checks are the ones that count.
+    // Runs the same checks as for the wire form of a change.
     match Entry::from_wire(&entry.to_wire()) {
         Ok(entry) => {
             catalogue.entries.insert(entry.service.clone(), entry);
         }
-        Err(faults) => faults.iter().for_each(|fault| note(reader, fault)),
+        Err(faults) => faults.iter().for_each(|fault| report(reader, fault)),
     }
 }
 
@@ -175,15 +175,15 @@
     reader.required(section, field.into())
 }
 
-fn note(reader: &mut Reader, fault: &Fault) {
-    let kind = match fault.field {
-        Field::Gateway => GATEWAY,
-        _ => SERVICE,
+fn report(reader: &mut Reader, fault: &Fault) {
+    let prefix = match fault.field {
+        Field::Gateway => GATEWAY_PREFIX,
+        _ => SERVICE_PREFIX,
     };
     let section = match fault.subject.as_str() {
         "" => String::new(),
-        subject => format!("{kind}{subject}"),
+        subject => format!("{prefix}{subject}"),
     };
-    let rule = Problem::Rule(fault.problem.to_string());
-    reader.fault(&section, fault.field.into(), rule, "");
+    let problem = Problem::Rule(fault.problem.to_string());
+    reader.fault(&section, fault.field.into(), problem, "");
 }
--- a/crates/catalogue/src/history.rs
+++ b/crates/catalogue/src/history.rs
@@ -1,4 +1,4 @@
-//! First answers to changes, kept for resends, within bounds.
+//! First replies to changes, stored for resends and evicted beyond limits.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -16,116 +16,117 @@
 
 use crate::change;
 
-/// What is kept at most; equal on all replicas, as it decides replies.
+/// Limits on the stored changes; all replicas must use the same, because they affect replies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionLimits {
-    /// Accepted changes, nearly six days of them at 1,400 a day.
-    pub accepted: usize,
-    /// Refused changes.
-    pub refused: usize,
-    /// Bytes of the edits of accepted changes; the oldest lose theirs first.
-    pub edits: usize,
+    /// Maximum number of accepted changes.
+    pub max_accepted: usize,
+    /// Maximum number of refused changes.
+    pub max_refused: usize,
+    /// Maximum total size of the edits of accepted changes, in bytes; the oldest are dropped first.
+    pub max_edit_bytes: usize,
 }
 
 impl Default for RetentionLimits {
     fn default() -> Self {
         Self {
-            accepted: 8_192,
-            refused: 1_024,
-            edits: 4 * 1024 * 1024,
+            max_accepted: 8_192,
+            max_refused: 1_024,
+            max_edit_bytes: 4 * 1024 * 1024,
         }
     }
 }
 
-/// Most items of one answer.
+/// Maximum number of items of one reply.
 pub const MAX_ITEMS: usize = 256;
-/// Most bytes of the items of one answer, so that it fits a frame.
+/// Maximum total size of the items of one reply in bytes, so that it fits into a frame.
 pub const MAX_ITEM_BYTES: usize = 1024 * 1024;
 
-/// Accepted and refused changes by id.
+/// Accepted and refused changes with their first replies.
 ///
-/// Invariant: `accepted` has no gap in versions, and `ids` names exactly the
-/// items of `accepted` and `refused`.
+/// Invariant: `accepted` has no gap in versions, and `replies` has exactly
+/// the ids of `accepted` and `refused`.
 #[derive(Clone, Debug)]
-pub(crate) struct Answers {
-    window: RetentionLimits,
+pub(crate) struct ReplyCache {
+    limits: RetentionLimits,
     pub(crate) accepted: VecDeque<Kept>,
     pub(crate) refused: VecDeque<Kept>,
-    ids: BTreeMap<String, First>,
+    replies: BTreeMap<String, CachedReply>,
     edit_bytes: usize,
-    /// Items at the front of `accepted` that lost their edits.
-    trimmed: usize,
+    /// Number of items at the front of `accepted` whose edits were dropped.
+    trimmed_items: usize,
 }
 
-/// The first answer to an id.
+/// The first reply to a change.
 #[derive(Clone, Debug)]
-struct First {
+struct CachedReply {
     digest: u64,
     version: u64,
     reply: ChangeReply,
 }
 
-impl Answers {
-    pub(crate) fn new(window: RetentionLimits) -> Self {
+impl ReplyCache {
+    pub(crate) fn new(limits: RetentionLimits) -> Self {
         Self {
-            window,
+            limits,
             accepted: VecDeque::new(),
             refused: VecDeque::new(),
-            ids: BTreeMap::new(),
+            replies: BTreeMap::new(),
             edit_bytes: 0,
-            trimmed: 0,
+            trimmed_items: 0,
         }
     }
 
-    /// The answer to a change whose id is kept.
-    pub(crate) fn first(&self, change: &Change) -> Option<ChangeReply> {
-        let first = self.ids.get(&change.id)?;
-        if first.digest == change::digest(change) {
-            return Some(first.reply.clone());
+    /// Returns the reply to a change whose id is stored: the first reply, or `Reused` if the
+    /// stored change had other content.
+    pub(crate) fn get(&self, change: &Change) -> Option<ChangeReply> {
+        let cached = self.replies.get(&change.id)?;
+        if cached.digest == change::digest(change) {
+            return Some(cached.reply.clone());
         }
-        let version = first.version;
-        Some(reply(Kind::Reused(Reused { version })))
+        let version = cached.version;
+        Some(change_reply(Kind::Reused(Reused { version })))
     }
 
-    /// The accepted change that made `version`.
-    pub(crate) fn at(&self, version: u64) -> Option<&Kept> {
+    /// Returns the accepted change that produced `version`.
+    pub(crate) fn accepted_at(&self, version: u64) -> Option<&Kept> {
         let oldest = self.accepted.front()?.version;
         let index = version.checked_sub(oldest)?;
         self.accepted.get(usize::try_from(index).ok()?)
     }
 
-    pub(crate) fn accept(&mut self, kept: Kept) -> ChangeReply {
-        let version = kept.version;
-        let answer = reply(Kind::Accepted(Accepted { version }));
-        self.index(&kept, &answer);
-        self.edit_bytes += edit_bytes(&kept.edits);
-        self.accepted.push_back(kept);
-        if self.accepted.len() > self.window.accepted {
-            self.forget_oldest();
+    pub(crate) fn accept(&mut self, record: Kept) -> ChangeReply {
+        let version = record.version;
+        let reply = change_reply(Kind::Accepted(Accepted { version }));
+        self.insert_reply(&record, &reply);
+        self.edit_bytes += edit_bytes(&record.edits);
+        self.accepted.push_back(record);
+        if self.accepted.len() > self.limits.max_accepted {
+            self.evict_oldest();
         }
-        self.trim();
-        answer
+        self.trim_edits();
+        reply
     }
 
-    pub(crate) fn refuse(&mut self, kept: Kept) -> ChangeReply {
-        let answer = kept.reply.clone().unwrap_or_default();
-        self.index(&kept, &answer);
-        self.refused.push_back(kept);
-        if self.refused.len() > self.window.refused
+    pub(crate) fn refuse(&mut self, record: Kept) -> ChangeReply {
+        let reply = record.reply.clone().unwrap_or_default();
+        self.insert_reply(&record, &reply);
+        self.refused.push_back(record);
+        if self.refused.len() > self.limits.max_refused
             && let Some(oldest) = self.refused.pop_front()
         {
-            self.ids.remove(&oldest.id);
+            self.replies.remove(&oldest.id);
         }
-        answer
+        reply
     }
 
-    pub(crate) fn page(&self, from: u64, most: usize) -> History {
+    pub(crate) fn page(&self, from: u64, max_items: usize) -> History {
         let mut history = History::default();
         let mut bytes = 0;
-        for kept in self.accepted.iter().filter(|kept| kept.version >= from) {
-            let item = item(kept);
+        for record in self.accepted.iter().filter(|record| record.version >= from) {
+            let item = item(record);
             bytes += item.encoded_len();
-            let full = history.items.len() >= most.min(MAX_ITEMS) || bytes > MAX_ITEM_BYTES;
+            let full = history.items.len() >= max_items.min(MAX_ITEMS) || bytes > MAX_ITEM_BYTES;
             if full && !history.items.is_empty() {
                 break;
             }
@@ -134,47 +135,46 @@
         history
     }
 
-    fn index(&mut self, kept: &Kept, reply: &ChangeReply) {
-        let first = First {
-            digest: kept.digest,
-            version: kept.version,
+    fn insert_reply(&mut self, record: &Kept, reply: &ChangeReply) {
+        let cached = CachedReply {
+            digest: record.digest,
+            version: record.version,
             reply: reply.clone(),
         };
-        self.ids.insert(kept.id.clone(), first);
+        self.replies.insert(record.id.clone(), cached);
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some(oldest) = self.accepted.pop_front() else {
             return;
         };
-        self.ids.remove(&oldest.id);
+        self.replies.remove(&oldest.id);
         self.edit_bytes -= edit_bytes(&oldest.edits);
-        self.trimmed = self.trimmed.saturating_sub(1);
+        self.trimmed_items = self.trimmed_items.saturating_sub(1);
     }
 
-    fn trim(&mut self) {
-        while self.edit_bytes > self.window.edits {
-            let Some(kept) = self.accepted.get_mut(self.trimmed) else {
+    fn trim_edits(&mut self) {
+        while self.edit_bytes > self.limits.max_edit_bytes {
+            let Some(record) = self.accepted.get_mut(self.trimmed_items) else {
                 return;
             };
-            self.edit_bytes -= edit_bytes(&kept.edits);
-            kept.edits = Vec::new();
-            self.trimmed += 1;
+            self.edit_bytes -= edit_bytes(&record.edits);
+            record.edits = Vec::new();
+            self.trimmed_items += 1;
         }
     }
 }
 
-/// The reply of one kind.
-pub(crate) fn reply(kind: Kind) -> ChangeReply {
+pub(crate) fn change_reply(kind: Kind) -> ChangeReply {
     ChangeReply { kind: Some(kind) }
 }
 
-fn item(kept: &Kept) -> HistoryItem {
+fn item(record: &Kept) -> HistoryItem {
     HistoryItem {
-        version: kept.version,
-        id: kept.id.clone(),
-        author: kept.author.clone(),
-        edits: kept.edits.clone(),
+        version: record.version,
+        id: record.id.clone(),
+        author: record.author.clone(),
+        edits: record.edits.clone(),
     }
 }
 
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operators' catalogue: typed entries, INI files, and the state machine
-//! that accepts or refuses each change as a whole.
+//! The service catalogue, which operators edit: typed entries, INI files, and the state
+//! machine that accepts or refuses each change atomically.
 //!
-//! [`State`] is pure: the replicated log drives it, every replica applies the
-//! same changes in the same order and holds the same bytes. Faults are
-//! collected, so that an operator learns all of them from one answer.
+//! [`State`] is deterministic: every replica applies the same changes of the replicated
+//! log in the same order and has a byte-identical snapshot. Checks collect all faults, so
+//! that one reply reports every one of them.
 
 pub mod catalogue;
 pub mod change;
--- a/crates/catalogue/src/state.rs
+++ b/crates/catalogue/src/state.rs
@@ -1,4 +1,4 @@
-//! The state machine that the replicated log drives.
+//! The state machine of the catalogue, driven by the replicated log.
 
 use std::sync::Arc;
 
@@ -18,34 +18,34 @@
 use crate::fault::Fault;
 use crate::fault::Field;
 use crate::fault::Problem;
-use crate::history::Answers;
+use crate::history::ReplyCache;
 use crate::history::RetentionLimits;
-use crate::history::reply;
+use crate::history::change_reply;
 
 quick_error! {
-    /// Why a snapshot can't be restored.
+    /// Reason that a snapshot can't be restored.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum RestoreError {
-        /// Its catalogue is missing or wrong.
+        /// The catalogue is invalid.
         Catalogue(faults: Vec<Fault>) {
             display("the snapshot's catalogue has {} faults", faults.len())
         }
-        /// Its accepted changes don't lead up to its catalogue.
+        /// The versions of the accepted changes are not consecutive up to the catalogue's version.
         Versions(found: u64, expected: u64) {
-            display("the snapshot has version {found} where {expected} must stand")
+            display("the snapshot has version {found} where {expected} was expected")
         }
     }
 }
 
-/// The catalogue with the first answers to its changes.
+/// The catalogue with the first replies to its changes.
 ///
-/// Invariant: the version grows by one with each accepted change, and a change
-/// is accepted only on the version it is based on. So no change is ever
-/// accepted twice, even after its answer was forgotten.
+/// Invariant: each accepted change increments the version, and a change is accepted only if
+/// its base is the current version. So no change is accepted twice, even after its reply was
+/// evicted.
 #[derive(Clone, Debug)]
 pub struct State {
     catalogue: Arc<Catalogue>,
-    answers: Answers,
+    replies: ReplyCache,
 }
 
 impl Default for State {
@@ -55,130 +55,130 @@
 }
 
 impl State {
-    /// An empty catalogue at version zero.
+    /// Creates an empty catalogue at version zero.
     #[must_use]
-    pub fn new(window: RetentionLimits) -> Self {
+    pub fn new(limits: RetentionLimits) -> Self {
         Self {
             catalogue: Arc::default(),
-            answers: Answers::new(window),
+            replies: ReplyCache::new(limits),
         }
     }
 
-    /// The catalogue in force.
+    /// Returns the current catalogue.
     #[must_use]
     pub fn catalogue(&self) -> Arc<Catalogue> {
         Arc::clone(&self.catalogue)
     }
 
-    /// The answer that needs no log entry: a kept one, or a refusal of the
-    /// change's own content, which is the same whenever it is asked.
+    /// Returns the reply if no log entry is needed for it: a stored reply, or a refusal that
+    /// depends only on the content of the change.
     #[must_use]
-    pub fn known(&self, change: &Change) -> Option<ChangeReply> {
+    pub fn immediate_reply(&self, change: &Change) -> Option<ChangeReply> {
         let faults = change::check(change);
         if !faults.is_empty() {
             return Some(invalid(&faults));
         }
-        self.answers.first(change)
+        self.replies.get(change)
     }
 
-    /// The catalogue that `change` would make, without making it.
+    /// Returns the catalogue that would result from `change`, without applying it.
     ///
     /// # Errors
     ///
-    /// Fails with every fault.
+    /// Fails with all faults.
     pub fn validate(&self, change: &Change) -> Result<Catalogue, Vec<Fault>> {
         let faults = change::check(change);
         if !faults.is_empty() {
             return Err(faults);
         }
-        change::effect(&self.catalogue, change)
+        change::apply(&self.catalogue, change)
     }
 
-    /// Applies a change of the log: accepted or refused as a whole.
+    /// Applies a change of the log, accepting or refusing it atomically.
     pub fn apply(&mut self, change: &Change) -> ChangeReply {
-        if let Some(reply) = self.known(change) {
+        if let Some(reply) = self.immediate_reply(change) {
             return reply;
         }
         let current = self.catalogue.version;
         if change.base < current {
-            return self.stale(change);
+            return self.refuse_stale(change);
         }
         if change.base > current {
-            let fault = Fault::new("", Field::Base, Problem::Ahead(current));
+            let fault = Fault::new("", Field::Base, Problem::BaseAhead(current));
             return self.refuse(change, invalid(&[fault]));
         }
-        match change::effect(&self.catalogue, change) {
+        match change::apply(&self.catalogue, change) {
             Ok(next) => self.accept(change, next),
             Err(faults) => self.refuse(change, invalid(&faults)),
         }
     }
 
-    /// Accepted changes from version `from` on, oldest first, `most` at most.
+    /// Returns up to `max_items` accepted changes from version `from` on, oldest first.
     ///
-    /// An item without edits lost them to the bound of the window.
+    /// Items without edits exceeded [`RetentionLimits::max_edit_bytes`].
     #[must_use]
-    pub fn history(&self, from: u64, most: u32) -> History {
-        let most = usize::try_from(most).unwrap_or(usize::MAX);
-        self.answers.page(from, most)
+    pub fn history(&self, from: u64, max_items: u32) -> History {
+        let max_items = usize::try_from(max_items).unwrap_or(usize::MAX);
+        self.replies.page(from, max_items)
     }
 
-    /// The whole state; equal states give equal bytes.
+    /// Returns the complete state; equal states encode to equal bytes.
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             catalogue: Some(self.catalogue.to_wire()),
-            accepted: self.answers.accepted.iter().cloned().collect(),
-            refused: self.answers.refused.iter().cloned().collect(),
+            accepted: self.replies.accepted.iter().cloned().collect(),
+            refused: self.replies.refused.iter().cloned().collect(),
         }
     }
 
-    /// The state that `snapshot` was taken of.
+    /// Restores the state from which `snapshot` was taken.
     ///
     /// # Errors
     ///
-    /// Fails on a snapshot that no state writes.
-    pub fn restore(window: RetentionLimits, snapshot: &Snapshot) -> Result<Self, RestoreError> {
+    /// Fails on an invalid catalogue or on versions that are not consecutive.
+    pub fn restore(limits: RetentionLimits, snapshot: &Snapshot) -> Result<Self, RestoreError> {
         let catalogue = snapshot.catalogue.clone().unwrap_or_default();
         let catalogue = Catalogue::from_wire(&catalogue).map_err(RestoreError::Catalogue)?;
         check_versions(&snapshot.accepted, catalogue.version)?;
-        let mut answers = Answers::new(window);
-        for kept in &snapshot.accepted {
-            answers.accept(kept.clone());
+        let mut replies = ReplyCache::new(limits);
+        for record in &snapshot.accepted {
+            replies.accept(record.clone());
         }
-        for kept in &snapshot.refused {
-            answers.refuse(kept.clone());
+        for record in &snapshot.refused {
+            replies.refuse(record.clone());
         }
         Ok(Self {
             catalogue: Arc::new(catalogue),
-            answers,
+            replies,
         })
     }
 
     fn accept(&mut self, change: &Change, next: Catalogue) -> ChangeReply {
-        let kept = Kept {
+        let record = Kept {
             version: next.version,
             edits: change.edits.clone(),
-            ..kept(change)
+            ..stored_change(change)
         };
         self.catalogue = Arc::new(next);
-        self.answers.accept(kept)
+        self.replies.accept(record)
     }
 
     fn refuse(&mut self, change: &Change, reply: ChangeReply) -> ChangeReply {
-        self.answers.refuse(Kept {
+        self.replies.refuse(Kept {
             reply: Some(reply),
-            ..kept(change)
+            ..stored_change(change)
         })
     }
 
-    /// Answers a change whose base was overtaken.
+    /// Refuses a change whose base is older than the current version.
     ///
-    /// Had this change been accepted, it would have made the version after its
-    /// base. So while that version's change is kept, and has another id, this
-    /// one was certainly not accepted; after that nobody can tell.
-    fn stale(&mut self, change: &Change) -> ChangeReply {
-        let Some(winner) = self.answers.at(change.base + 1) else {
-            return reply(Kind::Expired(Expired {}));
+    /// If this change had been accepted earlier, it would have produced the version after its
+    /// base. As long as that version's change is stored and has another id, this one was not
+    /// accepted; afterwards this is unknown, and the reply is `Expired`.
+    fn refuse_stale(&mut self, change: &Change) -> ChangeReply {
+        let Some(winner) = self.replies.accepted_at(change.base + 1) else {
+            return change_reply(Kind::Expired(Expired {}));
         };
         let conflict = Conflict {
             base: change.base,
@@ -186,11 +186,11 @@
             winner: winner.id.clone(),
             author: winner.author.clone(),
         };
-        self.refuse(change, reply(Kind::Conflict(conflict)))
+        self.refuse(change, change_reply(Kind::Conflict(conflict)))
     }
 }
 
-fn kept(change: &Change) -> Kept {
+fn stored_change(change: &Change) -> Kept {
     Kept {
         id: change.id.clone(),
         author: change.author.clone(),
@@ -200,15 +200,15 @@
 }
 
 fn invalid(faults: &[Fault]) -> ChangeReply {
-    reply(Kind::Invalid(fault::to_wire(faults)))
+    change_reply(Kind::Invalid(fault::to_wire(faults)))
 }
 
 fn check_versions(accepted: &[Kept], version: u64) -> Result<(), RestoreError> {
     let count = u64::try_from(accepted.len()).unwrap_or(u64::MAX);
     let first = (version + 1).saturating_sub(count);
-    for (expected, kept) in (first..).zip(accepted) {
-        if kept.version != expected {
-            return Err(RestoreError::Versions(kept.version, expected));
+    for (expected, record) in (first..).zip(accepted) {
+        if record.version != expected {
+            return Err(RestoreError::Versions(record.version, expected));
         }
     }
     Ok(())
--- a/crates/catalogue/tests/test_file.rs
+++ b/crates/catalogue/tests/test_file.rs
@@ -1,10 +1,10 @@
-//! Catalogue files: what is read, every fault at once, and differences.
+//! Reading and writing catalogue files, their faults, and differences between catalogues.
 
 use catalogue::diff;
 use catalogue::file;
 use conf::ConfError;
 
-const WHOLE: &str = "\
+const CATALOGUE: &str = "\
 [service grants]
 owner = Ferrovie Alpine Pianificazione
 class = once
@@ -32,21 +32,21 @@
 
 #[test]
 fn test_file_round_trip() {
-    let read = file::parse("c.ini", WHOLE).expect("a good file");
+    let read = file::parse("c.ini", CATALOGUE).expect("a valid file");
     assert_eq!(read.entries.len(), 2);
     assert_eq!(read.gateways.len(), 2);
-    assert_eq!(file::write(&read), WHOLE);
-    let text = format!("[catalogue]\nversion = 7\n\n{WHOLE}");
-    let read = file::parse("c.ini", &text).expect("a good file");
+    assert_eq!(file::write(&read), CATALOGUE);
+    let text = format!("[catalogue]\nversion = 7\n\n{CATALOGUE}");
+    let read = file::parse("c.ini", &text).expect("a valid file");
     assert_eq!(read.version, 7);
     assert_eq!(file::write(&read), text);
     assert_eq!(
-        file::parse("c.ini", "").expect("an empty one"),
+        file::parse("c.ini", "").expect("an empty file"),
         catalogue::Catalogue::default()
     );
 }
 
-/// What is replaced, by what, and the faults of the whole file then.
+/// Text of [`CATALOGUE`], its replacement, and the expected faults.
 const FAULTS: [(&str, &str, &[&str]); 15] = [
     (
         "class = once",
@@ -147,7 +147,7 @@
 #[test]
 fn test_file_faults() {
     for (from, to, expect) in FAULTS {
-        let text = WHOLE.replacen(from, to, 1);
+        let text = CATALOGUE.replacen(from, to, 1);
         let err = file::parse("c.ini", &text).expect_err(to);
         let lines: Vec<String> = err.to_string().lines().map(String::from).collect();
         assert_eq!(lines, expect, "{to}");
@@ -158,12 +158,12 @@
 
 #[test]
 fn test_diff_edits_and_rows() {
-    let from = file::parse("from", WHOLE).expect("a good file");
-    let text = WHOLE
+    let from = file::parse("from", CATALOGUE).expect("a valid file");
+    let text = CATALOGUE
         .replace("queue = 84", "queue = 90")
         .replace("[service register]", "[service archive]")
         .replace("torino-1", "genova-1");
-    let to = file::parse("to", &text).expect("a good file");
+    let to = file::parse("to", &text).expect("a valid file");
     let edits = diff::edits(&from, &to);
     let change = wire::catalogue::Change {
         id: "a".into(),
@@ -171,10 +171,10 @@
         author: "anna".into(),
         edits,
     };
-    let made = catalogue::change::effect(&from, &change).expect("a good change");
+    let made = catalogue::change::apply(&from, &change).expect("a valid change");
     assert_eq!(made.entries, to.entries);
     assert_eq!(made.gateways, to.gateways);
-    let rows: Vec<String> = diff::differences(&from, &to)
+    let lines: Vec<String> = diff::differences(&from, &to)
         .into_iter()
         .map(|d| format!("{} {} {} {}>{}", d.effect, d.field, d.subject, d.from, d.to))
         .collect();
@@ -186,6 +186,6 @@
         "add gateway genova-1 >".into(),
         "remove gateway torino-1 >".into(),
     ];
-    assert_eq!(rows, expect);
+    assert_eq!(lines, expect);
     assert!(diff::edits(&to, &to).is_empty());
 }
--- a/crates/catalogue/tests/test_state.rs
+++ b/crates/catalogue/tests/test_state.rs
@@ -1,4 +1,4 @@
-//! Changes, resends, races and the window of kept answers.
+//! Changes, resends, conflicts, and eviction of stored replies.
 
 use catalogue::RestoreError;
 use catalogue::State;
@@ -48,18 +48,18 @@
     }
 }
 
-/// A reply as words, so that tables stay narrow.
-fn words(reply: &ChangeReply) -> String {
+/// Formats a reply as a short text for the test tables.
+fn reply_text(reply: &ChangeReply) -> String {
     match reply.kind.as_ref().expect("a kind") {
         Answer::Accepted(a) => format!("accepted {}", a.version),
         Answer::Conflict(c) => format!("conflict {} {} {}", c.base, c.current, c.winner),
         Answer::Invalid(i) => {
-            let words: Vec<String> = i
+            let fields: Vec<String> = i
                 .faults
                 .iter()
                 .map(|f| format!("{}.{}", f.service, f.field))
                 .collect();
-            format!("invalid {}", words.join(" "))
+            format!("invalid {}", fields.join(" "))
         }
         Answer::Reused(r) => format!("reused {}", r.version),
         Answer::Expired(_) => "expired".into(),
@@ -67,9 +67,9 @@
     }
 }
 
-fn check(state: &mut State, rows: Vec<(&str, Change, &str)>) {
-    for (name, change, expect) in rows {
-        assert_eq!(words(&state.apply(&change)), expect, "{name}");
+fn check(state: &mut State, cases: Vec<(&str, Change, &str)>) {
+    for (name, change, expect) in cases {
+        assert_eq!(reply_text(&state.apply(&change)), expect, "{name}");
     }
 }
 
@@ -78,22 +78,34 @@
     let grants = || vec![put("grants", 10)];
     let status = || vec![put("status", 1)];
     let missing = || vec![Kind::Remove("nothing".into())];
-    let rows = vec![
+    let cases = vec![
         ("first", change("a", 0, grants()), "accepted 1"),
         ("resend", change("a", 0, grants()), "accepted 1"),
-        ("equal number", change("b", 0, status()), "conflict 0 1 a"),
-        ("its resend", change("b", 0, status()), "conflict 0 1 a"),
-        ("its id rebased", change("b", 1, status()), "reused 0"),
-        ("id reused", change("a", 1, status()), "reused 1"),
+        ("same base", change("b", 0, status()), "conflict 0 1 a"),
+        (
+            "resend of the conflict",
+            change("b", 0, status()),
+            "conflict 0 1 a",
+        ),
+        (
+            "id reused with a new base",
+            change("b", 1, status()),
+            "reused 0",
+        ),
+        (
+            "id reused with other edits",
+            change("a", 1, status()),
+            "reused 1",
+        ),
         (
             "refused",
             change("c", 1, missing()),
             "invalid nothing.service",
         ),
         ("next", change("d", 1, status()), "accepted 2"),
-        ("resend much later", change("a", 0, grants()), "accepted 1"),
+        ("late resend", change("a", 0, grants()), "accepted 1"),
         (
-            "winner of its number",
+            "conflict names the accepted change",
             change("e", 1, grants()),
             "conflict 1 2 d",
         ),
@@ -104,7 +116,7 @@
         ),
     ];
     let mut state = State::default();
-    check(&mut state, rows);
+    check(&mut state, cases);
     assert_eq!(state.catalogue().version, 2);
     assert_eq!(state.catalogue().entries.len(), 2);
 }
@@ -132,9 +144,13 @@
         ..change("e", 1, vec![put_status()])
     };
     let first = vec![put("grants", 10), Kind::AddGateway("torino-1".into())];
-    let rows = vec![
+    let cases = vec![
         ("first", change("a", 0, first), "accepted 1"),
-        ("ahead", change("c", 7, vec![put_status()]), "invalid .base"),
+        (
+            "base ahead",
+            change("c", 7, vec![put_status()]),
+            "invalid .base",
+        ),
         ("no edits", change("d", 1, vec![]), "invalid .edits"),
         ("empty edit", empty, "invalid .edits"),
         ("no id", change("", 1, vec![put_status()]), "invalid .id"),
@@ -162,49 +178,49 @@
         ),
     ];
     let mut state = State::default();
-    check(&mut state, rows);
+    check(&mut state, cases);
     assert_eq!(state.catalogue().version, 1);
     assert!(!state.catalogue().entries.contains_key("status"));
 }
 
 #[test]
-fn test_state_forgets_within_bounds() {
-    let window = RetentionLimits {
-        accepted: 3,
-        refused: 2,
-        edits: 2 * Edit {
+fn test_state_evicts_beyond_limits() {
+    let limits = RetentionLimits {
+        max_accepted: 3,
+        max_refused: 2,
+        max_edit_bytes: 2 * Edit {
             kind: Some(put("grants", 7)),
         }
         .encoded_len(),
     };
-    let mut state = State::new(window);
+    let mut state = State::new(limits);
     let nth = |base: u64| change(&format!("c{base}"), base, vec![put("grants", 7)]);
     for base in 0..5 {
         state.apply(&nth(base));
     }
-    let rows = [
-        ("kept", nth(2), "accepted 3"),
-        ("forgotten, never run again", nth(1), "expired"),
+    let cases = [
+        ("stored", nth(2), "accepted 3"),
+        ("evicted, not applied again", nth(1), "expired"),
         (
-            "another one as old",
+            "another change with an evicted base",
             change("x", 0, vec![put("grants", 1)]),
             "expired",
         ),
         (
-            "a late one",
+            "a stale change with a stored base",
             change("y", 2, vec![put("grants", 1)]),
             "conflict 2 5 c2",
         ),
     ];
-    for (name, change, expect) in rows {
-        assert_eq!(words(&state.apply(&change)), expect, "{name}");
+    for (name, change, expect) in cases {
+        assert_eq!(reply_text(&state.apply(&change)), expect, "{name}");
     }
     assert_eq!(state.catalogue().version, 5);
     let history = state.history(0, 100);
     let versions: Vec<u64> = history.items.iter().map(|item| item.version).collect();
     assert_eq!(versions, [3, 4, 5]);
     let edits: Vec<usize> = history.items.iter().map(|item| item.edits.len()).collect();
-    assert_eq!(edits, [0, 1, 1], "the oldest lost its edits to the bound");
+    assert_eq!(edits, [0, 1, 1], "the oldest change's edits were dropped");
     assert_eq!(state.history(4, 1).items.len(), 1);
     assert_eq!(state.history(9, 9).items.len(), 0);
     for id in ["r1", "r2", "r3"] {
@@ -214,18 +230,23 @@
 }
 
 #[test]
-fn test_state_known_needs_no_log() {
+fn test_state_immediate_reply() {
     let mut state = State::default();
     let first = change("a", 0, vec![put("grants", 1)]);
-    assert_eq!(state.known(&first), None);
+    assert_eq!(state.immediate_reply(&first), None);
     state.apply(&first);
-    let known = state.known(&first).map(|reply| words(&reply));
-    assert_eq!(known.as_deref(), Some("accepted 1"));
+    let repeated = state
+        .immediate_reply(&first)
+        .map(|reply| reply_text(&reply));
+    assert_eq!(repeated.as_deref(), Some("accepted 1"));
     let empty = state
-        .known(&change("b", 1, vec![]))
-        .map(|reply| words(&reply));
+        .immediate_reply(&change("b", 1, vec![]))
+        .map(|reply| reply_text(&reply));
     assert_eq!(empty.as_deref(), Some("invalid .edits"));
-    assert_eq!(state.known(&change("b", 0, vec![put("grants", 2)])), None);
+    assert_eq!(
+        state.immediate_reply(&change("b", 0, vec![put("grants", 2)])),
+        None
+    );
 }
 
 #[test]
@@ -233,27 +254,27 @@
     let mut state = State::default();
     state.apply(&change("a", 0, vec![put("grants", 1)]));
     state.apply(&change("b", 1, vec![put("grants", 2)]));
-    let whole = state.snapshot();
-    let mut gap = whole.clone();
+    let valid = state.snapshot();
+    let mut gap = valid.clone();
     gap.accepted[1].version = 9;
-    let mut bad = whole.clone();
+    let mut bad = valid.clone();
     bad.catalogue.as_mut().expect("a catalogue").entries[0].class = 0;
     let restore = |snapshot| State::restore(RetentionLimits::default(), &snapshot).err();
     assert_eq!(restore(gap), Some(RestoreError::Versions(9, 2)));
     assert!(matches!(restore(bad), Some(RestoreError::Catalogue(faults)) if faults.len() == 1));
-    assert_eq!(restore(whole), None);
+    assert_eq!(restore(valid), None);
 }
 
-/// One operator's try, read modulo what there is.
+/// One attempt of an operator to change the catalogue.
 #[derive(Clone, Debug)]
-struct Try {
+struct Attempt {
     id: u8,
     lag: u8,
     queue: u8,
     restart: bool,
 }
 
-impl Arbitrary for Try {
+impl Arbitrary for Attempt {
     fn arbitrary(g: &mut Gen) -> Self {
         Self {
             id: u8::arbitrary(g) % 12,
@@ -264,51 +285,53 @@
     }
 }
 
-/// Plays racing operators; `Err` names the first broken promise.
-fn play(tries: &[Try]) -> Result<(), String> {
-    let window = RetentionLimits {
-        accepted: 4,
-        refused: 4,
-        edits: 400,
+/// Runs attempts of concurrent operators; `Err` describes the first violated invariant.
+fn run_attempts(attempts: &[Attempt]) -> Result<(), String> {
+    let limits = RetentionLimits {
+        max_accepted: 4,
+        max_refused: 4,
+        max_edit_bytes: 400,
     };
-    let mut state = State::new(window);
-    let mut other = State::new(window);
+    let mut state = State::new(limits);
+    let mut other_replica = State::new(limits);
     let mut sent: Vec<(Change, Option<u64>)> = Vec::new();
-    for (index, t) in tries.iter().enumerate() {
-        let base = state.catalogue().version.saturating_sub(t.lag.into());
-        let fresh = change(
+    for (index, attempt) in attempts.iter().enumerate() {
+        let base = state.catalogue().version.saturating_sub(attempt.lag.into());
+        let new_change = change(
             &format!("c{index}"),
             base,
-            vec![put("grants", t.queue.into())],
+            vec![put("grants", attempt.queue.into())],
         );
-        // Some send a change of before again, the others a new one.
+        // Some attempts resend an earlier change, the others send a new one.
         let resent = sent
             .iter()
-            .position(|_| t.id < 6)
+            .position(|_| attempt.id < 6)
             .map(|_| index % sent.len().max(1));
         let (change, accepted) = match resent {
             Some(at) => sent[at].clone(),
-            None => (fresh, None),
+            None => (new_change, None),
         };
         let before = state.catalogue().version;
-        let answer = words(&state.apply(&change));
-        if words(&other.apply(&change)) != answer || other.snapshot() != state.snapshot() {
+        let answer = reply_text(&state.apply(&change));
+        if reply_text(&other_replica.apply(&change)) != answer
+            || other_replica.snapshot() != state.snapshot()
+        {
             return Err(format!("step {index}: two replicas differ"));
         }
-        let grown = state.catalogue().version - before;
+        let increment = state.catalogue().version - before;
         match accepted {
-            Some(_) if grown > 0 => return Err(format!("step {index}: accepted twice")),
+            Some(_) if increment > 0 => return Err(format!("step {index}: accepted twice")),
             Some(version) if answer != format!("accepted {version}") && answer != "expired" => {
-                return Err(format!("step {index}: first answer was lost: {answer}"));
+                return Err(format!("step {index}: first reply was lost: {answer}"));
             }
             _ => {}
         }
         if resent.is_none() {
-            sent.push((change, (grown > 0).then_some(before + 1)));
+            sent.push((change, (increment > 0).then_some(before + 1)));
         }
-        if t.restart {
+        if attempt.restart {
             let snapshot = state.snapshot();
-            state = State::restore(window, &snapshot).map_err(|e| e.to_string())?;
+            state = State::restore(limits, &snapshot).map_err(|e| e.to_string())?;
         }
     }
     Ok(())
@@ -319,9 +342,9 @@
     for seed in [3, 19, 1_848] {
         let mut g = Gen::from_size_and_seed(60, seed);
         for schedule in 0..500 {
-            let tries = Vec::<Try>::arbitrary(&mut g);
-            if let Err(why) = play(&tries) {
-                panic!("seed {seed}, schedule {schedule}: {why}; {tries:?}");
+            let attempts = Vec::<Attempt>::arbitrary(&mut g);
+            if let Err(violation) = run_attempts(&attempts) {
+                panic!("seed {seed}, schedule {schedule}: {violation}; {attempts:?}");
             }
         }
     }
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -222,7 +222,7 @@
     /// The answer to a change that needs no log entry.
     #[must_use]
     pub fn known(&self, change: &Change) -> Option<ChangeReply> {
-        self.book.known(change)
+        self.book.immediate_reply(change)
     }
 
     /// The catalogue with its history.
