--- a/crates/catalogue/src/file.rs
+++ b/crates/catalogue/src/file.rs
@@ -156,14 +156,14 @@
 }
 
 fn read_gateway(reader: &mut Reader, section: &str, name: &str, catalogue: &mut Catalogue) {
-    reader.know(section);
+    reader.allow_section(section);
     if let Some(host) = read_name::<HostName>(reader, section, name) {
         catalogue.gateways.insert(host);
     }
 }
 
 fn read_name<T: Value>(reader: &mut Reader, section: &str, name: &str) -> Option<T> {
-    reader.know(section);
+    reader.allow_section(section);
     let value = T::read(name);
     if value.is_none() {
         reader.fault(section, "", Problem::Form(name.into()), T::FORM);
--- a/crates/conf/src/fault.rs
+++ b/crates/conf/src/fault.rs
@@ -1,41 +1,41 @@
-//! What can be wrong with a settings file.
+//! Faults of a settings file.
 
 use std::fmt;
 use std::io;
 
 use quick_error::quick_error;
 
-/// What is wrong with one key.
+/// Problem with a key or section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Problem {
     /// The key is required.
     Missing,
-    /// Nothing reads this key.
+    /// The key is not known.
     Unknown,
-    /// Nothing reads this section.
+    /// The section is not known.
     UnknownSection,
-    /// The key or section stands twice.
-    Twice,
-    /// The text has another form than the key's.
+    /// The key or section appears more than once.
+    Duplicate,
+    /// The value, given here, is malformed.
     Form(String),
-    /// It contradicts another key, named here.
+    /// The key contradicts another one, named here.
     Contradicts(&'static str),
-    /// It breaks a rule of the file's own kind, told here.
+    /// The key violates another rule of this kind of file, described here.
     Rule(String),
 }
 
-/// One fault, with where it is and what would be allowed.
+/// A fault, where it was found, and the allowed form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The file as it was named.
+    /// Path of the file as given by the caller.
     pub file: String,
-    /// The section, empty before the first.
+    /// Name of the section; empty for keys before the first section.
     pub section: String,
-    /// The key, empty for the whole section.
+    /// Name of the key; empty if the fault concerns the section.
     pub key: String,
-    /// What is wrong.
+    /// Problem that was found.
     pub problem: Problem,
-    /// The allowed form.
+    /// Description of the allowed form; may be empty.
     pub form: &'static str,
 }
 
@@ -46,7 +46,7 @@
             Problem::Missing => write!(f, "is missing")?,
             Problem::Unknown => write!(f, "is no known key")?,
             Problem::UnknownSection => write!(f, "is no known section")?,
-            Problem::Twice => write!(f, "stands twice")?,
+            Problem::Duplicate => write!(f, "stands twice")?,
             Problem::Form(found) => write!(f, "{found:?} has the wrong form")?,
             Problem::Contradicts(other) => write!(f, "contradicts {other}")?,
             Problem::Rule(rule) => write!(f, "{rule}")?,
@@ -58,7 +58,7 @@
     }
 }
 
-/// All faults of a file, one a line.
+/// All faults of a file, displayed one per line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -75,19 +75,19 @@
 }
 
 quick_error! {
-    /// Why a settings file can't be used.
+    /// Reason that a settings file can't be used.
     #[derive(Debug)]
     pub enum ConfError {
-        /// It can't be read.
+        /// The file can't be read.
         Read(file: String, err: io::Error) {
             source(err)
             display("{file}: {err}")
         }
-        /// It isn't INI.
+        /// The file is not valid INI.
         Syntax(file: String, line: usize, text: String) {
             display("{file}:{line}: {text}")
         }
-        /// Keys are wrong; all of them.
+        /// Keys or sections have faults.
         Keys(faults: Faults) {
             display("{faults}")
         }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings in INI, read into typed values with every fault reported at once.
+//! Reads INI settings files into typed values and reports all faults at once.
 //!
-//! A [`Reader`] is asked for each key by type. It notes what is missing or has
-//! the wrong form, and at the end also what nobody asked for. A daemon so
-//! learns all faults of a file in one run.
+//! A caller requests each key from a [`Reader`] by type. The reader collects missing and
+//! malformed values, and finally the sections and keys that were never requested, so that
+//! one run of a daemon reports all faults of its settings file.
 
 pub mod fault;
 pub mod reader;
--- a/crates/conf/src/reader.rs
+++ b/crates/conf/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads one INI file key by key and collects what is wrong.
+//! Reads the keys of an INI file and collects faults.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,14 +18,14 @@
 
 /// A settings file that is being read.
 ///
-/// Invariant: every key asked for is in `asked` and its section in `known`, so
-/// that [`Reader::finish`] reports exactly the others as unknown.
+/// Invariant: `requested_keys` has every key that was requested, and `allowed_sections` the
+/// sections of all of them, so that [`Reader::finish`] reports exactly the others as unknown.
 #[derive(Debug)]
 pub struct Reader {
     file: String,
     sections: BTreeMap<String, Section>,
-    asked: BTreeSet<(String, String)>,
-    known: BTreeSet<String>,
+    requested_keys: BTreeSet<(String, String)>,
+    allowed_sections: BTreeSet<String>,
     faults: Vec<Fault>,
 }
 
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when it can't be read or isn't INI.
+    /// Fails if the file can't be read or isn't valid INI.
     pub fn open(path: &Path) -> Result<Self, ConfError> {
         let file = path.display().to_string();
         match fs::read_to_string(path) {
@@ -43,11 +43,11 @@
         }
     }
 
-    /// Reads `text`, naming it `file` in faults.
+    /// Parses `text`; faults name it as `file`.
     ///
     /// # Errors
     ///
-    /// Fails when it isn't INI.
+    /// Fails if `text` isn't valid INI.
     pub fn parse(file: &str, text: &str) -> Result<Self, ConfError> {
         let option = ParseOption {
             enabled_quote: false,
@@ -59,8 +59,8 @@
         let mut reader = Self {
             file: file.into(),
             sections: BTreeMap::new(),
-            asked: BTreeSet::new(),
-            known: BTreeSet::new(),
+            requested_keys: BTreeSet::new(),
+            allowed_sections: BTreeSet::new(),
             faults: Vec::new(),
         };
         for (name, properties) in &ini {
@@ -68,54 +68,59 @@
             if name.is_empty() && properties.is_empty() {
                 continue;
             }
-            reader.take(name, properties.iter());
+            reader.add_section(name, properties.iter());
         }
         Ok(reader)
     }
 
-    fn take<'a>(&mut self, name: &str, pairs: impl Iterator<Item = (&'a str, &'a str)>) {
+    fn add_section<'a>(
+        &mut self,
+        name: &str,
+        properties: impl Iterator<Item = (&'a str, &'a str)>,
+    ) {
         if self.sections.contains_key(name) {
-            self.fault(name, "", Problem::Twice, "each section once");
+            self.fault(name, "", Problem::Duplicate, "each section once");
             return;
         }
         let mut section = Section::new();
-        for (key, text) in pairs {
+        for (key, text) in properties {
             if section.insert(key.into(), text.trim().into()).is_some() {
-                self.fault(name, key, Problem::Twice, "each key once");
+                self.fault(name, key, Problem::Duplicate, "each key once");
             }
         }
         self.sections.insert(name.into(), section);
     }
 
-    /// The sections' names, sorted.
+    /// Returns the names of the sections, sorted.
     #[must_use]
     pub fn sections(&self) -> Vec<String> {
         self.sections.keys().cloned().collect()
     }
 
-    /// Whether the section stands in the file.
+    /// Whether the file has the section.
     #[must_use]
-    pub fn has(&self, section: &str) -> bool {
+    pub fn has_section(&self, section: &str) -> bool {
         self.sections.contains_key(section)
     }
 
-    /// Takes the section as known, also when none of its keys is asked for.
-    pub fn know(&mut self, section: &str) {
-        self.known.insert(section.into());
+    /// Allows the section even if none of its keys is requested.
+    pub fn allow_section(&mut self, section: &str) {
+        self.allowed_sections.insert(section.into());
     }
 
-    /// A key that must be there; `None` after a noted fault.
+    /// Reads a required key. Returns `None` and records a fault if it is missing or malformed.
     pub fn required<T: Value>(&mut self, section: &str, key: &str) -> Option<T> {
-        if self.text(section, key).is_none() {
+        if self.raw_value(section, key).is_none() {
             self.fault(section, key, Problem::Missing, T::FORM);
             return None;
         }
         self.optional(section, key)
     }
 
-    /// A key that may be there.
+    /// Reads an optional key. Returns `None` if it is missing, and also records a fault if it is
+    /// malformed.
     pub fn optional<T: Value>(&mut self, section: &str, key: &str) -> Option<T> {
-        let text = self.text(section, key)?;
+        let text = self.raw_value(section, key)?;
         let value = T::read(&text);
         if value.is_none() {
             self.fault(section, key, Problem::Form(text), T::FORM);
@@ -123,14 +128,14 @@
         value
     }
 
-    /// A key with a value for when it isn't there.
+    /// Reads an optional key with a default value.
     pub fn or<T: Value>(&mut self, section: &str, key: &str, default: T) -> T {
         self.optional(section, key).unwrap_or(default)
     }
 
-    /// A key with values apart by commas; empty when it isn't there.
+    /// Reads a comma-separated list, which is empty if the key is missing.
     pub fn list<T: Value>(&mut self, section: &str, key: &str) -> Vec<T> {
-        let Some(text) = self.text(section, key) else {
+        let Some(text) = self.raw_value(section, key) else {
             return Vec::new();
         };
         let mut values = Vec::new();
@@ -143,7 +148,7 @@
         values
     }
 
-    /// Notes a fault that only the caller can see, such as a contradiction.
+    /// Records a fault found by the caller, such as a contradiction between keys.
     pub fn fault(&mut self, section: &str, key: &str, problem: Problem, form: &'static str) {
         self.faults.push(Fault {
             file: self.file.clone(),
@@ -154,37 +159,37 @@
         });
     }
 
-    /// Ends the reading.
+    /// Ends reading and reports the faults.
     ///
     /// # Errors
     ///
-    /// Fails with every fault noted, keys that nothing read included.
+    /// Fails with all recorded faults and the keys and sections that were not requested.
     pub fn finish(mut self) -> Result<(), ConfError> {
-        self.note_unknown();
+        self.report_unknown();
         if self.faults.is_empty() {
             return Ok(());
         }
         Err(ConfError::Keys(Faults(self.faults)))
     }
 
-    fn note_unknown(&mut self) {
+    fn report_unknown(&mut self) {
         let sections = std::mem::take(&mut self.sections);
         for (name, section) in sections {
-            if !self.known.contains(&name) {
+            if !self.allowed_sections.contains(&name) {
                 self.fault(&name, "", Problem::UnknownSection, "");
                 continue;
             }
             for key in section.into_keys() {
-                if !self.asked.contains(&(name.clone(), key.clone())) {
+                if !self.requested_keys.contains(&(name.clone(), key.clone())) {
                     self.fault(&name, &key, Problem::Unknown, "");
                 }
             }
         }
     }
 
-    fn text(&mut self, section: &str, key: &str) -> Option<String> {
-        self.know(section);
-        self.asked.insert((section.into(), key.into()));
+    fn raw_value(&mut self, section: &str, key: &str) -> Option<String> {
+        self.allow_section(section);
+        self.requested_keys.insert((section.into(), key.into()));
         self.sections.get(section)?.get(key).cloned()
     }
 }
--- a/crates/conf/src/value.rs
+++ b/crates/conf/src/value.rs
@@ -1,4 +1,4 @@
-//! The types that a key can have, each with the form it is written in.
+//! Types of settings' values and their text forms.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -18,19 +18,19 @@
 const KIBI: u64 = 1024;
 const MEBI: u64 = KIBI * KIBI;
 
-/// A type that a key's text can be read as.
+/// A type that the value of a key can be parsed as.
 pub trait Value: Sized {
-    /// The allowed form, for people.
+    /// Description of the allowed form, for error messages.
     const FORM: &'static str;
 
-    /// Reads `text`, `None` when it has another form.
+    /// Parses `text`; `None` if it is malformed.
     fn read(text: &str) -> Option<Self>;
 }
 
-/// A number of digits alone, as the library also takes a sign.
-fn digits<T: FromStr>(text: &str) -> Option<T> {
-    let bare = text.bytes().all(|b| b.is_ascii_digit());
-    if bare { text.parse().ok() } else { None }
+/// Parses a number without a sign, which `FromStr` would accept.
+fn parse_digits<T: FromStr>(text: &str) -> Option<T> {
+    let digits_only = text.bytes().all(|b| b.is_ascii_digit());
+    if digits_only { text.parse().ok() } else { None }
 }
 
 impl Value for SocketAddr {
@@ -53,7 +53,7 @@
     const FORM: &'static str = "whole number";
 
     fn read(text: &str) -> Option<Self> {
-        digits(text)
+        parse_digits(text)
     }
 }
 
@@ -61,7 +61,7 @@
     const FORM: &'static str = "whole number";
 
     fn read(text: &str) -> Option<Self> {
-        digits(text)
+        parse_digits(text)
     }
 }
 
@@ -83,7 +83,7 @@
     fn read(text: &str) -> Option<Self> {
         let split = text.find(|c: char| !c.is_ascii_digit())?;
         let (count, unit) = text.split_at(split);
-        let count: u64 = digits(count)?;
+        let count: u64 = parse_digits(count)?;
         match unit {
             "ms" => Some(Self::from_millis(count)),
             "s" => Some(Self::from_secs(count)),
@@ -93,10 +93,10 @@
     }
 }
 
-/// Writes `span` as it is read, cut to whole milliseconds.
+/// Formats `duration` as in a settings file, truncated to whole milliseconds.
 #[must_use]
-pub fn duration_text(span: Duration) -> String {
-    let millis = span.as_millis();
+pub fn duration_text(duration: Duration) -> String {
+    let millis = duration.as_millis();
     match (millis % 60_000, millis % 1_000) {
         _ if millis == 0 => "0ms".into(),
         (0, _) => format!("{}min", millis / 60_000),
@@ -115,7 +115,7 @@
     fn read(text: &str) -> Option<Self> {
         let split = text.find(|c: char| !c.is_ascii_digit())?;
         let (count, unit) = text.split_at(split);
-        let count: u64 = digits(count)?;
+        let count: u64 = parse_digits(count)?;
         let factor = match unit {
             "B" => 1,
             "KiB" => KIBI,
@@ -137,7 +137,7 @@
     }
 }
 
-/// Events a second, kept in thousandths.
+/// Events per second, in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rate(pub u32);
 
@@ -156,7 +156,7 @@
     }
 }
 
-/// A number, kept in thousandths.
+/// A decimal number, in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Decimal(pub u32);
 
@@ -164,27 +164,27 @@
     const FORM: &'static str = "number with at most three decimals, such as 1.5";
 
     fn read(text: &str) -> Option<Self> {
-        let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
-        if part.is_empty() || part.len() > 3 {
+        let (whole, fraction) = text.split_once('.').unwrap_or((text, "0"));
+        if fraction.is_empty() || fraction.len() > 3 {
             return None;
         }
-        let whole: u32 = digits(whole)?;
-        let part: u32 = digits(&format!("{part:0<3}"))?;
-        whole.checked_mul(1000)?.checked_add(part).map(Decimal)
+        let whole: u32 = parse_digits(whole)?;
+        let fraction: u32 = parse_digits(&format!("{fraction:0<3}"))?;
+        whole.checked_mul(1000)?.checked_add(fraction).map(Decimal)
     }
 }
 
 impl fmt::Display for Decimal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let part = format!("{:03}", self.0 % 1000);
-        match part.trim_end_matches('0') {
+        let fraction = format!("{:03}", self.0 % 1000);
+        match fraction.trim_end_matches('0') {
             "" => write!(f, "{}", self.0 / 1000),
-            part => write!(f, "{}.{part}", self.0 / 1000),
+            fraction => write!(f, "{}.{fraction}", self.0 / 1000),
         }
     }
 }
 
-/// A share in whole percent.
+/// A percentage from 0 to 100.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Percent(pub u32);
 
@@ -192,7 +192,7 @@
     const FORM: &'static str = "0% to 100%";
 
     fn read(text: &str) -> Option<Self> {
-        let count = digits(text.strip_suffix('%')?)?;
+        let count = parse_digits(text.strip_suffix('%')?)?;
         (count <= 100).then_some(Self(count))
     }
 }
@@ -203,7 +203,7 @@
     }
 }
 
-/// Text that may be anything but empty.
+/// Text that is not empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Text(pub String);
 
@@ -239,23 +239,23 @@
     }
 }
 
-/// The level of the log, named as in settings.
+/// Log levels, named as in settings.
 pub mod log_level {
     use strum::Display;
     use strum::EnumString;
 
-    /// Least level that is written.
+    /// Minimum level of the lines that are logged.
     #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Display, EnumString)]
     #[strum(serialize_all = "kebab-case")]
     pub enum Level {
-        /// Failures only.
+        /// Failures.
         Error,
-        /// Failures and what may become one.
+        /// Conditions that may lead to failures, and all of the above.
         Warning,
-        /// Decisions too.
+        /// Decisions, and all of the above.
         #[default]
         Info,
-        /// All.
+        /// Everything.
         Debug,
     }
 }
--- a/crates/conf/tests/test_reader.rs
+++ b/crates/conf/tests/test_reader.rs
@@ -1,4 +1,4 @@
-//! Every fault of a file, at once, and nothing else.
+//! Guards against missed, additional or separately reported faults of a settings file.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,7 +14,7 @@
 use conf::value::Rate;
 use conf::value::log_level::Level;
 
-/// Reads the settings of an imagined daemon.
+/// Reads the settings of a fictitious daemon.
 fn read(text: &str) -> Result<(), ConfError> {
     let mut reader = Reader::parse("d.ini", text)?;
     let r = &mut reader;
@@ -30,16 +30,16 @@
     r.or("main", "count", 1_u32);
     r.or("main", "drain", true);
     r.or("log", "level", Level::Info);
-    r.know("empty");
+    r.allow_section("empty");
     if http.is_some() && http == rpc {
         r.fault("main", "rpc", Problem::Contradicts("http"), "another port");
     }
     reader.finish()
 }
 
-const GOOD: &str = "[main]\nhost = milano-1\nhttp = 127.0.0.1:80\n";
+const VALID: &str = "[main]\nhost = milano-1\nhttp = 127.0.0.1:80\n";
 
-/// What is added to or put in place of [`GOOD`], and the lines that come of it.
+/// Text that is appended to [`VALID`] (after `+`) or replaces it, and the expected faults.
 const CASES: [(&str, &[&str]); 24] = [
     (
         "",
@@ -170,7 +170,7 @@
 fn test_reader_faults() {
     for (text, expect) in CASES {
         let text = match text.strip_prefix('+') {
-            Some(more) => format!("{GOOD}{more}\n"),
+            Some(appended) => format!("{VALID}{appended}\n"),
             None => text.into(),
         };
         let found = match read(&text) {
--- a/crates/conf/tests/test_value.rs
+++ b/crates/conf/tests/test_value.rs
@@ -1,4 +1,4 @@
-//! What is written is read back the same.
+//! Guards against values that change when they are formatted and parsed again.
 
 use std::time::Duration;
 
@@ -25,8 +25,8 @@
     check().quickcheck((|n| Rate::read(&Rate(n).to_string()) == Some(Rate(n))) as fn(u32) -> bool);
     check().quickcheck(
         (|n| {
-            let span = Duration::from_millis(n);
-            Duration::read(&duration_text(span)) == Some(span)
+            let duration = Duration::from_millis(n);
+            Duration::read(&duration_text(duration)) == Some(duration)
         }) as fn(u64) -> bool,
     );
     for n in 0..=100 {
@@ -36,14 +36,14 @@
 
 #[test]
 fn test_value_texts() {
-    let spans = [
+    let durations = [
         (0, "0ms"),
         (250, "250ms"),
         (2_000, "2s"),
         (60_000, "1min"),
         (61_000, "61s"),
     ];
-    for (millis, text) in spans {
+    for (millis, text) in durations {
         assert_eq!(duration_text(Duration::from_millis(millis)), text);
     }
     let sizes = [
