--- a/crates/daemon/src/command.rs
+++ b/crates/daemon/src/command.rs
@@ -1,4 +1,4 @@
-//! A daemon's command line.
+//! Command line of a daemon.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -8,30 +8,30 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// What is wrong with a command line.
+    /// Error in a command line.
     #[derive(Debug)]
     pub enum UsageError {
-        /// An argument.
+        /// An argument is unknown or malformed.
         Argument(err: lexopt::Error) {
             from()
             source(err)
             display("{err}")
         }
-        /// No settings were named.
+        /// `--config` is missing.
         NoConfig {
             display("--config FILE is required")
         }
     }
 }
 
-/// What a command line asks for.
+/// Action requested by a command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Run with these settings.
+    /// Run the daemon.
     Run {
-        /// The settings' file.
+        /// Path of the settings file.
         config: PathBuf,
-        /// Print the settings and do no more.
+        /// Only print the effective settings.
         check: bool,
     },
     /// Print the help.
@@ -40,11 +40,11 @@
     Version,
 }
 
-/// Reads a command line, without the program's name.
+/// Parses a command line, without the program's name.
 ///
 /// # Errors
 ///
-/// Fails on an unknown argument or without `--config`.
+/// Fails on an unknown or malformed argument, or if `--config` is missing.
 pub fn read<I>(args: I) -> Result<Command, UsageError>
 where
     I: IntoIterator,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,7 @@
-//! The shell of a daemon: command line, exit codes, log and signals.
+//! Common parts of the daemons: command line, exit codes, log, metrics endpoint and signals.
 //!
-//! A process says by [`Daemon`] what is its own, and its `main` is one call
-//! of [`main`]. Once it runs, all is said in the log, on standard output; a
-//! wrong command line or wrong settings are told on standard error.
+//! A binary implements [`Daemon`] and calls [`main`]. A daemon logs to standard output; faults
+//! of the command line or the settings are printed to standard error.
 
 pub mod command;
 pub mod metrics;
@@ -22,10 +21,10 @@
 use crate::command::Command;
 use crate::signals::Signals;
 
-/// It failed while running.
-pub const FAILED: u8 = 1;
-/// The command line or the settings are wrong.
-pub const USAGE: u8 = 2;
+/// Exit code after a failure while running.
+pub const EXIT_FAILURE: u8 = 1;
+/// Exit code for a wrong command line or wrong settings.
+pub const EXIT_USAGE: u8 = 2;
 
 const HELP: &str = "\
   --config FILE  settings, INI
@@ -35,37 +34,37 @@
 
 Exit codes: 0 ok, 1 failure while running, 2 wrong command line or settings.";
 
-/// What a daemon has of its own.
+/// A daemon binary.
 pub trait Daemon {
-    /// The binary's name.
+    /// Name of the binary.
     const NAME: &'static str;
-    /// The binary's version.
+    /// Version of the binary.
     const VERSION: &'static str;
-    /// What it does, as a sentence.
+    /// Description of the daemon in one sentence, printed by `--help`.
     const SUMMARY: &'static str;
-    /// Its settings, which print as the INI that they are read from.
+    /// Settings of the daemon; they are displayed in the INI form that they are read from.
     type Settings: fmt::Display;
-    /// Why it can't start or go on.
+    /// Error that prevents the daemon from starting or running on.
     type Error: fmt::Display;
 
     /// Reads the settings at `path`.
     ///
     /// # Errors
     ///
-    /// Fails with every fault of the file.
+    /// Fails if the file can't be read, or with all faults of its content.
     fn open(path: &Path) -> Result<Self::Settings, ConfError>;
 
-    /// Who it is in the log.
+    /// Name of the host in log lines.
     fn host(settings: &Self::Settings) -> String;
 
-    /// What it logs.
+    /// Settings for the log and the metrics endpoint.
     fn telemetry(settings: &Self::Settings) -> telemetry::Settings;
 
-    /// Runs until a signal comes or it ends by itself, and stops gracefully.
+    /// Runs until the daemon ends or receives a signal to stop, and shuts it down gracefully.
     ///
     /// # Errors
     ///
-    /// Fails when it can't start or go on.
+    /// Fails if the daemon can't start or run on.
     fn run(
         settings: Self::Settings,
         log: Logger,
@@ -73,7 +72,7 @@
     ) -> impl Future<Output = Result<(), Self::Error>>;
 }
 
-/// Does what the process's command line says.
+/// Parses the process's command line and runs the daemon.
 #[must_use]
 pub fn main<D: Daemon>() -> ExitCode {
     match command::read(std::env::args_os().skip(1)) {
@@ -89,15 +88,15 @@
             println!("{} {}", D::NAME, D::VERSION);
             ExitCode::SUCCESS
         }
-        Ok(Command::Run { config, check }) => obey::<D>(&config, check),
-        Err(err) => fail::<D>(USAGE, &format_args!("{err}; see {} --help", D::NAME)),
+        Ok(Command::Run { config, check }) => run_command::<D>(&config, check),
+        Err(err) => print_failure::<D>(EXIT_USAGE, &format_args!("{err}; see {} --help", D::NAME)),
     }
 }
 
-fn obey<D: Daemon>(config: &Path, check: bool) -> ExitCode {
+fn run_command<D: Daemon>(config: &Path, check: bool) -> ExitCode {
     let settings = match D::open(config) {
         Ok(settings) => settings,
-        Err(err) => return fail::<D>(USAGE, &err),
+        Err(err) => return print_failure::<D>(EXIT_USAGE, &err),
     };
     if check {
         print!("{settings}");
@@ -105,21 +104,21 @@
     }
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
-        Err(err) => return fail::<D>(FAILED, &err),
+        Err(err) => return print_failure::<D>(EXIT_FAILURE, &err),
     };
     let telemetry = D::telemetry(&settings);
-    let level = level(telemetry.level);
+    let level = slog_level(telemetry.level);
     let host = D::host(&settings);
     let (log, _guard) =
         telemetry::log::start_limited(io::stdout(), level, D::NAME, &host, telemetry.rate);
     runtime.block_on(run::<D>(settings, config, log))
 }
 
-/// The signals come first: one that comes while the daemon starts isn't lost.
+/// Installs the signal handlers before anything else, so that no signal during the start is lost.
 async fn run<D: Daemon>(settings: D::Settings, config: &Path, log: Logger) -> ExitCode {
     let signals = match Signals::new(config) {
         Ok(signals) => signals,
-        Err(err) => return failed(&log, &err),
+        Err(err) => return log_failure(&log, &err),
     };
     info!(log, "starting"; "version" => D::VERSION, "settings" => %config.display());
     if let Some(address) = D::telemetry(&settings).listen {
@@ -127,21 +126,21 @@
             Ok(listener) => {
                 tokio::spawn(metrics::serve(listener, log.clone()));
             }
-            Err(err) => return failed(&log, &err),
+            Err(err) => return log_failure(&log, &err),
         }
     }
     match D::run(settings, log.clone(), signals).await {
         Ok(()) => ExitCode::SUCCESS,
-        Err(err) => failed(&log, &err),
+        Err(err) => log_failure(&log, &err),
     }
 }
 
-fn failed(log: &Logger, err: &dyn fmt::Display) -> ExitCode {
+fn log_failure(log: &Logger, err: &dyn fmt::Display) -> ExitCode {
     error!(log, "failed"; "error" => %err);
-    ExitCode::from(FAILED)
+    ExitCode::from(EXIT_FAILURE)
 }
 
-fn level(level: conf::value::log_level::Level) -> Level {
+fn slog_level(level: conf::value::log_level::Level) -> Level {
     match level {
         conf::value::log_level::Level::Error => Level::Error,
         conf::value::log_level::Level::Warning => Level::Warning,
@@ -150,7 +149,7 @@
     }
 }
 
-fn fail<D: Daemon>(code: u8, err: &dyn fmt::Display) -> ExitCode {
+fn print_failure<D: Daemon>(code: u8, err: &dyn fmt::Display) -> ExitCode {
     eprintln!("{}: {err}", D::NAME);
     ExitCode::from(code)
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Serves the process's metrics as text, over HTTP.
+//! Serves the process's metrics over HTTP in the Prometheus text format.
 
 use std::convert::Infallible;
 use std::io;
@@ -21,45 +21,45 @@
 use slog::warn;
 use tokio::net::TcpListener;
 
-/// Pause after the system refused to accept.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed `accept`.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Listens at `address`.
+/// Binds the listener to `address`.
 ///
 /// # Errors
 ///
-/// Fails when the address can't be bound.
+/// Fails if the address can't be bound.
 pub async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
 
-/// Answers every request with the metrics. Never ends.
+/// Responds to every request with the metrics. Never returns.
 pub async fn serve(listener: TcpListener, log: Logger) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(err) => {
                 warn!(log, "accept failed"; "port" => "metrics", "error" => %err);
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let log = log.clone();
         tokio::spawn(async move {
-            let serving = http1::Builder::new()
+            let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .serve_connection(TokioIo::new(stream), service_fn(answer));
-            if let Err(err) = serving.await {
+                .serve_connection(TokioIo::new(stream), service_fn(respond));
+            if let Err(err) = connection.await {
                 debug!(log, "metrics connection ended"; "error" => %err);
             }
         });
     }
 }
 
-async fn answer(_: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+async fn respond(_: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
     let text = telemetry::metrics::board().text();
     let mut response = Response::new(Full::new(Bytes::from(text)));
-    let kind = HeaderValue::from_static("text/plain; version=0.0.4");
-    response.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("text/plain; version=0.0.4");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     Ok(response)
 }
--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that ask a daemon to stop or to read its settings again.
+//! Signals and file changes that make a daemon stop or reload its settings.
 
 use std::fs;
 use std::io;
@@ -12,49 +12,49 @@
 use tokio::time::Interval;
 use tokio::time::MissedTickBehavior;
 
-/// Between two looks at the settings file, which may change without a signal.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval between checks of the settings file, which may change without a signal.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a daemon is asked to do.
+/// Action requested by a signal or by a change of the settings file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalAction {
     /// Stop gracefully.
     Stop,
-    /// Read the settings again.
+    /// Reload the settings.
     Reload,
 }
 
-/// SIGTERM, SIGINT and SIGHUP, held from the moment this is made, and changes of
-/// the settings file.
+/// Receives SIGTERM, SIGINT and SIGHUP from its creation on, and detects changes of the
+/// settings file.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
     hangup: Signal,
-    looks: Interval,
+    poll_timer: Interval,
     path: PathBuf,
     content: Option<Vec<u8>>,
 }
 
 impl Signals {
-    /// Takes over the signals; `path` is the settings file as it was just read.
+    /// Installs the signal handlers; `path` is the settings file, which was just read.
     ///
     /// # Errors
     ///
-    /// Fails when the system doesn't hand them over.
+    /// Fails if a signal handler can't be installed.
     pub fn new(path: &Path) -> io::Result<Self> {
-        let mut looks = tokio::time::interval(LOOK);
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut poll_timer = tokio::time::interval(POLL_INTERVAL);
+        poll_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
             hangup: signal(SignalKind::hangup())?,
-            looks,
+            poll_timer,
             path: path.to_owned(),
             content: fs::read(path).ok(),
         })
     }
 
-    /// The settings file.
+    /// Path of the settings file.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
@@ -68,18 +68,18 @@
         }
     }
 
-    /// Waits until the daemon is asked for something.
+    /// Waits for the next requested action.
     pub async fn next(&mut self) -> SignalAction {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return SignalAction::Stop,
                 _ = self.interrupt.recv() => return SignalAction::Stop,
                 _ = self.hangup.recv() => {
-                    self.is_changed();
+                    self.check_changed();
                     return SignalAction::Reload;
                 }
-                _ = self.looks.tick() => {
-                    if self.is_changed() {
+                _ = self.poll_timer.tick() => {
+                    if self.check_changed() {
                         return SignalAction::Reload;
                     }
                 }
@@ -87,9 +87,11 @@
         }
     }
 
-    /// Whether the file reads otherwise than at the last look. One that can't be
-    /// read now is being replaced, and is looked at again.
-    fn is_changed(&mut self) -> bool {
+    /// Whether the file's content has changed since the previous check.
+    ///
+    /// A file that can't be read is assumed to be in the middle of a replacement and counts as
+    /// unchanged.
+    fn check_changed(&mut self) -> bool {
         let Ok(content) = fs::read(&self.path) else {
             return false;
         };
--- a/crates/daemon/tests/test_command.rs
+++ b/crates/daemon/tests/test_command.rs
@@ -1,4 +1,4 @@
-//! A daemon's command line.
+//! Parsing of a daemon's command line.
 
 use daemon::command::Command;
 use daemon::command::read;
