--- a/crates/catalogue/src/entry.rs
+++ b/crates/catalogue/src/entry.rs
@@ -55,7 +55,7 @@
     pub service: ServiceName,
     /// Person or team responsible for the service.
     pub owner: String,
-    /// Request class, which decides on queueing and retries.
+    /// Request class, which decides how requests are handled.
     pub class: Class,
     /// Limits of the service.
     pub limits: Limits,
