--- a/crates/catalogue/examples/catalogue_slopes.rs
+++ b/crates/catalogue/examples/catalogue_slopes.rs
@@ -1,10 +1,10 @@
-//! Size and time of the catalogue's state machine against its services and the
-//! changes behind it: `cargo run --release -p catalogue --example catalogue_slopes`.
+//! Measures size and time of the catalogue's state machine for several numbers of services and
+//! changes: `cargo run --release -p catalogue --example catalogue_slopes`.
 
 use std::time::Instant;
 
 use catalogue::State;
-use catalogue::history::Window;
+use catalogue::history::RetentionLimits;
 use prost::Message;
 use wire::catalogue::Change;
 use wire::catalogue::Class;
@@ -14,7 +14,7 @@
 use wire::catalogue::edit::Kind;
 
 const SERVICES: [u64; 3] = [8, 33, 130];
-/// A tenth of a day, a day and the window of kept answers.
+/// The last one is the default of [`RetentionLimits::max_accepted`].
 const CHANGES: [u64; 3] = [140, 1_400, 8_192];
 const GATEWAYS: u64 = 15;
 
@@ -64,7 +64,7 @@
     let apply = start.elapsed().as_nanos() / u128::from(changes);
     let snapshot = state.snapshot().encode_to_vec();
     let start = Instant::now();
-    let restored = State::restore(Window::default(), &state.snapshot());
+    let restored = State::restore(RetentionLimits::default(), &state.snapshot());
     let restore = start.elapsed().as_micros();
     println!(
         "services={services} changes={changes} accepted={} catalogue_bytes={} ns_a_change={apply} snapshot_bytes={} restore_us={restore} restored={}",
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use ledger::Bounds;
 use ledger::Key;
-use ledger::bounds::MAX_CLAIM_ID;
+use ledger::Limits;
+use ledger::limits::MAX_CLAIM_ID;
 use slog::Logger;
 use slog::info;
 use tarpc::context::Context;
@@ -177,7 +177,7 @@
     }
 
     async fn claim(self, _: Context, claim: Claim) -> ClaimReply {
-        let known = Key::read(&claim.service, &claim.caller, &claim.key).is_some();
+        let known = Key::from_parts(&claim.service, &claim.caller, &claim.key).is_some();
         if !known || claim.claim_id.len() > MAX_CLAIM_ID {
             return claim_reply(claim_reply::Kind::Refused(Refused {
                 refusal: Refusal::Form.into(),
@@ -195,7 +195,7 @@
         }
         // The ledger would drop a long answer, so the log needn't carry it.
         if let Some(answer) = &mut settle.answer
-            && answer.body.len() > Bounds::default().body
+            && answer.body.len() > Limits::default().max_body_bytes
         {
             answer.body.clear();
             answer.omitted = true;
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -9,8 +9,8 @@
 use catalogue::state::RestoreError as BookError;
 use evacuation::EvacuationState;
 use evacuation::StateError;
-use ledger::Bounds;
 use ledger::Ledger;
+use ledger::Limits;
 use ledger::Reply;
 use ledger::RestoreError as LedgerError;
 use prost::Message;
@@ -109,7 +109,7 @@
     fn default() -> Self {
         Self {
             book: Book::default(),
-            ledger: Ledger::new(Bounds::default()),
+            ledger: Ledger::new(Limits::default()),
             table: Arc::default(),
             registry: Arc::default(),
             evacuations: Arc::default(),
@@ -132,8 +132,8 @@
         let ledger = state.ledger.unwrap_or_default();
         let evacuations = state.evacuations.unwrap_or_default();
         Ok(Self {
-            book: Book::restore(catalogue::history::Window::default(), &book)?,
-            ledger: Ledger::restore(Bounds::default(), &ledger)?,
+            book: Book::restore(catalogue::history::RetentionLimits::default(), &book)?,
+            ledger: Ledger::restore(Limits::default(), &ledger)?,
             table: Arc::new(state.table.unwrap_or_default()),
             registry: Arc::new(restored(state.instances)),
             evacuations: Arc::new(EvacuationState::from_wire(&evacuations)?),
@@ -222,7 +222,7 @@
     /// The answer to a change that needs no log entry.
     #[must_use]
     pub fn known(&self, change: &Change) -> Option<ChangeReply> {
-        self.book.known(change)
+        self.book.immediate_reply(change)
     }
 
     /// The catalogue with its history.
