--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -18,7 +18,7 @@
 use crate::input::Input;
 use crate::settings::Settings;
 use crate::switch::Switch;
-use crate::table::TableDesk;
+use crate::table::LocalClient;
 
 /// Between two looks at who leads during a stop.
 const PAUSE: Duration = Duration::from_millis(10);
@@ -50,7 +50,7 @@
     pub(crate) id: u64,
     pub(crate) rpc: SocketAddr,
     pub(crate) replica: SocketAddr,
-    pub(crate) desk: TableDesk,
+    pub(crate) desk: LocalClient,
     pub(crate) driver: Driver,
     pub(crate) switch: Switch,
     pub(crate) ends: Ends,
@@ -84,7 +84,7 @@
 
     /// Proposes and reads the route table.
     #[must_use]
-    pub fn tables(&self) -> &TableDesk {
+    pub fn tables(&self) -> &LocalClient {
         &self.desk
     }
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -33,4 +33,4 @@
 pub use server::bind;
 pub use server::start;
 pub use settings::Settings;
-pub use table::TableDesk;
+pub use table::LocalClient;
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -59,7 +59,7 @@
 use crate::replica::ReplicaServer;
 use crate::settings::Settings;
 use crate::switch::Switch;
-use crate::table::TableDesk;
+use crate::table::LocalClient;
 use crate::writer::Writer;
 
 /// Most connections on one port at once.
@@ -200,7 +200,7 @@
         let founding = tokio::spawn(self.founding(&driver, unfounded, group));
         let open = TaskTracker::new();
         let server = self.control_server(&driver, view, &ends);
-        let desk = TableDesk::new(&server);
+        let desk = LocalClient::new(&server);
         let mut accepts = JoinSet::new();
         let acceptor = Acceptor {
             limit: MAX_CONNECTIONS,
--- a/crates/control/src/table.rs
+++ b/crates/control/src/table.rs
@@ -26,13 +26,13 @@
 
 /// Proposes and reads the route table, announcements and evacuations.
 #[derive(Clone)]
-pub struct TableDesk {
+pub struct LocalClient {
     driver: Driver,
     asker: Asker,
     views: watch::Receiver<View>,
 }
 
-impl TableDesk {
+impl LocalClient {
     pub(crate) fn new(server: &ControlServer) -> Self {
         Self {
             driver: server.driver.clone(),
--- a/crates/control/tests/test_join.rs
+++ b/crates/control/tests/test_join.rs
@@ -13,8 +13,8 @@
 use common::start;
 use common::start_with;
 use control::Control;
+use control::LocalClient;
 use control::Settings;
-use control::TableDesk;
 use evacuation::Outcome;
 use wire::hub::Instance;
 use wire::hub::Phase;
@@ -29,7 +29,7 @@
     }
 }
 
-async fn put(desk: &TableDesk, table: Table) -> TableOutcome {
+async fn put(desk: &LocalClient, table: Table) -> TableOutcome {
     let tries = async {
         loop {
             if let Some(reply) = desk.put(table.clone()).await {
@@ -49,7 +49,7 @@
 }
 
 /// What a majority confirms, however long that takes.
-async fn read(desk: &TableDesk) -> u64 {
+async fn read(desk: &LocalClient) -> u64 {
     desk.read(PATIENCE).await.expect("a majority").version
 }
 
@@ -150,7 +150,7 @@
 async fn test_join_evacuations_outlive_a_restart_of_all() {
     let (settings, mut replicas) = start("join-evacuations", 3).await;
     let [a, b] = ["a", "b"].map(|name| DomainName::new(name).expect("a name"));
-    let order = async |desk: &TableDesk, domain, evacuated| {
+    let order = async |desk: &LocalClient, domain, evacuated| {
         let tries = async {
             loop {
                 let outcome = desk.evacuate(domain, evacuated, PATIENCE).await;
--- a/crates/hub/src/state.rs
+++ b/crates/hub/src/state.rs
@@ -9,7 +9,7 @@
 
 use base::prelude::*;
 use bytes::Bytes;
-use control::TableDesk;
+use control::LocalClient;
 use quarantine::Revision;
 use quarantine::Tracker;
 use registry::Registry;
@@ -57,7 +57,7 @@
     /// The process's clock.
     pub clock: Clock,
     /// The route table.
-    pub tables: TableDesk,
+    pub tables: LocalClient,
     /// The log.
     pub log: Logger,
     /// The registry's cursor, for whoever waits for a change.
@@ -72,7 +72,7 @@
 impl State {
     /// A hub that knows nothing yet.
     #[must_use]
-    pub fn new(settings: Settings, tables: TableDesk, log: Logger) -> Arc<Self> {
+    pub fn new(settings: Settings, tables: LocalClient, log: Logger) -> Arc<Self> {
         Arc::new(Self {
             settings,
             epoch: rand::random::<u64>().max(1),
