--- a/crates/control/src/table.rs
+++ b/crates/control/src/table.rs
@@ -116,7 +116,7 @@
     /// Whether a leader was known since this replica started. Before, what is applied
     /// comes from its own disk: all of it was committed, and others may have more.
     #[must_use]
-    pub fn is_led(&self) -> bool {
+    pub fn has_seen_leader(&self) -> bool {
         self.views.borrow().led
     }
 
--- a/crates/hub/src/server.rs
+++ b/crates/hub/src/server.rs
@@ -177,7 +177,7 @@
     /// After a loss of all processes entry processes have no table. One that was
     /// accepted is told to them at once in place of after the election.
     fn is_recovered(&self) -> bool {
-        !self.state.tables.is_led() && self.state.tables.applied().version > 0
+        !self.state.tables.has_seen_leader() && self.state.tables.applied().version > 0
     }
 
     fn note(&self, ask: &Watch) {
