--- a/crates/control/examples/capacity.rs
+++ b/crates/control/examples/capacity.rs
@@ -15,7 +15,7 @@
 use control::Control;
 use control::Settings;
 use control::group;
-use control::machine::Machine;
+use control::machine::StateMachine;
 use hdrhistogram::Histogram;
 use prost::Message;
 use wire::api::ControlApiClient;
@@ -332,7 +332,7 @@
 /// Memory and snapshot bytes of ledger records that are in flight.
 fn memory(count: u64) -> Result<(), Failure> {
     let before = resident()?;
-    let mut machine = Machine::default();
+    let mut machine = StateMachine::default();
     let begun = Instant::now();
     for number in 0..count {
         let mut one = claim(number);
--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -40,8 +40,8 @@
 use crate::convert;
 use crate::input::Input;
 use crate::input::View;
-use crate::machine::Machine;
 use crate::machine::MachineError;
+use crate::machine::StateMachine;
 use crate::peers::Peers;
 use crate::tickets::Open;
 use crate::tickets::Tickets;
@@ -74,7 +74,7 @@
             display("{err}")
         }
         /// The applied state.
-        Machine(err: MachineError) {
+        StateMachine(err: MachineError) {
             from()
             source(err)
             display("{err}")
@@ -93,7 +93,7 @@
     /// What the disk held.
     pub stored: Stored,
     /// The state that the snapshot led to.
-    pub machine: Machine,
+    pub machine: StateMachine,
     /// The data folder.
     pub writer: Writer,
     /// What became of writes.
--- a/crates/control/src/driver/act.rs
+++ b/crates/control/src/driver/act.rs
@@ -31,9 +31,9 @@
 use crate::driver::Task;
 use crate::driver::propose::refused;
 use crate::input::View;
-use crate::machine::Machine;
 use crate::machine::MachineError;
 use crate::machine::Output;
+use crate::machine::StateMachine;
 use crate::tickets;
 use crate::tickets::Open;
 
@@ -88,7 +88,7 @@
     }
 
     fn install(&mut self, snapshot: &Snapshot) {
-        match Machine::restore(&snapshot.data) {
+        match StateMachine::restore(&snapshot.data) {
             Ok(machine) => {
                 self.parts.machine = machine;
                 self.applied = snapshot.position.index;
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -35,7 +35,7 @@
             display("data folder: {err}")
         }
         /// The applied state.
-        Machine(err: MachineError) {
+        StateMachine(err: MachineError) {
             from()
             source(err)
             display("data folder: {err}")
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -97,7 +97,7 @@
 
 /// The applied state.
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub struct StateMachine {
     book: Book,
     ledger: Ledger,
     table: Arc<Table>,
@@ -105,7 +105,7 @@
     evacuations: Arc<Domains>,
 }
 
-impl Default for Machine {
+impl Default for StateMachine {
     fn default() -> Self {
         Self {
             book: Book::default(),
@@ -117,7 +117,7 @@
     }
 }
 
-impl Machine {
+impl StateMachine {
     /// Reads what [`Machine::snapshot`] gave; nothing is the empty state.
     ///
     /// # Errors
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -53,7 +53,7 @@
 use crate::input::Driver;
 use crate::input::View;
 use crate::joining::Joiner;
-use crate::machine::Machine;
+use crate::machine::StateMachine;
 use crate::peers::Peers;
 use crate::replica::Identity;
 use crate::replica::ReplicaServer;
@@ -260,7 +260,7 @@
         );
         Ok(Parts {
             settings,
-            machine: Machine::restore(&stored.snapshot.data)?,
+            machine: StateMachine::restore(&stored.snapshot.data)?,
             stored,
             writer,
             reports,
--- a/crates/demo/examples/slopes/role/ledger.rs
+++ b/crates/demo/examples/slopes/role/ledger.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use control::machine::Machine;
+use control::machine::StateMachine;
 use prost::Message;
 use wire::replica::Command;
 use wire::replica::command::Kind;
@@ -22,7 +22,7 @@
 pub fn run(answer: &str) -> Result<(), Fault> {
     let body = Bytes::from(vec![b'x'; answer.parse().unwrap_or_default()]);
     let before = usage::resident_kib();
-    let mut machine = Machine::default();
+    let mut machine = StateMachine::default();
     let mut number = 0;
     for records in RECORDS {
         let (first, begin) = (number, usage::cpu());
