--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -40,8 +40,8 @@
 use crate::convert;
 use crate::input::Input;
 use crate::input::View;
-use crate::machine::MachineError;
 use crate::machine::StateMachine;
+use crate::machine::StateMachineError;
 use crate::peers::Peers;
 use crate::tickets::Open;
 use crate::tickets::Tickets;
@@ -74,7 +74,7 @@
             display("{err}")
         }
         /// The applied state.
-        StateMachine(err: MachineError) {
+        StateMachine(err: StateMachineError) {
             from()
             source(err)
             display("{err}")
--- a/crates/control/src/driver/act.rs
+++ b/crates/control/src/driver/act.rs
@@ -31,9 +31,9 @@
 use crate::driver::Task;
 use crate::driver::propose::refused;
 use crate::input::View;
-use crate::machine::MachineError;
 use crate::machine::Output;
 use crate::machine::StateMachine;
+use crate::machine::StateMachineError;
 use crate::tickets;
 use crate::tickets::Open;
 
@@ -102,7 +102,7 @@
         }
     }
 
-    fn commit(&mut self, entries: &[Entry]) -> Result<(), MachineError> {
+    fn commit(&mut self, entries: &[Entry]) -> Result<(), StateMachineError> {
         for entry in entries {
             self.applied = entry.index;
             if let Payload::Data(data) = &entry.payload {
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -10,7 +10,7 @@
 
 use crate::convert::ConvertError;
 use crate::driver::DriverError;
-use crate::machine::MachineError;
+use crate::machine::StateMachineError;
 use crate::writer::WriterError;
 
 quick_error! {
@@ -35,7 +35,7 @@
             display("data folder: {err}")
         }
         /// The applied state.
-        StateMachine(err: MachineError) {
+        StateMachine(err: StateMachineError) {
             from()
             source(err)
             display("data folder: {err}")
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -32,7 +32,7 @@
 quick_error! {
     /// Why what the log holds can't be applied; the replica then stops.
     #[derive(Debug)]
-    pub enum MachineError {
+    pub enum StateMachineError {
         /// Bytes aren't a message.
         Decode(err: prost::DecodeError) {
             from()
@@ -123,7 +123,7 @@
     /// # Errors
     ///
     /// Fails on bytes that no state writes.
-    pub fn restore(data: &Bytes) -> Result<Self, MachineError> {
+    pub fn restore(data: &Bytes) -> Result<Self, StateMachineError> {
         if data.is_empty() {
             return Ok(Self::default());
         }
@@ -158,9 +158,9 @@
     /// # Errors
     ///
     /// Fails on what no leader of this version proposes.
-    pub fn apply(&mut self, data: &Bytes) -> Result<Output, MachineError> {
+    pub fn apply(&mut self, data: &Bytes) -> Result<Output, StateMachineError> {
         let command = Command::decode(data.clone())?;
-        match command.kind.ok_or(MachineError::Kind)? {
+        match command.kind.ok_or(StateMachineError::Kind)? {
             Kind::Change(change) => Ok(Output::Change {
                 reply: self.book.apply(&change),
                 id: change.id,
