--- a/crates/control/examples/capacity.rs
+++ b/crates/control/examples/capacity.rs
@@ -15,7 +15,7 @@
 use control::Control;
 use control::Settings;
 use control::group;
-use control::machine::StateMachine;
+use control::state_machine::StateMachine;
 use hdrhistogram::Histogram;
 use prost::Message;
 use wire::api::ControlApiClient;
@@ -332,7 +332,7 @@
 /// Memory and snapshot bytes of ledger records that are in flight.
 fn memory(count: u64) -> Result<(), Failure> {
     let before = resident()?;
-    let mut machine = StateMachine::default();
+    let mut state_machine = StateMachine::default();
     let begun = Instant::now();
     for number in 0..count {
         let mut one = claim(number);
@@ -344,23 +344,23 @@
             now_ms: 1_800_000_000_000,
             kind: Some(wire::replica::command::Kind::Ledger(inner)),
         };
-        machine.apply(&command.encode_to_vec().into())?;
+        state_machine.apply(&command.encode_to_vec().into())?;
     }
     let applied = begun.elapsed();
     let grown = resident()?.saturating_sub(before);
     let begun = Instant::now();
-    let snapshot = machine.snapshot();
+    let snapshot = state_machine.snapshot();
     println!(
         "measure=ledger records={} resident_bytes_per_record={} snapshot_bytes_per_record={} \
          apply_ns={} snapshot_ms={}",
-        machine.ledger().counts().records,
+        state_machine.ledger().counts().records,
         grown / count,
         snapshot.len() as u64 / count,
         applied.as_nanos() / u128::from(count),
         begun.elapsed().as_millis(),
     );
     // The next size must not reuse this one's memory unseen.
-    let kept = Arc::new(machine);
+    let kept = Arc::new(state_machine);
     std::mem::forget(Arc::clone(&kept));
     Ok(())
 }
--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -40,9 +40,9 @@
 use crate::convert;
 use crate::input::Input;
 use crate::input::View;
-use crate::machine::StateMachine;
-use crate::machine::StateMachineError;
 use crate::peers::Peers;
+use crate::state_machine::StateMachine;
+use crate::state_machine::StateMachineError;
 use crate::tickets::Open;
 use crate::tickets::Tickets;
 use crate::tickets::membership;
@@ -93,7 +93,7 @@
     /// What the disk held.
     pub stored: Stored,
     /// The state that the snapshot led to.
-    pub machine: StateMachine,
+    pub state_machine: StateMachine,
     /// The data folder.
     pub writer: Writer,
     /// What became of writes.
@@ -247,7 +247,7 @@
                 let _ = reply.send(self.status());
             }
             Input::History(query, reply) => {
-                let book = self.parts.machine.book();
+                let book = self.parts.state_machine.book();
                 let _ = reply.send(book.history(query.from, query.most));
             }
             Input::Found(config, reply) => self.found(config, reply),
@@ -359,26 +359,26 @@
             leader: status.leader.map_or(0, |id| id.0),
             commit: status.commit.0,
             applied: self.applied.0,
-            version: self.parts.machine.book().catalogue().version,
+            version: self.parts.state_machine.book().catalogue().version,
             first_index: status.first.0,
             replicas: convert::replicas(&status.config),
-            ledger_keys: self.parts.machine.ledger().counts().records as u64,
+            ledger_keys: self.parts.state_machine.ledger().counts().records as u64,
         }
     }
 
     fn publish(&self) {
-        let catalogue = self.parts.machine.book().catalogue();
+        let catalogue = self.parts.state_machine.book().catalogue();
         self.parts.views.send_if_modified(|view| {
             let newer = catalogue.version > view.catalogue.version;
             if newer {
                 view.catalogue = Arc::new(catalogue.to_wire());
             }
-            let table = self.parts.machine.table();
+            let table = self.parts.state_machine.table();
             let routed = table.version > view.table.version;
             if routed {
                 view.table = Arc::clone(table);
             }
-            let registry = self.parts.machine.registry();
+            let registry = self.parts.state_machine.registry();
             let renumbered = self.snapshots != view.snapshots;
             let announced = renumbered || registry.cursor() != view.registry.cursor();
             if announced {
@@ -386,7 +386,7 @@
                 view.announced = self.applied.0;
                 view.snapshots = self.snapshots;
             }
-            let evacuations = self.parts.machine.evacuations();
+            let evacuations = self.parts.state_machine.evacuations();
             let ordered = evacuations.revision() > view.evacuations.revision();
             if ordered {
                 view.evacuations = Arc::clone(evacuations);
--- a/crates/control/src/driver/act.rs
+++ b/crates/control/src/driver/act.rs
@@ -31,9 +31,9 @@
 use crate::driver::Task;
 use crate::driver::propose::refused;
 use crate::input::View;
-use crate::machine::Output;
-use crate::machine::StateMachine;
-use crate::machine::StateMachineError;
+use crate::state_machine::Output;
+use crate::state_machine::StateMachine;
+use crate::state_machine::StateMachineError;
 use crate::tickets;
 use crate::tickets::Open;
 
@@ -89,8 +89,8 @@
 
     fn install(&mut self, snapshot: &Snapshot) {
         match StateMachine::restore(&snapshot.data) {
-            Ok(machine) => {
-                self.parts.machine = machine;
+            Ok(state_machine) => {
+                self.parts.state_machine = state_machine;
                 self.applied = snapshot.position.index;
                 self.snapshots += 1;
                 self.snapshot_size = snapshot.data.len();
@@ -106,7 +106,7 @@
         for entry in entries {
             self.applied = entry.index;
             if let Payload::Data(data) = &entry.payload {
-                let output = self.parts.machine.apply(data)?;
+                let output = self.parts.state_machine.apply(data)?;
                 self.note(entry.index, &output);
                 self.tickets.keep(entry.index, output);
             }
@@ -153,8 +153,8 @@
         if status.log_bytes < enough || !fresh || self.encoding.is_some() {
             return;
         }
-        let machine = self.parts.machine.clone();
-        let data = tokio::task::spawn_blocking(move || machine.snapshot());
+        let state_machine = self.parts.state_machine.clone();
+        let data = tokio::task::spawn_blocking(move || state_machine.snapshot());
         self.encoding = Some((self.applied, data));
     }
 
@@ -213,7 +213,7 @@
                 let _ = self.parts.metrics.count("control.evacuations", 1);
                 info!(self.parts.log, "evacuation"; "domain" => domain,
                     "evacuated" => evacuated, "outcome" => reply.outcome().as_str_name(),
-                    "revision" => self.parts.machine.evacuations().revision(),
+                    "revision" => self.parts.state_machine.evacuations().revision(),
                     "index" => index.0);
             }
         }
--- a/crates/control/src/driver/propose.rs
+++ b/crates/control/src/driver/propose.rs
@@ -59,7 +59,7 @@
 
     fn admit(&mut self, ask: Ask, reply: oneshot::Sender<AskReply>) {
         match ask.kind {
-            Some(ask::Kind::Change(change)) => match self.parts.machine.known(&change) {
+            Some(ask::Kind::Change(change)) => match self.parts.state_machine.known(&change) {
                 Some(known) => answer(reply, known),
                 None => self.propose(Kind::Change(change), reply),
             },
@@ -103,14 +103,14 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let wall = u64::try_from(wall.as_millis()).unwrap_or(u64::MAX);
-        wall.max(self.parts.machine.ledger().now_ms())
+        wall.max(self.parts.state_machine.ledger().now_ms())
     }
 
     /// The leader moves log time on when a record is due, so that all replicas
     /// let it expire at the same place of the log.
     pub(super) fn expire(&mut self) {
         self.next_expiry = self.clock.now() + EXPIRY;
-        let due = self.parts.machine.ledger().next_due_ms();
+        let due = self.parts.state_machine.ledger().next_due_ms();
         if due.is_none_or(|due| due > self.log_time()) || !self.leads() {
             return;
         }
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -10,7 +10,7 @@
 
 use crate::convert::ConvertError;
 use crate::driver::DriverError;
-use crate::machine::StateMachineError;
+use crate::state_machine::StateMachineError;
 use crate::writer::WriterError;
 
 quick_error! {
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -53,11 +53,11 @@
 use crate::input::Driver;
 use crate::input::View;
 use crate::joining::Joiner;
-use crate::machine::StateMachine;
 use crate::peers::Peers;
 use crate::replica::Identity;
 use crate::replica::ReplicaServer;
 use crate::settings::Settings;
+use crate::state_machine::StateMachine;
 use crate::switch::Switch;
 use crate::table::LocalClient;
 use crate::writer::Writer;
@@ -260,7 +260,7 @@
         );
         Ok(Parts {
             settings,
-            machine: StateMachine::restore(&stored.snapshot.data)?,
+            state_machine: StateMachine::restore(&stored.snapshot.data)?,
             stored,
             writer,
             reports,
--- a/crates/control/src/tickets.rs
+++ b/crates/control/src/tickets.rs
@@ -17,7 +17,7 @@
 use wire::replica::Declined;
 use wire::replica::ask_reply::Kind;
 
-use crate::machine::Output;
+use crate::state_machine::Output;
 
 /// Outputs kept for tickets that are about to be answered.
 const MAX_OUTPUTS: usize = 65_536;
--- a/crates/demo/examples/slopes/fault.rs
+++ b/crates/demo/examples/slopes/fault.rs
@@ -45,7 +45,7 @@
             display("store: {err}")
         }
         /// A replica's state machine.
-        Machine(err: control::machine::StateMachineError) {
+        Machine(err: control::state_machine::StateMachineError) {
             from()
             source(err)
             display("machine: {err}")
--- a/crates/demo/examples/slopes/role/ledger.rs
+++ b/crates/demo/examples/slopes/role/ledger.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use control::machine::StateMachine;
+use control::state_machine::StateMachine;
 use prost::Message;
 use wire::replica::Command;
 use wire::replica::command::Kind;
@@ -22,7 +22,7 @@
 pub fn run(answer: &str) -> Result<(), Fault> {
     let body = Bytes::from(vec![b'x'; answer.parse().unwrap_or_default()]);
     let before = usage::resident_kib();
-    let mut machine = StateMachine::default();
+    let mut state_machine = StateMachine::default();
     let mut number = 0;
     for records in RECORDS {
         let (first, begin) = (number, usage::cpu());
@@ -32,17 +32,17 @@
                     now_ms: NOW_MS,
                     kind: Some(Kind::Ledger(kind)),
                 };
-                machine.apply(&Bytes::from(command.encode_to_vec()))?;
+                state_machine.apply(&Bytes::from(command.encode_to_vec()))?;
             }
             number += 1;
         }
         let spent = usage::cpu().saturating_sub(begin);
         let grown = usage::resident_kib().saturating_sub(before);
         let begin = Instant::now();
-        let snapshot = machine.snapshot();
+        let snapshot = state_machine.snapshot();
         say(&format!(
             "records={} rss_kib={grown} apply_ns={} snapshot_bytes={} snapshot_us={}",
-            machine.ledger().counts().records,
+            state_machine.ledger().counts().records,
             spent.as_nanos() / u128::from(records - first),
             snapshot.len(),
             begin.elapsed().as_micros(),
