--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -84,7 +84,7 @@
 
     /// Proposes and reads the route table.
     #[must_use]
-    pub fn tables(&self) -> &LocalClient {
+    pub fn local_client(&self) -> &LocalClient {
         &self.desk
     }
 
--- a/crates/control/tests/test_join.rs
+++ b/crates/control/tests/test_join.rs
@@ -59,7 +59,7 @@
     expected.sort_unstable();
     let tries = async {
         loop {
-            let replicas = replica.tables().replicas().await;
+            let replicas = replica.local_client().replicas().await;
             let mut voters: Vec<String> = replicas
                 .into_iter()
                 .filter(|r| r.voter)
@@ -92,8 +92,8 @@
 #[tokio::test]
 async fn test_join_highest_version_wins_and_first_content_under_it() {
     let (settings, mut replicas) = start("join-versions", 3).await;
-    let desk = replicas[0].tables();
-    let other = replicas[1].tables();
+    let desk = replicas[0].local_client();
+    let other = replicas[1].local_client();
     assert_eq!(put(desk, table(4, "a")).await, TableOutcome::Taken);
     assert_eq!(put(other, table(4, "a")).await, TableOutcome::Held);
     assert_eq!(put(other, table(4, "b")).await, TableOutcome::Differs);
@@ -105,8 +105,8 @@
     for one in &settings {
         again.push(restart(one).await);
     }
-    assert_eq!(read(again[2].tables()).await, 4);
-    assert_eq!(&again[2].tables().applied().source[..], b"as sent");
+    assert_eq!(read(again[2].local_client()).await, 4);
+    assert_eq!(&again[2].local_client().applied().source[..], b"as sent");
 }
 
 #[tokio::test]
@@ -122,7 +122,7 @@
         sequence,
         ..Instance::default()
     };
-    let desk = replicas[0].tables();
+    let desk = replicas[0].local_client();
     for row in [
         instance("i-1", Phase::Ready, 1),
         instance("i-2", Phase::Ready, 1),
@@ -139,8 +139,8 @@
     for one in &settings {
         again.push(restart(one).await);
     }
-    let _ = read(again[1].tables()).await;
-    let registry = again[1].tables().registry();
+    let _ = read(again[1].local_client()).await;
+    let registry = again[1].local_client().registry();
     let phase = |id| registry.get(id).map(Instance::phase);
     assert_eq!(phase("i-1"), Some(Phase::Ready));
     assert_eq!(phase("i-2"), Some(Phase::Draining));
@@ -162,7 +162,7 @@
         let outcome = tokio::time::timeout(PATIENCE, tries).await;
         outcome.expect("a leader answers in the end")
     };
-    let (one, two) = (replicas[0].tables(), replicas[1].tables());
+    let (one, two) = (replicas[0].local_client(), replicas[1].local_client());
     assert_eq!(order(one, &a, true).await, Outcome::Taken);
     // Each order is made from what a majority confirms, so that none counts as overtaken.
     assert_eq!(order(two, &a, true).await, Outcome::Held);
@@ -173,7 +173,7 @@
     for one in &settings {
         again.push(restart(one).await);
     }
-    let held = again[2].tables().evacuations(PATIENCE).await;
+    let held = again[2].local_client().evacuations(PATIENCE).await;
     let held = held.expect("a majority");
     assert!(!held.is_evacuated(&a) && held.is_evacuated(&b));
 }
@@ -182,7 +182,7 @@
 async fn test_join_emptied_replica_comes_back_as_another_one() {
     let (settings, mut replicas) = start("join-emptied", 3).await;
     assert_eq!(
-        put(replicas[0].tables(), table(7, "a")).await,
+        put(replicas[0].local_client(), table(7, "a")).await,
         TableOutcome::Taken
     );
     let mut lost = replicas.remove(2);
@@ -195,8 +195,11 @@
     votes(&back, &all).await;
     // It counts: with one of the others gone, it and the last one are the majority.
     replicas.remove(0).kill().await;
-    assert_eq!(read(back.tables()).await, 7);
-    assert_eq!(put(back.tables(), table(8, "b")).await, TableOutcome::Taken);
+    assert_eq!(read(back.local_client()).await, 7);
+    assert_eq!(
+        put(back.local_client(), table(8, "b")).await,
+        TableOutcome::Taken
+    );
 }
 
 #[tokio::test]
@@ -206,7 +209,7 @@
     let (settings, mut replicas) =
         start_with("join-replaced", 3, |s| s.replica.seeds = vec![nobody]).await;
     assert_eq!(
-        put(replicas[0].tables(), table(7, "a")).await,
+        put(replicas[0].local_client(), table(7, "a")).await,
         TableOutcome::Taken
     );
     replicas.remove(2).kill().await;
@@ -228,7 +231,7 @@
         fresh.replica.address,
     ];
     votes(&new, &group).await;
-    assert_eq!(read(new.tables()).await, 7);
+    assert_eq!(read(new.local_client()).await, 7);
 }
 
 /// The same settings on free ports.
--- a/crates/hub/src/hub.rs
+++ b/crates/hub/src/hub.rs
@@ -66,7 +66,7 @@
         let listener = wire::link::listen(address).await;
         let listener = listener.map_err(|err| HubError::Bind(address, err))?;
         let port = settings.http;
-        let state = State::new(settings, control.tables().clone(), log.clone());
+        let state = State::new(settings, control.local_client().clone(), log.clone());
         let desk = Desk::new(Arc::clone(&state));
         let stop = CancellationToken::new();
         let acceptor = Acceptor {
