--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -16,9 +16,9 @@
 use crate::error::ControlError;
 use crate::input::Driver;
 use crate::input::Input;
+use crate::local_client::LocalClient;
 use crate::settings::Settings;
 use crate::switch::Switch;
-use crate::table::LocalClient;
 
 /// Between two looks at who leads during a stop.
 const PAUSE: Duration = Duration::from_millis(10);
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -53,13 +53,13 @@
 use crate::input::Driver;
 use crate::input::View;
 use crate::joining::Joiner;
+use crate::local_client::LocalClient;
 use crate::peers::Peers;
 use crate::replica::Identity;
 use crate::replica::ReplicaServer;
 use crate::settings::Settings;
 use crate::state_machine::StateMachine;
 use crate::switch::Switch;
-use crate::table::LocalClient;
 use crate::writer::Writer;
 
 /// Most connections on one port at once.
