--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -42,10 +42,10 @@
 use wire::replica::ask;
 use wire::replica::ask_reply::Kind;
 
-use crate::asker::Asker;
 use crate::input::Driver;
 use crate::input::Input;
 use crate::input::View;
+use crate::leader_client::LeaderClient;
 use crate::link;
 use crate::settings::Timing;
 use crate::switch::Switch;
@@ -61,7 +61,7 @@
     /// The task that decides.
     pub driver: Driver,
     /// Brings requests to the leader.
-    pub asker: Asker,
+    pub leader_client: LeaderClient,
     /// The catalogue as applied here.
     pub views: watch::Receiver<View>,
     /// Times.
@@ -99,7 +99,7 @@
         let ask = Ask {
             kind: Some(ask::Kind::Ledger(command)),
         };
-        self.asker.ask(&ask).await.ok()
+        self.leader_client.ask(&ask).await.ok()
     }
 
     /// The replica at the address says its id and failure domain itself.
@@ -124,7 +124,7 @@
         let ask = Ask {
             kind: Some(ask::Kind::Change(change)),
         };
-        match self.asker.ask(&ask).await {
+        match self.leader_client.ask(&ask).await {
             Ok(Kind::Change(reply)) => reply,
             _ => ChangeReply {
                 kind: Some(change_reply::Kind::Uncertain(Uncertain {})),
@@ -170,7 +170,7 @@
         let ask = Ask {
             kind: Some(ask::Kind::Membership(Membership { kind })),
         };
-        match self.asker.ask(&ask).await {
+        match self.leader_client.ask(&ask).await {
             Ok(Kind::Membership(reply)) => reply,
             _ => refused("no leader answered in time; ask again"),
         }
--- a/crates/control/src/asker.rs
+++ b/crates/control/src/leader_client.rs
@@ -40,14 +40,14 @@
 /// Asks the leader. Every request may be repeated: the state machines give a
 /// repeated one its first answer.
 #[derive(Clone)]
-pub struct Asker {
+pub struct LeaderClient {
     driver: Driver,
     switch: Switch,
     timing: Timing,
     links: Arc<Mutex<HashMap<SocketAddr, Arc<ReplicaLink>>>>,
 }
 
-impl Asker {
+impl LeaderClient {
     /// Asks by way of this replica's own driver first.
     #[must_use]
     pub fn new(driver: Driver, switch: Switch, timing: Timing) -> Self {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -6,7 +6,6 @@
 //! [`control`]. How a group comes to be on its very first start stands in
 //! [`founding`].
 
-pub mod asker;
 pub mod control;
 pub mod convert;
 pub mod driver;
@@ -16,6 +15,7 @@
 pub mod handle;
 pub mod input;
 pub mod joining;
+pub mod leader_client;
 pub mod link;
 pub mod local_client;
 pub mod peers;
--- a/crates/control/src/local_client.rs
+++ b/crates/control/src/local_client.rs
@@ -18,17 +18,17 @@
 use wire::replica::ask;
 use wire::replica::ask_reply::Kind;
 
-use crate::asker::Asker;
 use crate::control::ControlServer;
 use crate::input::Driver;
 use crate::input::Input;
 use crate::input::View;
+use crate::leader_client::LeaderClient;
 
 /// Proposes and reads the route table, announcements and evacuations.
 #[derive(Clone)]
 pub struct LocalClient {
     driver: Driver,
-    asker: Asker,
+    leader_client: LeaderClient,
     views: watch::Receiver<View>,
 }
 
@@ -36,7 +36,7 @@
     pub(crate) fn new(server: &ControlServer) -> Self {
         Self {
             driver: server.driver.clone(),
-            asker: server.asker.clone(),
+            leader_client: server.leader_client.clone(),
             views: server.views.clone(),
         }
     }
@@ -46,7 +46,7 @@
         let ask = Ask {
             kind: Some(ask::Kind::Table(table)),
         };
-        match self.asker.ask(&ask).await {
+        match self.leader_client.ask(&ask).await {
             Ok(Kind::Table(reply)) => Some(reply),
             Ok(_) | Err(_) => None,
         }
@@ -57,7 +57,7 @@
         let ask = Ask {
             kind: Some(ask::Kind::Instance(instance)),
         };
-        matches!(self.asker.ask(&ask).await, Ok(Kind::Instance(_)))
+        matches!(self.leader_client.ask(&ask).await, Ok(Kind::Instance(_)))
     }
 
     /// Asks that nothing be sent to the upstreams of `domain`, or takes that back; none
@@ -75,7 +75,7 @@
         let ask = Ask {
             kind: Some(ask::Kind::Evacuation(order)),
         };
-        match self.asker.ask(&ask).await {
+        match self.leader_client.ask(&ask).await {
             Ok(Kind::Evacuation(reply)) => Some(reply.outcome()),
             Ok(_) | Err(_) => None,
         }
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -39,7 +39,6 @@
 use wire::link::MAX_PENDING;
 use wire::replica::Group;
 
-use crate::asker::Asker;
 use crate::control::ControlServer;
 use crate::convert;
 use crate::convert::ConvertError;
@@ -53,6 +52,7 @@
 use crate::input::Driver;
 use crate::input::View;
 use crate::joining::Joiner;
+use crate::leader_client::LeaderClient;
 use crate::local_client::LocalClient;
 use crate::peers::Peers;
 use crate::replica::Identity;
@@ -333,7 +333,7 @@
         let timing = self.settings.timing;
         ControlServer {
             driver: driver.clone(),
-            asker: Asker::new(driver.clone(), self.switch.clone(), timing),
+            leader_client: LeaderClient::new(driver.clone(), self.switch.clone(), timing),
             views,
             timing,
             switch: self.switch.clone(),
