--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -47,8 +47,8 @@
 use crate::input::View;
 use crate::leader_client::LeaderClient;
 use crate::link;
+use crate::partition::Partition;
 use crate::settings::Timing;
-use crate::switch::Switch;
 
 /// Longest time that a follow is held.
 const MAX_WAIT: Duration = Duration::from_secs(30);
@@ -67,7 +67,7 @@
     /// Times.
     pub timing: Timing,
     /// Where tests cut the links.
-    pub switch: Switch,
+    pub partition: Partition,
     /// Set when the process stops: nothing is held any more.
     pub stopping: CancellationToken,
     /// The log.
@@ -109,7 +109,7 @@
         }
         let link = link::replica(replica.address.parse().ok()?);
         let ask = Hello { initial: vec![] };
-        let reply = link::hello(&link, &self.switch, ask, HELLO_TIMEOUT).await;
+        let reply = link::hello(&link, &self.partition, ask, HELLO_TIMEOUT).await;
         let found = reply.ok()?.replica?;
         let same = replica.id == 0 || replica.id == found.id;
         same.then_some(Replica {
--- a/crates/control/src/founding.rs
+++ b/crates/control/src/founding.rs
@@ -29,8 +29,8 @@
 use crate::input::Driver;
 use crate::input::Input;
 use crate::link;
+use crate::partition::Partition;
 use crate::replica::Identity;
-use crate::switch::Switch;
 
 /// How long another replica may take to answer.
 const TIMEOUT: Duration = Duration::from_millis(500);
@@ -57,7 +57,7 @@
     /// The task that decides.
     pub driver: Driver,
     /// Where tests cut the links.
-    pub switch: Switch,
+    pub partition: Partition,
     /// The log.
     pub log: Logger,
 }
@@ -155,7 +155,7 @@
             initial: self.identity.initial.clone(),
         };
         let link = link::replica(address);
-        let reply = link::hello(&link, &self.switch, ask, TIMEOUT).await;
+        let reply = link::hello(&link, &self.partition, ask, TIMEOUT).await;
         // One that answers at another's address must not stand for it.
         reply.ok().filter(|r| {
             r.replica
@@ -172,7 +172,7 @@
     /// The founding group.
     pub group: Group,
     /// Where tests cut the links.
-    pub switch: Switch,
+    pub partition: Partition,
 }
 
 impl Distributor {
@@ -193,7 +193,7 @@
         loop {
             let link = link::replica(address);
             let ask = Hello { initial: vec![] };
-            if let Ok(reply) = link::hello(&link, &self.switch, ask, TIMEOUT).await {
+            if let Ok(reply) = link::hello(&link, &self.partition, ask, TIMEOUT).await {
                 let same = reply.replica.is_some_and(|r| r.id == member.id);
                 if !same || reply.started {
                     return;
@@ -202,7 +202,7 @@
                     to: member.id,
                     group: Some(self.group.clone()),
                 };
-                let _ = link::found(&link, &self.switch, ask, TIMEOUT).await;
+                let _ = link::found(&link, &self.partition, ask, TIMEOUT).await;
             }
             tokio::time::sleep(PAUSE).await;
         }
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -17,8 +17,8 @@
 use crate::input::Driver;
 use crate::input::Input;
 use crate::local_client::LocalClient;
+use crate::partition::Partition;
 use crate::settings::Settings;
-use crate::switch::Switch;
 
 /// Between two looks at who leads during a stop.
 const PAUSE: Duration = Duration::from_millis(10);
@@ -52,7 +52,7 @@
     pub(crate) replica: SocketAddr,
     pub(crate) desk: LocalClient,
     pub(crate) driver: Driver,
-    pub(crate) switch: Switch,
+    pub(crate) partition: Partition,
     pub(crate) ends: Ends,
     pub(crate) end: CancellationToken,
     pub(crate) open: TaskTracker,
@@ -90,8 +90,8 @@
 
     /// Where tests cut the links to the other replicas.
     #[must_use]
-    pub fn switch(&self) -> &Switch {
-        &self.switch
+    pub fn partition(&self) -> &Partition {
+        &self.partition
     }
 
     /// Waits until the replica stops by itself.
--- a/crates/control/src/joining.rs
+++ b/crates/control/src/joining.rs
@@ -21,8 +21,8 @@
 use crate::input::Driver;
 use crate::input::Input;
 use crate::link;
+use crate::partition::Partition;
 use crate::replica::Identity;
-use crate::switch::Switch;
 
 /// How long another replica may take to answer.
 const TIMEOUT: Duration = Duration::from_millis(500);
@@ -40,7 +40,7 @@
     /// The task that decides.
     pub driver: Driver,
     /// Where tests cut the links.
-    pub switch: Switch,
+    pub partition: Partition,
     /// The log.
     pub log: Logger,
 }
@@ -85,7 +85,7 @@
     async fn ask_at(&self, address: SocketAddr) -> bool {
         let link = link::replica(address);
         let hello = Hello { initial: vec![] };
-        let reply = link::hello(&link, &self.switch, hello, TIMEOUT).await;
+        let reply = link::hello(&link, &self.partition, hello, TIMEOUT).await;
         let group = reply.map(|reply| reply.group).unwrap_or_default();
         if group.is_empty() {
             return false;
@@ -112,7 +112,7 @@
         let ask = Ask {
             kind: Some(ask::Kind::Join(self.identity.to_wire(true))),
         };
-        let reply = link::ask(&link, &self.switch, ask, TIMEOUT).await.ok()?;
+        let reply = link::ask(&link, &self.partition, ask, TIMEOUT).await.ok()?;
         info!(self.log, "joining"; "asked" => %address, "answer" => format!("{:?}", reply.kind));
         reply.kind
     }
--- a/crates/control/src/leader_client.rs
+++ b/crates/control/src/leader_client.rs
@@ -18,8 +18,8 @@
 use crate::input::Input;
 use crate::link;
 use crate::link::ReplicaLink;
+use crate::partition::Partition;
 use crate::settings::Timing;
-use crate::switch::Switch;
 
 /// Pause before a request is tried again.
 const PAUSE: Duration = Duration::from_millis(25);
@@ -42,7 +42,7 @@
 #[derive(Clone)]
 pub struct LeaderClient {
     driver: Driver,
-    switch: Switch,
+    partition: Partition,
     timing: Timing,
     links: Arc<Mutex<HashMap<SocketAddr, Arc<ReplicaLink>>>>,
 }
@@ -50,10 +50,10 @@
 impl LeaderClient {
     /// Asks by way of this replica's own driver first.
     #[must_use]
-    pub fn new(driver: Driver, switch: Switch, timing: Timing) -> Self {
+    pub fn new(driver: Driver, partition: Partition, timing: Timing) -> Self {
         Self {
             driver,
-            switch,
+            partition,
             timing,
             links: Arc::default(),
         }
@@ -107,7 +107,7 @@
         let left = end.saturating_duration_since(Instant::now());
         let span = left.min(self.timing.election * 2);
         let link = self.link(address);
-        let reply: Result<AskReply, _> = link::ask(&link, &self.switch, ask.clone(), span).await;
+        let reply: Result<AskReply, _> = link::ask(&link, &self.partition, ask.clone(), span).await;
         reply.ok().and_then(|reply| reply.kind)
     }
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -18,12 +18,12 @@
 pub mod leader_client;
 pub mod link;
 pub mod local_client;
+pub mod partition;
 pub mod peers;
 pub mod replica;
 pub mod server;
 pub mod settings;
 pub mod state_machine;
-pub mod switch;
 pub mod tickets;
 pub mod writer;
 
--- a/crates/control/src/link.rs
+++ b/crates/control/src/link.rs
@@ -14,7 +14,7 @@
 use wire::replica::Hello;
 use wire::replica::HelloReply;
 
-use crate::switch::Switch;
+use crate::partition::Partition;
 
 /// Asks who is at an address.
 ///
@@ -23,12 +23,12 @@
 /// Fails when there is no answer in time.
 pub async fn hello(
     link: &ReplicaLink,
-    switch: &Switch,
+    partition: &Partition,
     ask: Hello,
     span: Duration,
 ) -> Result<HelloReply, LinkError> {
     let once = |client: ReplicaApiClient| async move { client.hello(within(span), ask).await };
-    call(link, switch, span, once).await
+    call(link, partition, span, once).await
 }
 
 /// Hands over the founding group.
@@ -38,12 +38,12 @@
 /// Fails when there is no answer in time.
 pub async fn found(
     link: &ReplicaLink,
-    switch: &Switch,
+    partition: &Partition,
     ask: Found,
     span: Duration,
 ) -> Result<bool, LinkError> {
     let once = |client: ReplicaApiClient| async move { client.found(within(span), ask).await };
-    call(link, switch, span, once)
+    call(link, partition, span, once)
         .await
         .map(|reply| reply.taken)
 }
@@ -55,17 +55,17 @@
 /// Fails when there is no answer in time; it may be done all the same.
 pub async fn ask(
     link: &ReplicaLink,
-    switch: &Switch,
+    partition: &Partition,
     ask: Ask,
     span: Duration,
 ) -> Result<AskReply, LinkError> {
     let once = |client: ReplicaApiClient| async move { client.ask(within(span), ask).await };
-    call(link, switch, span, once).await
+    call(link, partition, span, once).await
 }
 
 async fn call<T, F>(
     link: &ReplicaLink,
-    switch: &Switch,
+    partition: &Partition,
     span: Duration,
     once: impl FnOnce(ReplicaApiClient) -> F,
 ) -> Result<T, LinkError>
@@ -73,7 +73,7 @@
     F: Future<Output = Result<T, RpcError>>,
 {
     let call = async {
-        switch.pass().await;
+        partition.pass().await;
         let client = link.client().await?;
         link.judge(once(client).await)
     };
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -21,7 +21,7 @@
 use crate::convert::message;
 use crate::link;
 use crate::link::ReplicaLink;
-use crate::switch::Switch;
+use crate::partition::Partition;
 
 /// Messages that wait for one peer; more are dropped, as the network may.
 const QUEUE: usize = 1024;
@@ -46,7 +46,7 @@
 pub struct Peers {
     own: ReplicaId,
     address: SocketAddr,
-    switch: Switch,
+    partition: Partition,
     metrics: Arc<StatsdClient>,
     known: HashMap<ReplicaId, Peer>,
     members: Vec<ReplicaId>,
@@ -58,13 +58,13 @@
     pub fn new(
         own: ReplicaId,
         address: SocketAddr,
-        switch: Switch,
+        partition: Partition,
         metrics: Arc<StatsdClient>,
     ) -> Self {
         Self {
             own,
             address,
-            switch,
+            partition,
             metrics,
             known: HashMap::new(),
             members: Vec::new(),
@@ -113,7 +113,7 @@
             own: self.own,
             address: self.address,
             link: link::replica(address),
-            switch: self.switch.clone(),
+            partition: self.partition.clone(),
         };
         let task = AbortOnDropHandle::new(tokio::spawn(sender.run(inbox)));
         let peer = Peer {
@@ -129,7 +129,7 @@
     own: ReplicaId,
     address: SocketAddr,
     link: ReplicaLink,
-    switch: Switch,
+    partition: Partition,
 }
 
 impl Sender {
@@ -146,7 +146,7 @@
                 first = inbox.recv(), if room => {
                     let Some(first) = first else { return };
                     let envelope = self.fill(&first, &mut inbox);
-                    if !self.switch.is_cut() {
+                    if !self.partition.is_active() {
                         open.push(self.deliver(envelope));
                     }
                 }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -23,7 +23,7 @@
 use crate::convert::message;
 use crate::input::Driver;
 use crate::input::Input;
-use crate::switch::Switch;
+use crate::partition::Partition;
 use crate::tickets;
 
 /// Who this replica is.
@@ -63,7 +63,7 @@
     /// The task that decides.
     pub driver: Driver,
     /// Where tests cut the links.
-    pub switch: Switch,
+    pub partition: Partition,
     /// The log.
     pub log: Logger,
 }
@@ -89,7 +89,7 @@
 
 impl ReplicaApi for ReplicaServer {
     async fn step(self, _: Context, envelope: Envelope) {
-        if self.switch.is_cut() {
+        if self.partition.is_active() {
             return;
         }
         let Ok(address) = envelope.address.parse() else {
@@ -108,7 +108,7 @@
     }
 
     async fn hello(self, _: Context, _: Hello) -> HelloReply {
-        self.switch.pass().await;
+        self.partition.pass().await;
         let status = self.driver.call(Input::Status).await.unwrap_or_default();
         let member = !status.replicas.is_empty();
         HelloReply {
@@ -120,16 +120,16 @@
     }
 
     async fn found(self, _: Context, ask: Found) -> FoundReply {
-        self.switch.pass().await;
+        self.partition.pass().await;
         FoundReply {
             taken: self.take_found(ask).await,
         }
     }
 
     async fn ask(self, _: Context, ask: Ask) -> AskReply {
-        self.switch.pass().await;
+        self.partition.pass().await;
         let reply = self.driver.call(|r| Input::Ask(ask, r)).await;
-        self.switch.pass().await;
+        self.partition.pass().await;
         reply.unwrap_or_else(|err| AskReply {
             kind: Some(tickets::declined(None, true, &err.to_string())),
         })
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -54,12 +54,12 @@
 use crate::joining::Joiner;
 use crate::leader_client::LeaderClient;
 use crate::local_client::LocalClient;
+use crate::partition::Partition;
 use crate::peers::Peers;
 use crate::replica::Identity;
 use crate::replica::ReplicaServer;
 use crate::settings::Settings;
 use crate::state_machine::StateMachine;
-use crate::switch::Switch;
 use crate::writer::Writer;
 
 /// Most connections on one port at once.
@@ -129,7 +129,7 @@
         let plan = Plan {
             identity: Arc::new(self.identity(&settings, recovered.id)),
             settings,
-            switch: Switch::default(),
+            partition: Partition::default(),
             metrics: Arc::new(metrics),
             log,
         };
@@ -158,7 +158,7 @@
 struct Plan {
     settings: Settings,
     identity: Arc<Identity>,
-    switch: Switch,
+    partition: Partition,
     metrics: Arc<StatsdClient>,
     log: Logger,
 }
@@ -223,7 +223,7 @@
             replica,
             desk,
             driver,
-            switch: self.switch,
+            partition: self.partition,
             ends,
             end,
             open,
@@ -255,7 +255,7 @@
         let peers = Peers::new(
             stored.id,
             self.identity.address,
-            self.switch.clone(),
+            self.partition.clone(),
             Arc::clone(&self.metrics),
         );
         Ok(Parts {
@@ -287,17 +287,17 @@
             identity: Arc::clone(&self.identity),
             acceptance: self.settings.replica.acceptance,
             driver: driver.clone(),
-            switch: self.switch.clone(),
+            partition: self.partition.clone(),
             log: self.log.clone(),
         });
         let identity = Arc::clone(&self.identity);
-        let switch = self.switch.clone();
+        let partition = self.partition.clone();
         let seeds = self.settings.replica.seeds.clone();
         let joiner = (!seeds.is_empty()).then(|| Joiner {
             identity: Arc::clone(&self.identity),
             seeds,
             driver: driver.clone(),
-            switch: self.switch.clone(),
+            partition: self.partition.clone(),
             log: self.log.clone(),
         });
         async move {
@@ -310,7 +310,7 @@
                     let distributor = Distributor {
                         identity,
                         group,
-                        switch,
+                        partition,
                     };
                     distributor.run().await;
                 }
@@ -333,10 +333,10 @@
         let timing = self.settings.timing;
         ControlServer {
             driver: driver.clone(),
-            leader_client: LeaderClient::new(driver.clone(), self.switch.clone(), timing),
+            leader_client: LeaderClient::new(driver.clone(), self.partition.clone(), timing),
             views,
             timing,
-            switch: self.switch.clone(),
+            partition: self.partition.clone(),
             stopping: ends.accept.clone(),
             log: self.log.clone(),
         }
@@ -346,7 +346,7 @@
         ReplicaServer {
             identity: Arc::clone(&self.identity),
             driver: driver.clone(),
-            switch: self.switch.clone(),
+            partition: self.partition.clone(),
             log: self.log.clone(),
         }
     }
--- a/crates/control/tests/test_cut.rs
+++ b/crates/control/tests/test_cut.rs
@@ -41,7 +41,7 @@
         client.reaches(1).await;
     }
 
-    replicas[lost].switch().set(true);
+    replicas[lost].partition().set(true);
     let (on_cut, on_majority) = (change("cut", 1, "drawings"), change("c-2", 1, "grants"));
     // Right after the cut nobody knows of it, and later everybody does.
     let early = clients[lost].propose(&on_cut).await.expect("answers");
@@ -61,7 +61,7 @@
     }
 
     let before = clients[kept].status().await.expect("answers");
-    replicas[lost].switch().set(false);
+    replicas[lost].partition().set(false);
     let reply = clients[lost].reaches(2).await;
     assert_eq!(reply.version, 2);
     let after = clients[kept].status().await.expect("answers");
--- a/crates/control/tests/test_founding.rs
+++ b/crates/control/tests/test_founding.rs
@@ -16,7 +16,7 @@
 use control::bind;
 use control::group;
 use control::link;
-use control::switch::Switch;
+use control::partition::Partition;
 use wire::control::Replica;
 use wire::replica::Found;
 use wire::replica::Group;
@@ -115,7 +115,7 @@
             }),
         };
         let link = link::replica(*own);
-        let taken = link::found(&link, &Switch::default(), ask, common::PATIENCE).await;
+        let taken = link::found(&link, &Partition::default(), ask, common::PATIENCE).await;
         assert!(!taken.expect("answers"), "{name}");
     }
     // The founded group is as it was.
