--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -50,7 +50,7 @@
 use crate::writer::Writer;
 use crate::writer::Written;
 
-mod act;
+mod actions;
 mod members;
 mod propose;
 
