--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -1,4 +1,4 @@
-//! What this replica serves to directories, gateways and operators.
+//! The service for directories, gateways and operators.
 
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
 use wire::replica::ask;
 use wire::replica::ask_reply::Kind;
 
-use crate::input::Driver;
+use crate::input::DriverHandle;
 use crate::input::Input;
 use crate::input::View;
 use crate::leader_client::LeaderClient;
@@ -50,60 +50,61 @@
 use crate::partition::Partition;
 use crate::settings::Timing;
 
-/// Longest time that a follow is held.
-const MAX_WAIT: Duration = Duration::from_secs(30);
-/// How long a new replica may take to say who it is.
+/// Maximum time that a follow request waits for a newer catalogue.
+const MAX_FOLLOW_WAIT: Duration = Duration::from_secs(30);
+/// Time limit for a new replica to return its identity.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The service, one clone a request.
+/// The service implementation, cloned for each request.
 #[derive(Clone)]
 pub struct ControlServer {
-    /// The task that decides.
-    pub driver: Driver,
-    /// Brings requests to the leader.
+    /// Handle of the driver task.
+    pub driver: DriverHandle,
+    /// Sends requests to the leader.
     pub leader_client: LeaderClient,
-    /// The catalogue as applied here.
+    /// The state applied by this replica.
     pub views: watch::Receiver<View>,
-    /// Times.
+    /// Timeouts.
     pub timing: Timing,
-    /// Where tests cut the links.
+    /// Simulated network partition, for tests.
     pub partition: Partition,
-    /// Set when the process stops: nothing is held any more.
+    /// Cancelled when the process stops; waiting follow requests then return at once.
     pub stopping: CancellationToken,
-    /// The log.
+    /// Logger.
     pub log: Logger,
 }
 
 impl ControlServer {
-    /// Whether a quorum has confirmed, after the call, that what is applied here is current.
+    /// Whether a quorum has confirmed, after the call, that the applied state is current.
     async fn confirm(&self) -> bool {
-        let end = Instant::now() + self.timing.election * 2;
+        let deadline = Instant::now() + self.timing.election * 2;
         tokio::select! {
             () = self.stopping.cancelled() => false,
-            confirmed = self.driver.confirm(end) => confirmed,
+            confirmed = self.driver.confirm(deadline) => confirmed,
         }
     }
 
-    /// Waits until the catalogue here is newer than `have`.
-    async fn wait(&self, have: u64, end: Instant) {
+    /// Waits until the applied catalogue is newer than version `have`, or until `deadline`.
+    async fn wait_for_newer(&self, have: u64, deadline: Instant) {
         let mut views = self.views.clone();
-        let newer = views.wait_for(|view| view.catalogue.version > have);
+        let has_newer = views.wait_for(|view| view.catalogue.version > have);
         tokio::select! {
             () = self.stopping.cancelled() => {}
-            _ = tokio::time::timeout_at(end, newer) => {}
+            _ = tokio::time::timeout_at(deadline, has_newer) => {}
         }
     }
 
-    async fn ledger(&self, kind: command::Kind) -> Option<Kind> {
+    async fn request_ledger(&self, kind: command::Kind) -> Option<Kind> {
         let command = Command { kind: Some(kind) };
         let ask = Ask {
             kind: Some(ask::Kind::Ledger(command)),
         };
-        self.leader_client.ask(&ask).await.ok()
+        self.leader_client.request(&ask).await.ok()
     }
 
-    /// The replica at the address says its id and failure domain itself.
-    async fn complete(&self, replica: Replica) -> Option<Replica> {
+    /// Fills in the id, failure domain and region of a replica by asking it at its address.
+    /// Returns `None` when it does not answer or has another id than the given one.
+    async fn resolve_identity(&self, replica: Replica) -> Option<Replica> {
         if replica.id != 0 && !replica.domain.is_empty() && !replica.region.is_empty() {
             return Some(replica);
         }
@@ -111,8 +112,8 @@
         let ask = Hello { initial: vec![] };
         let reply = link::hello(&link, &self.partition, ask, HELLO_TIMEOUT).await;
         let found = reply.ok()?.replica?;
-        let same = replica.id == 0 || replica.id == found.id;
-        same.then_some(Replica {
+        let id_matches = replica.id == 0 || replica.id == found.id;
+        id_matches.then_some(Replica {
             address: replica.address,
             ..found
         })
@@ -124,7 +125,7 @@
         let ask = Ask {
             kind: Some(ask::Kind::Change(change)),
         };
-        match self.leader_client.ask(&ask).await {
+        match self.leader_client.request(&ask).await {
             Ok(Kind::Change(reply)) => reply,
             _ => ChangeReply {
                 kind: Some(change_reply::Kind::Uncertain(Uncertain {})),
@@ -133,11 +134,11 @@
     }
 
     async fn follow(self, _: Context, ask: Follow) -> FollowReply {
-        let wait = Duration::from_millis(ask.wait_ms.into()).min(MAX_WAIT);
-        let end = Instant::now() + wait;
+        let wait = Duration::from_millis(ask.wait_ms.into()).min(MAX_FOLLOW_WAIT);
+        let deadline = Instant::now() + wait;
         let confirmed = self.confirm().await;
         if confirmed {
-            self.wait(ask.have, end).await;
+            self.wait_for_newer(ask.have, deadline).await;
         }
         let catalogue = self.views.borrow().catalogue.clone();
         FollowReply {
@@ -159,8 +160,8 @@
     async fn change_membership(self, _: Context, change: Membership) -> MembershipReply {
         let kind = match change.kind {
             Some(membership::Kind::Add(replica)) => {
-                let Some(replica) = self.complete(replica).await else {
-                    return refused("the replica at the address doesn't answer as this one");
+                let Some(replica) = self.resolve_identity(replica).await else {
+                    return membership_refused("no replica with this id answered at the address");
                 };
                 Some(membership::Kind::Add(replica))
             }
@@ -170,20 +171,20 @@
         let ask = Ask {
             kind: Some(ask::Kind::Membership(Membership { kind })),
         };
-        match self.leader_client.ask(&ask).await {
+        match self.leader_client.request(&ask).await {
             Ok(Kind::Membership(reply)) => reply,
-            _ => refused("no leader answered in time; ask again"),
+            _ => membership_refused("no leader answered in time; retry the request"),
         }
     }
 
     async fn claim(self, _: Context, claim: Claim) -> ClaimReply {
-        let known = Key::read(&claim.service, &claim.caller, &claim.key).is_some();
-        if !known || claim.claim_id.len() > MAX_CLAIM_ID {
+        let valid_key = Key::read(&claim.service, &claim.caller, &claim.key).is_some();
+        if !valid_key || claim.claim_id.len() > MAX_CLAIM_ID {
             return claim_reply(claim_reply::Kind::Refused(Refused {
                 refusal: Refusal::Form.into(),
             }));
         }
-        match self.ledger(command::Kind::Claim(claim)).await {
+        match self.request_ledger(command::Kind::Claim(claim)).await {
             Some(Kind::Claim(reply)) => reply,
             _ => claim_reply(claim_reply::Kind::Unreachable(Unreachable {})),
         }
@@ -193,14 +194,14 @@
         if settle.claim_id.len() > MAX_CLAIM_ID {
             return SettleReply { recorded: false };
         }
-        // The ledger would drop a long answer, so the log needn't carry it.
+        // The ledger does not store answers over its limit, so the log need not contain them.
         if let Some(answer) = &mut settle.answer
             && answer.body.len() > Bounds::default().body
         {
             answer.body.clear();
             answer.omitted = true;
         }
-        match self.ledger(command::Kind::Settle(settle)).await {
+        match self.request_ledger(command::Kind::Settle(settle)).await {
             Some(Kind::Settle(reply)) => reply,
             _ => SettleReply { recorded: false },
         }
@@ -211,7 +212,7 @@
     ClaimReply { kind: Some(kind) }
 }
 
-fn refused(reason: &str) -> MembershipReply {
+fn membership_refused(reason: &str) -> MembershipReply {
     MembershipReply {
         kind: Some(membership_reply::Kind::Refused(MembershipRefused {
             reason: reason.to_owned(),
--- a/crates/control/src/convert.rs
+++ b/crates/control/src/convert.rs
@@ -1,4 +1,4 @@
-//! Between the replicated log's own types and those of the wire and the disk.
+//! Conversion between the types of the replicated log and those on the wire and on disk.
 
 use std::collections::BTreeMap;
 
@@ -23,30 +23,30 @@
 pub mod message;
 
 quick_error! {
-    /// Why a message or record can't be taken.
+    /// Why a message or record cannot be converted.
     #[derive(Debug)]
     pub enum ConvertError {
-        /// A part is missing.
-        Missing(part: &'static str) {
-            display("{part} is missing")
+        /// A required field is missing.
+        Missing(field: &'static str) {
+            display("{field} is missing")
         }
-        /// A number names nothing.
-        Number(part: &'static str, found: i64) {
-            display("{part} has no value {found}")
+        /// A number does not stand for a value of the field.
+        Number(field: &'static str, found: i64) {
+            display("{field} has an unknown value: {found}")
         }
-        /// An address isn't one.
+        /// An address is malformed.
         Address(err: std::net::AddrParseError) {
             from()
             source(err)
             display("address: {err}")
         }
-        /// A name isn't one.
+        /// A name is malformed.
         Name(err: NameError) {
             from()
             source(err)
             display("name: {err}")
         }
-        /// Bytes aren't a message.
+        /// The bytes cannot be decoded as a message.
         Decode(err: prost::DecodeError) {
             from()
             source(err)
@@ -55,7 +55,7 @@
     }
 }
 
-/// A member as others see it.
+/// Converts a member to its wire form.
 #[must_use]
 pub fn member_to_wire(member: &Member, voter: bool) -> Replica {
     Replica {
@@ -67,11 +67,11 @@
     }
 }
 
-/// Reads a member.
+/// Converts a member from its wire form.
 ///
 /// # Errors
 ///
-/// Fails on an address or a name that is none.
+/// Fails on a malformed address or name.
 pub fn member(replica: &Replica) -> Result<Member, ConvertError> {
     Ok(Member {
         id: ReplicaId(replica.id),
@@ -81,7 +81,7 @@
     })
 }
 
-/// The group as others see it.
+/// Converts a group to its wire form.
 #[must_use]
 pub fn group_to_wire(config: &Config) -> Group {
     let acceptance = match config.acceptance {
@@ -95,7 +95,7 @@
     }
 }
 
-/// Voters, then learners.
+/// Converts the members of a group to their wire form, voters first.
 #[must_use]
 pub fn replicas(config: &Config) -> Vec<Replica> {
     config
@@ -104,11 +104,11 @@
         .collect()
 }
 
-/// Reads a group.
+/// Converts a group from its wire form.
 ///
 /// # Errors
 ///
-/// Fails on a member that can't be read or an unknown rule.
+/// Fails on a malformed member or region name, or an unknown acceptance rule.
 pub fn group(group: &Group) -> Result<Config, ConvertError> {
     let acceptance = match group.acceptance() {
         WireAcceptance::Majority => Acceptance::Majority,
@@ -142,7 +142,7 @@
     Ok(config)
 }
 
-/// An entry as it is stored and sent.
+/// Converts an entry to its form on the wire and on disk.
 #[must_use]
 pub fn entry_to_wire(entry: &Entry) -> wire::store::Entry {
     let (kind, data) = match &entry.payload {
@@ -161,11 +161,11 @@
     }
 }
 
-/// Reads an entry.
+/// Converts an entry from its form on the wire and on disk.
 ///
 /// # Errors
 ///
-/// Fails on an unknown kind or a group that can't be read.
+/// Fails on an unknown kind or a malformed group.
 pub fn entry(entry: &wire::store::Entry) -> Result<Entry, ConvertError> {
     let kind = i32::try_from(entry.kind)
         .ok()
@@ -183,7 +183,7 @@
     })
 }
 
-/// A snapshot as it is stored.
+/// Converts a snapshot to its form on disk.
 #[must_use]
 pub fn snapshot_to_wire(snapshot: &Snapshot) -> wire::store::Snapshot {
     wire::store::Snapshot {
@@ -194,11 +194,11 @@
     }
 }
 
-/// Reads a snapshot.
+/// Converts a snapshot from its form on disk.
 ///
 /// # Errors
 ///
-/// Fails on a group that can't be read.
+/// Fails on a malformed group.
 pub fn snapshot(snapshot: &wire::store::Snapshot) -> Result<Snapshot, ConvertError> {
     Ok(Snapshot {
         position: Position {
--- a/crates/control/src/convert/message.rs
+++ b/crates/control/src/convert/message.rs
@@ -1,4 +1,4 @@
-//! Messages of the replicated log.
+//! Conversion of consensus messages.
 
 use consensus::Body;
 use consensus::Index;
@@ -16,7 +16,7 @@
 use crate::convert::group;
 use crate::convert::group_to_wire;
 
-/// A message as it is sent.
+/// Converts a message to its wire form.
 #[must_use]
 pub fn to_wire(message: &Message) -> w::Message {
     w::Message {
@@ -27,11 +27,11 @@
     }
 }
 
-/// Reads a message.
+/// Converts a message from its wire form.
 ///
 /// # Errors
 ///
-/// Fails when a part is missing or can't be read.
+/// Fails when a field is missing or malformed.
 pub fn from_wire(message: &w::Message) -> Result<Message, ConvertError> {
     let body = message.body.as_ref();
     Ok(Message {
--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -1,8 +1,8 @@
 //! The task that owns the replicated log and the applied state.
 //!
-//! It takes what waits in its queue, steps the log with all of it, and then
-//! carries out the actions. So everything that came while a write was being
-//! synced shares the next write.
+//! Each iteration drains the input queue, steps the log with every input, and then
+//! performs the resulting actions. All inputs that arrive while a write is being synced
+//! are therefore batched into the next write.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -54,97 +54,97 @@
 mod members;
 mod propose;
 
-/// Inputs taken in one go.
-const MAX_TAKEN: usize = 4096;
-/// Number of the write that founds a group; the log's own start at 1.
-const FOUNDING: WriteNumber = WriteNumber(0);
-/// Between two checks of the ledger's due records.
-const EXPIRY: Duration = Duration::from_millis(250);
-/// After this long an addition is answered as pending.
+/// Maximum number of inputs handled per iteration.
+const MAX_BATCH: usize = 4096;
+/// Number of the write that stores a founding group; writes of the log start at 1.
+const FOUNDING_WRITE: WriteNumber = WriteNumber(0);
+/// Interval between checks for expired ledger records.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
+/// Time after which a request to add a replica is answered as pending.
 const PENDING_AFTER: Duration = Duration::from_secs(2);
 
 quick_error! {
-    /// Why a replica stops by itself.
+    /// Why the driver stopped on its own.
     #[derive(Debug)]
     pub enum DriverError {
-        /// The data folder.
+        /// A write to the data folder failed.
         Store(err: StoreError) {
             from()
             source(err)
             display("{err}")
         }
-        /// The applied state.
+        /// A committed entry or a snapshot could not be applied.
         StateMachine(err: StateMachineError) {
             from()
             source(err)
             display("{err}")
         }
-        /// The replicated log.
+        /// The replicated log stopped.
         Log(fault: consensus::Fault) {
             display("replicated log: {fault}")
         }
     }
 }
 
-/// What the task is made of.
+/// Configuration and dependencies of the driver.
 pub struct Parts {
-    /// The log's times and bounds.
+    /// Timeouts and limits of the replicated log.
     pub settings: consensus::Settings,
-    /// What the disk held.
+    /// Persistent state recovered from disk.
     pub stored: Stored,
-    /// The state that the snapshot led to.
+    /// State restored from the recovered snapshot.
     pub state_machine: StateMachine,
-    /// The data folder.
+    /// Writes to the data folder.
     pub writer: Writer,
-    /// What became of writes.
+    /// Results of writes.
     pub reports: Reports,
-    /// The other replicas.
+    /// Connections to the other replicas.
     pub peers: Peers,
-    /// Where the catalogue is published.
+    /// Publishes the applied state.
     pub views: watch::Sender<View>,
-    /// Bytes of entries after which a snapshot is taken.
+    /// Log size in bytes above which a snapshot is taken.
     pub snapshot_bytes: usize,
-    /// Most commands that share one sync.
-    pub group: usize,
-    /// The replica is one of a founding group that it wasn't handed yet.
-    pub unfounded: bool,
-    /// Replicas are taken in and let go without an operator.
+    /// Maximum number of commands per write.
+    pub max_write_commands: usize,
+    /// The replica has no log and waits for its founding group.
+    pub awaits_founding: bool,
+    /// Surplus silent voters are removed without an operator.
     pub automatic: bool,
-    /// For election timeouts.
+    /// Seed of the random election timeouts.
     pub seed: u64,
-    /// The log.
+    /// Logger.
     pub log: Logger,
-    /// The metrics.
+    /// Metrics client.
     pub metrics: Arc<StatsdClient>,
 }
 
-/// The task's state.
-pub struct Task {
+/// The driver task.
+pub struct Driver {
     clock: Clock,
     parts: Parts,
     node: Node,
     actions: Vec<Action>,
     tickets: Tickets,
-    waiting: VecDeque<(Ask, oneshot::Sender<AskReply>)>,
-    /// Commands stepped since the last write began.
+    queued: VecDeque<(Ask, oneshot::Sender<AskReply>)>,
+    /// Commands proposed since the last write began.
     admitted: usize,
     founding: Option<(Config, oneshot::Sender<bool>)>,
-    /// The replica may yet be handed a founding group, and takes no message before.
-    unfounded: bool,
-    /// A snapshot that is being encoded, and its last entry.
+    /// The replica has no log and waits for its founding group; messages are dropped.
+    awaits_founding: bool,
+    /// Snapshot being encoded, with the index of its last entry.
     encoding: Option<(Index, JoinHandle<Bytes>)>,
     applied: Index,
     group: Config,
-    next_expiry: Moment,
-    /// Snapshots of others that were installed.
+    next_expiry_check: Moment,
+    /// Number of snapshots installed from other replicas.
     snapshots: u64,
-    /// Bytes of the last snapshot, so that large states are written less often.
+    /// Size of the last snapshot in bytes; large states are written less often.
     snapshot_size: usize,
     failure: Option<DriverError>,
 }
 
-impl Task {
-    /// The task before its first step.
+impl Driver {
+    /// Creates the driver without running it.
     #[must_use]
     pub fn new(parts: Parts) -> Self {
         let clock = Clock::start();
@@ -154,43 +154,43 @@
             parts.seed,
             clock.now(),
         );
-        let task = Self {
+        let driver = Self {
             clock,
             node,
             actions: Vec::new(),
             tickets: Tickets::default(),
-            waiting: VecDeque::new(),
+            queued: VecDeque::new(),
             admitted: 0,
             founding: None,
-            unfounded: parts.unfounded,
+            awaits_founding: parts.awaits_founding,
             encoding: None,
             applied: parts.stored.snapshot.position.index,
             group: Config::default(),
-            next_expiry: clock.now(),
+            next_expiry_check: clock.now(),
             snapshots: 0,
             snapshot_size: parts.stored.snapshot.data.len(),
             failure: None,
             parts,
         };
-        task.publish();
-        task
+        driver.publish();
+        driver
     }
 
-    /// Runs until told to stop or a failure stops it; the data folder is free then.
+    /// Runs until `stop` is cancelled or a failure occurs, then releases the data folder.
     ///
     /// # Errors
     ///
-    /// Fails when the disk or the log does; nothing is acknowledged after that.
+    /// Fails when a write, the log or the state machine fails; nothing is acknowledged afterwards.
     pub async fn run(
         mut self,
         inbox: mpsc::Receiver<Input>,
-        end: CancellationToken,
+        stop: CancellationToken,
     ) -> Result<(), DriverError> {
-        end.run_until_cancelled(self.serve(inbox)).await;
+        stop.run_until_cancelled(self.serve(inbox)).await;
         let log = self.parts.log;
         drop(self.parts.writer);
         let mut reports = self.parts.reports;
-        // The thread's end of the queue closes after its folder was released.
+        // The channel closes once the writer thread has released the data folder.
         while reports.recv().await.is_some() {}
         self.failure.map_or(Ok(()), |err| {
             error!(log, "stopped"; "error" => %err);
@@ -199,41 +199,41 @@
     }
 
     async fn serve(&mut self, mut inbox: mpsc::Receiver<Input>) {
-        // What the disk says is committed is applied before a leader is there.
+        // Applies entries that are known to be committed without waiting for a leader.
         self.step(Event::Tick);
-        self.act();
+        self.perform_actions();
         while self.failure.is_none() {
             let wake = self
                 .clock
-                .instant(self.node.deadline().min(self.next_expiry));
+                .instant(self.node.deadline().min(self.next_expiry_check));
             tokio::select! {
                 biased;
-                report = self.parts.reports.recv() => self.written(report),
+                report = self.parts.reports.recv() => self.on_write_report(report),
                 input = inbox.recv() => {
                     let Some(input) = input else { return };
-                    self.take(input);
-                    self.take_more(&mut inbox);
+                    self.handle_input(input);
+                    self.drain_inputs(&mut inbox);
                 }
-                data = encoded(&mut self.encoding) => self.encoded(data),
+                data = encoded(&mut self.encoding) => self.on_snapshot_encoded(data),
                 () = tokio::time::sleep_until(wake) => {}
             }
-            self.pass_time();
-            self.act();
+            self.run_timers();
+            self.perform_actions();
         }
     }
 
-    fn take_more(&mut self, inbox: &mut mpsc::Receiver<Input>) {
-        for _ in 1..MAX_TAKEN {
+    fn drain_inputs(&mut self, inbox: &mut mpsc::Receiver<Input>) {
+        for _ in 1..MAX_BATCH {
             let Ok(input) = inbox.try_recv() else { return };
-            self.take(input);
+            self.handle_input(input);
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Messages(..) if self.unfounded => {}
+            Input::Messages(..) if self.awaits_founding => {}
             Input::Messages(from, address, messages) => {
-                self.parts.peers.note(from, address);
+                self.parts.peers.learn_address(from, address);
                 for message in messages {
                     self.step(Event::Message(message));
                 }
@@ -247,13 +247,13 @@
                 let _ = reply.send(self.status());
             }
             Input::History(query, reply) => {
-                let book = self.parts.state_machine.book();
-                let _ = reply.send(book.history(query.from, query.most));
+                let catalogue_state = self.parts.state_machine.catalogue_state();
+                let _ = reply.send(catalogue_state.history(query.from, query.most));
             }
-            Input::Found(config, reply) => self.found(config, reply),
-            Input::Join => self.unfounded = false,
+            Input::Found(config, reply) => self.start_founding(config, reply),
+            Input::Join => self.awaits_founding = false,
             Input::Transfer => {
-                if self.leads() {
+                if self.is_leader() {
                     self.step(Event::Transfer);
                 }
             }
@@ -264,26 +264,26 @@
         self.node.step(self.clock.now(), event, &mut self.actions);
     }
 
-    fn pass_time(&mut self) {
+    fn run_timers(&mut self) {
         let now = self.clock.now();
         if now >= self.node.deadline() {
             self.step(Event::Tick);
         }
-        if now >= self.next_expiry {
-            self.expire();
-            self.trim();
+        if now >= self.next_expiry_check {
+            self.propose_expiry();
+            self.remove_surplus_voter();
         }
-        for (reply, id) in self.tickets.pending(now) {
-            let _ = reply.send(self.pending(id));
+        for (reply, id) in self.tickets.take_overdue_additions(now) {
+            let _ = reply.send(self.pending_reply(id));
         }
     }
 
-    fn written(&mut self, report: Option<Result<Written, StoreError>>) {
-        // A thread that ended without a report has panicked.
+    fn on_write_report(&mut self, report: Option<Result<Written, StoreError>>) {
+        // The channel closes without a failure report only when the thread has panicked.
         match report.unwrap_or(Err(StoreError::Stopped)) {
-            Ok(written) if written.number == FOUNDING => self.founded(),
+            Ok(written) if written.number == FOUNDING_WRITE => self.finish_founding(),
             Ok(written) => {
-                self.time_write(written.span);
+                self.record_write_time(written.elapsed);
                 self.step(Event::Persisted {
                     number: written.number,
                 });
@@ -295,24 +295,24 @@
         }
     }
 
-    /// Takes the founding group, unless there is a log or another group.
-    fn found(&mut self, config: Config, reply: oneshot::Sender<bool>) {
-        let own = config.is_voter(self.id());
-        if !own || !self.unfounded || self.founding.is_some() {
+    /// Accepts the founding group unless this replica already has a log or a group.
+    fn start_founding(&mut self, config: Config, reply: oneshot::Sender<bool>) {
+        let is_voter = config.is_voter(self.id());
+        if !is_voter || !self.awaits_founding || self.founding.is_some() {
             let _ = reply.send(false);
             return;
         }
         let stored = Stored::founding(self.id(), config.clone());
         self.parts.writer.write(consensus::Write {
-            number: FOUNDING,
+            number: FOUNDING_WRITE,
             snapshot: Some(stored.snapshot),
             ..consensus::Write::default()
         });
         self.founding = Some((config, reply));
     }
 
-    /// The founding group is synced: the replica starts as its member.
-    fn founded(&mut self) {
+    /// Restarts the log as a member of the founding group once that group is synced.
+    fn finish_founding(&mut self) {
         let Some((config, reply)) = self.founding.take() else {
             return;
         };
@@ -324,7 +324,7 @@
             self.clock.now(),
         );
         self.actions.clear();
-        self.unfounded = false;
+        self.awaits_founding = false;
         let _ = reply.send(true);
     }
 
@@ -332,11 +332,11 @@
         self.parts.stored.id
     }
 
-    fn leads(&self) -> bool {
+    fn is_leader(&self) -> bool {
         self.node.role() == Role::Leader
     }
 
-    fn pending(&self, id: ReplicaId) -> AskReply {
+    fn pending_reply(&self, id: ReplicaId) -> AskReply {
         let behind = self.node.behind(id).unwrap_or_default();
         membership(membership_reply::Kind::Pending(MembershipPending {
             behind,
@@ -345,11 +345,11 @@
 
     fn status(&self) -> Status {
         let status = self.node.status();
-        let own = status.config.is_voter(status.id);
+        let is_voter = status.config.is_voter(status.id);
         let role = match status.role {
             Role::Leader => WireRole::Leader,
             Role::PreCandidate | Role::Candidate => WireRole::Candidate,
-            Role::Follower if own => WireRole::Follower,
+            Role::Follower if is_voter => WireRole::Follower,
             Role::Follower => WireRole::Learner,
         };
         Status {
@@ -359,7 +359,12 @@
             leader: status.leader.map_or(0, |id| id.0),
             commit: status.commit.0,
             applied: self.applied.0,
-            version: self.parts.state_machine.book().catalogue().version,
+            version: self
+                .parts
+                .state_machine
+                .catalogue_state()
+                .catalogue()
+                .version,
             first_index: status.first.0,
             replicas: convert::replicas(&status.config),
             ledger_keys: self.parts.state_machine.ledger().counts().records as u64,
@@ -367,45 +372,45 @@
     }
 
     fn publish(&self) {
-        let catalogue = self.parts.state_machine.book().catalogue();
+        let catalogue = self.parts.state_machine.catalogue_state().catalogue();
         self.parts.views.send_if_modified(|view| {
-            let newer = catalogue.version > view.catalogue.version;
-            if newer {
+            let new_catalogue = catalogue.version > view.catalogue.version;
+            if new_catalogue {
                 view.catalogue = Arc::new(catalogue.to_wire());
             }
             let table = self.parts.state_machine.table();
-            let routed = table.version > view.table.version;
-            if routed {
+            let new_table = table.version > view.table.version;
+            if new_table {
                 view.table = Arc::clone(table);
             }
             let registry = self.parts.state_machine.registry();
-            let renumbered = self.snapshots != view.snapshots;
-            let announced = renumbered || registry.cursor() != view.registry.cursor();
-            if announced {
+            let new_numbering = self.snapshots != view.snapshots;
+            let new_registry = new_numbering || registry.cursor() != view.registry.cursor();
+            if new_registry {
                 view.registry = Arc::clone(registry);
                 view.announced = self.applied.0;
                 view.snapshots = self.snapshots;
             }
             let evacuations = self.parts.state_machine.evacuations();
-            let ordered = evacuations.revision() > view.evacuations.revision();
-            if ordered {
+            let new_evacuations = evacuations.revision() > view.evacuations.revision();
+            if new_evacuations {
                 view.evacuations = Arc::clone(evacuations);
             }
-            newer || routed || announced || ordered
+            new_catalogue || new_table || new_registry || new_evacuations
         });
     }
 
-    /// Connects to the members of the group in force.
-    fn follow_group(&mut self, config: &Config) {
+    /// Connects to the members of `config` when it differs from the current group.
+    fn update_group(&mut self, config: &Config) {
         if *config != self.group {
             self.parts.peers.set_group(config);
-            self.log_group(config);
+            self.log_membership(config);
             self.group = config.clone();
         }
     }
 }
 
-/// The encoded snapshot, once there is one.
+/// Waits for the snapshot that is being encoded; never returns when there is none.
 async fn encoded(encoding: &mut Option<(Index, JoinHandle<Bytes>)>) -> Result<Bytes, JoinError> {
     match encoding {
         Some((_, data)) => data.await,
--- a/crates/control/src/driver/actions.rs
+++ b/crates/control/src/driver/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the log decides.
+//! Performs the actions that the replicated log returns.
 
 use std::mem;
 use std::time::Duration;
@@ -27,8 +27,8 @@
 use wire::replica::AskReply;
 use wire::replica::ask_reply;
 
+use crate::driver::Driver;
 use crate::driver::DriverError;
-use crate::driver::Task;
 use crate::driver::propose::refused;
 use crate::input::View;
 use crate::state_machine::Output;
@@ -37,24 +37,25 @@
 use crate::tickets;
 use crate::tickets::Open;
 
-/// A snapshot is taken after entries of so many times its own size, too.
+/// Minimum ratio between the log size and the size of the last snapshot before a new
+/// snapshot is taken.
 const SNAPSHOT_RATIO: usize = 2;
 
-impl Task {
-    pub(super) fn act(&mut self) {
-        // A write that begins makes room for commands, which may begin the next one.
+impl Driver {
+    pub(super) fn perform_actions(&mut self) {
+        // Starting a write frees room for queued commands, which may cause further actions.
         while !self.actions.is_empty() {
             for action in mem::take(&mut self.actions) {
-                self.carry_out(action);
+                self.perform(action);
             }
-            self.admit_waiting();
+            self.admit_queued();
         }
         let status = self.node.status();
-        self.follow_group(&status.config);
+        self.update_group(&status.config);
         self.compact(&status);
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Persist(write) => {
                 self.admitted = 0;
@@ -68,13 +69,14 @@
                 }
             }
             Action::Committed { ticket, index } | Action::ReadReady { ticket, index } => {
-                self.tickets.committed(ticket, index);
+                self.tickets.complete(ticket, index);
             }
             Action::Rejected { ticket, reason } => self.reject(ticket, &reason),
             Action::LeaderChanged { term, leader } => {
                 if leader.is_some() {
-                    let led = |view: &mut View| !mem::replace(&mut view.led, true);
-                    self.parts.views.send_if_modified(led);
+                    let mark_leader_seen =
+                        |view: &mut View| !mem::replace(&mut view.leader_seen, true);
+                    self.parts.views.send_if_modified(mark_leader_seen);
                 }
                 let leader = leader.map_or(0, |id| id.0);
                 info!(self.parts.log, "leadership";
@@ -107,8 +109,8 @@
             self.applied = entry.index;
             if let Payload::Data(data) = &entry.payload {
                 let output = self.parts.state_machine.apply(data)?;
-                self.note(entry.index, &output);
-                self.tickets.keep(entry.index, output);
+                self.record_output(entry.index, &output);
+                self.tickets.store_output(entry.index, output);
             }
         }
         self.publish();
@@ -124,7 +126,7 @@
             Some(Open::Group(reply, added, _)) => {
                 let answer = match (reason, added) {
                     (Rejection::ChangeOpen, Some(id)) if self.group.learners.contains_key(&id) => {
-                        self.pending(id)
+                        self.pending_reply(id)
                     }
                     (Rejection::NotLeader(_) | Rejection::Uncertain | Rejection::Stopped, _) => {
                         self.declined(reason)
@@ -140,17 +142,17 @@
         }
     }
 
-    /// Begins a snapshot of what is applied when the log has grown.
+    /// Starts a snapshot of the applied state when the log has grown past the threshold.
     ///
-    /// A large state takes longer to encode than a heartbeat may wait, so this
-    /// is done on a copy by another thread.
+    /// Encoding a large state takes longer than a heartbeat interval, so a copy is
+    /// encoded on a blocking thread.
     fn compact(&mut self, status: &Status) {
-        let enough = self
+        let threshold = self
             .parts
             .snapshot_bytes
             .max(self.snapshot_size * SNAPSHOT_RATIO);
-        let fresh = status.snapshot < self.applied;
-        if status.log_bytes < enough || !fresh || self.encoding.is_some() {
+        let has_new_entries = status.snapshot < self.applied;
+        if status.log_bytes < threshold || !has_new_entries || self.encoding.is_some() {
             return;
         }
         let state_machine = self.parts.state_machine.clone();
@@ -158,12 +160,12 @@
         self.encoding = Some((self.applied, data));
     }
 
-    /// Takes the encoded snapshot in the log's place.
-    pub(super) fn encoded(&mut self, data: Result<Bytes, JoinError>) {
+    /// Replaces the compacted part of the log with the encoded snapshot.
+    pub(super) fn on_snapshot_encoded(&mut self, data: Result<Bytes, JoinError>) {
         let Some((index, _)) = self.encoding.take() else {
             return;
         };
-        // A failed encoding is tried again, as the log is as long as before.
+        // The log is still over the threshold, so a failed encoding is retried.
         let Ok(data) = data else { return };
         self.snapshot_size = data.len();
         info!(self.parts.log, "snapshot"; "event" => "taken",
@@ -171,28 +173,28 @@
         self.step(Event::Compact { index, data });
     }
 
-    pub(super) fn time_write(&self, span: Duration) {
-        let _ = self.parts.metrics.time("control.write", span);
+    pub(super) fn record_write_time(&self, elapsed: Duration) {
+        let _ = self.parts.metrics.time("control.write", elapsed);
     }
 
-    pub(super) fn log_group(&self, config: &Config) {
-        let list = |ids: Vec<String>| ids.join(",");
-        let voters = list(config.voters.keys().map(ToString::to_string).collect());
-        let learners = list(config.learners.keys().map(ToString::to_string).collect());
+    pub(super) fn log_membership(&self, config: &Config) {
+        let join_ids = |ids: Vec<String>| ids.join(",");
+        let voters = join_ids(config.voters.keys().map(ToString::to_string).collect());
+        let learners = join_ids(config.learners.keys().map(ToString::to_string).collect());
         info!(self.parts.log, "membership"; "voters" => voters, "learners" => learners);
     }
 
-    /// One line for each change; claims are counted, as they are many.
-    fn note(&self, index: Index, output: &Output) {
+    /// Logs low-volume outputs and counts the others.
+    fn record_output(&self, index: Index, output: &Output) {
         match output {
-            Output::Change { id, reply } => self.note_change(index, id, reply),
+            Output::Change { id, reply } => self.log_change(index, id, reply),
             Output::Claim(reply) => {
-                let word = reply.kind.as_ref().map_or("empty", claim_word);
+                let label = reply.kind.as_ref().map_or("empty", claim_label);
                 let _ = self
                     .parts
                     .metrics
                     .count_with_tags("control.claims", 1)
-                    .with_tag("reply", word)
+                    .with_tag("reply", label)
                     .try_send();
             }
             Output::Settle(reply) => {
@@ -204,7 +206,7 @@
                     .try_send();
             }
             Output::Expire | Output::Instance => {}
-            Output::Table(reply) => self.note_table(index, reply),
+            Output::Table(reply) => self.log_table(index, reply),
             Output::Evacuation {
                 domain,
                 evacuated,
@@ -219,13 +221,13 @@
         }
     }
 
-    fn note_table(&self, index: Index, reply: &TableReply) {
+    fn log_table(&self, index: Index, reply: &TableReply) {
         let _ = self.parts.metrics.count("control.tables", 1);
         info!(self.parts.log, "route table"; "outcome" => reply.outcome().as_str_name(),
             "version" => reply.version, "index" => index.0);
     }
 
-    fn note_change(&self, index: Index, id: &str, reply: &ChangeReply) {
+    fn log_change(&self, index: Index, id: &str, reply: &ChangeReply) {
         let _ = self.parts.metrics.count("control.changes", 1);
         let log = &self.parts.log;
         let index = index.0;
@@ -266,7 +268,7 @@
     }
 }
 
-fn claim_word(kind: &claim_reply::Kind) -> &'static str {
+fn claim_label(kind: &claim_reply::Kind) -> &'static str {
     match kind {
         claim_reply::Kind::Granted(_) => "granted",
         claim_reply::Kind::InFlight(_) => "in-flight",
--- a/crates/control/src/driver/members.rs
+++ b/crates/control/src/driver/members.rs
@@ -1,10 +1,9 @@
-//! Replicas that come and go without an operator.
+//! Automatic membership changes.
 //!
-//! A replica whose disk was emptied, or that stands in for a lost host, asks to
-//! be taken in. The leader lets go of the voter that it stands in for first, so
-//! that the number of voters, and with it the number of losses that are borne,
-//! stays the same. An emptied replica has a new identity, so it never votes as
-//! its old self.
+//! A replica whose data folder was emptied, or that replaces a lost host, asks to join.
+//! The leader first removes the voter that it replaces, so that the number of voters, and
+//! thus of tolerated failures, stays the same. A replica with an emptied data folder has
+//! a new id and never votes under its old one.
 
 use std::time::Duration;
 
@@ -21,23 +20,24 @@
 use wire::replica::AskReply;
 
 use crate::convert;
+use crate::driver::Driver;
 use crate::driver::PENDING_AFTER;
-use crate::driver::Task;
 use crate::driver::propose::refused;
 use crate::tickets::Open;
 use crate::tickets::membership;
 
-/// A voter that was silent for so long gives its place to one that asks for it.
+/// Time without contact after which a voter may be replaced by a joining replica.
 ///
-/// Over three elections, so that a change of leader alone never counts as a loss.
-const LOST_AFTER: Duration = Duration::from_secs(2);
-/// A silent voter is let go only where more voters than these are left.
-const LEAST_VOTERS: usize = 3;
+/// More than three election timeouts, so that a change of leader never counts as a loss.
+const SILENT_VOTER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Groups of this many voters or fewer never lose a silent voter without a replacement.
+const MIN_VOTERS: usize = 3;
 
-impl Task {
-    /// Does the next step of taking `replica` in; it asks again until it is a voter.
-    pub(super) fn take_in(&mut self, replica: &Replica, reply: oneshot::Sender<AskReply>) {
-        if !self.leads() {
+impl Driver {
+    /// Starts the next membership change towards adding `replica`, which repeats its
+    /// request until it is a voter.
+    pub(super) fn handle_join(&mut self, replica: &Replica, reply: oneshot::Sender<AskReply>) {
+        if !self.is_leader() {
             let leader = self.node.status().leader;
             let _ = reply.send(self.declined(&Rejection::NotLeader(leader)));
             return;
@@ -49,50 +49,52 @@
                 return;
             }
         };
-        let Some(change) = self.next_step(&member) else {
+        let Some(change) = self.next_change(&member) else {
             let _ = reply.send(membership(membership_reply::Kind::Done(MembershipDone {})));
             return;
         };
         info!(self.parts.log, "taking in"; "id" => member.id.0,
             "address" => %member.address, "step" => format!("{change:?}"));
         let added = Some(member.id);
-        let at = self.clock.now() + PENDING_AFTER;
-        let ticket = self.tickets.open(Open::Group(reply, added, at));
+        let pending_at = self.clock.now() + PENDING_AFTER;
+        let ticket = self.tickets.open(Open::Group(reply, added, pending_at));
         self.step(Event::Change { ticket, change });
     }
 
-    /// Nothing once it votes from its address.
-    fn next_step(&self, member: &Member) -> Option<Change> {
+    /// The next change on the way to making `member` a voter; `None` once it is one at its
+    /// current address.
+    fn next_change(&self, member: &Member) -> Option<Change> {
         let config = self.node.status().config;
         if config.voters.get(&member.id) == Some(member) {
             return None;
         }
-        let former = config
+        let same_address = config
             .members()
             .find(|m| m.address == member.address && m.id != member.id)
             .map(|m| m.id);
-        let known = config.member(member.id).is_some();
-        let lost = || self.node.silent(LOST_AFTER).into_iter().next();
-        let place = former.or_else(|| if known { None } else { lost() });
-        Some(place.map_or_else(|| Change::Add(member.clone()), Change::Remove))
+        let is_member = config.member(member.id).is_some();
+        let silent_voter = || self.node.silent(SILENT_VOTER_TIMEOUT).into_iter().next();
+        let replaced = same_address.or_else(|| if is_member { None } else { silent_voter() });
+        Some(replaced.map_or_else(|| Change::Add(member.clone()), Change::Remove))
     }
 
-    /// Lets go of a silent voter where an even number makes it a burden only.
-    pub(super) fn trim(&mut self) {
-        if !self.parts.automatic || !self.leads() {
+    /// Removes a silent voter from a group with an even number of voters, where it adds to
+    /// the quorum size but not to the number of tolerated failures.
+    pub(super) fn remove_surplus_voter(&mut self) {
+        if !self.parts.automatic || !self.is_leader() {
             return;
         }
         let voters = self.node.status().config.voters.len();
-        if voters <= LEAST_VOTERS || voters % 2 == 1 {
+        if voters <= MIN_VOTERS || voters % 2 == 1 {
             return;
         }
-        if let Some(id) = self.node.silent(LOST_AFTER).into_iter().next() {
-            self.let_go(id);
+        if let Some(id) = self.node.silent(SILENT_VOTER_TIMEOUT).into_iter().next() {
+            self.remove_silent_voter(id);
         }
     }
 
-    fn let_go(&mut self, id: ReplicaId) {
-        info!(self.parts.log, "letting go"; "id" => id.0, "silent_ms" => LOST_AFTER.as_millis());
+    fn remove_silent_voter(&mut self, id: ReplicaId) {
+        info!(self.parts.log, "letting go"; "id" => id.0, "silent_ms" => SILENT_VOTER_TIMEOUT.as_millis());
         let ticket = self.tickets.open(Open::Own);
         let change = Change::Remove(id);
         self.step(Event::Change { ticket, change });
--- a/crates/control/src/driver/propose.rs
+++ b/crates/control/src/driver/propose.rs
@@ -1,4 +1,4 @@
-//! Requests on their way into the log.
+//! Proposes requests to the replicated log.
 
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
@@ -25,32 +25,32 @@
 
 use crate::convert;
 use crate::convert::ConvertError;
-use crate::driver::EXPIRY;
+use crate::driver::Driver;
+use crate::driver::EXPIRY_INTERVAL;
 use crate::driver::PENDING_AFTER;
-use crate::driver::Task;
 use crate::tickets;
 use crate::tickets::Open;
 
-/// Requests that wait for the write before them; further ones are declined.
-const MAX_WAITING: usize = 16_384;
+/// Maximum number of requests queued behind the current write; further ones are declined.
+const MAX_QUEUED: usize = 16_384;
 
-impl Task {
-    /// Takes a request; it waits while its group of commands is full.
+impl Driver {
+    /// Proposes a request, or queues it while the current write is full.
     pub(super) fn ask(&mut self, ask: Ask, reply: oneshot::Sender<AskReply>) {
-        if self.admitted < self.parts.group {
+        if self.admitted < self.parts.max_write_commands {
             return self.admit(ask, reply);
         }
-        if self.waiting.len() < MAX_WAITING {
-            return self.waiting.push_back((ask, reply));
+        if self.queued.len() < MAX_QUEUED {
+            return self.queued.push_back((ask, reply));
         }
         let kind = Some(tickets::declined(None, false, "busy"));
         let _ = reply.send(AskReply { kind });
     }
 
-    /// Takes requests that waited for the write before them.
-    pub(super) fn admit_waiting(&mut self) {
-        while self.admitted < self.parts.group {
-            let Some((ask, reply)) = self.waiting.pop_front() else {
+    /// Proposes queued requests until the next write is full.
+    pub(super) fn admit_queued(&mut self) {
+        while self.admitted < self.parts.max_write_commands {
+            let Some((ask, reply)) = self.queued.pop_front() else {
                 return;
             };
             self.admit(ask, reply);
@@ -60,7 +60,7 @@
     fn admit(&mut self, ask: Ask, reply: oneshot::Sender<AskReply>) {
         match ask.kind {
             Some(ask::Kind::Change(change)) => match self.parts.state_machine.known(&change) {
-                Some(known) => answer(reply, known),
+                Some(known) => send_change_reply(reply, known),
                 None => self.propose(Kind::Change(change), reply),
             },
             Some(ask::Kind::Ledger(command)) => self.propose(Kind::Ledger(command), reply),
@@ -68,7 +68,7 @@
             Some(ask::Kind::Table(table)) => self.propose(Kind::Table(table), reply),
             Some(ask::Kind::Instance(instance)) => self.propose(Kind::Instance(instance), reply),
             Some(ask::Kind::Evacuation(order)) => self.propose(Kind::Evacuation(order), reply),
-            Some(ask::Kind::Join(replica)) => self.take_in(&replica, reply),
+            Some(ask::Kind::Join(replica)) => self.handle_join(&replica, reply),
             None => {
                 let kind = Some(tickets::declined(None, false, "empty"));
                 let _ = reply.send(AskReply { kind });
@@ -89,35 +89,37 @@
         }
     }
 
-    /// Stamps a command with log time, which never goes back.
+    /// Encodes a command with the current log time.
     fn command(&self, kind: Kind) -> bytes::Bytes {
         let command = Command {
-            now_ms: self.log_time(),
+            now_ms: self.log_time_ms(),
             kind: Some(kind),
         };
         command.encode_to_vec().into()
     }
 
-    fn log_time(&self) -> u64 {
-        let wall = SystemTime::now()
+    /// The wall clock in ms since the Unix epoch, but never less than the time of an
+    /// applied entry.
+    fn log_time_ms(&self) -> u64 {
+        let wall_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let wall = u64::try_from(wall.as_millis()).unwrap_or(u64::MAX);
-        wall.max(self.parts.state_machine.ledger().now_ms())
+        let wall_ms = u64::try_from(wall_ms.as_millis()).unwrap_or(u64::MAX);
+        wall_ms.max(self.parts.state_machine.ledger().now_ms())
     }
 
-    /// The leader moves log time on when a record is due, so that all replicas
-    /// let it expire at the same place of the log.
-    pub(super) fn expire(&mut self) {
-        self.next_expiry = self.clock.now() + EXPIRY;
-        let due = self.parts.state_machine.ledger().next_due_ms();
-        if due.is_none_or(|due| due > self.log_time()) || !self.leads() {
+    /// On the leader, proposes an `Expire` command when a ledger record is due, so that
+    /// all replicas expire it at the same log index.
+    pub(super) fn propose_expiry(&mut self) {
+        self.next_expiry_check = self.clock.now() + EXPIRY_INTERVAL;
+        let due_ms = self.parts.state_machine.ledger().next_due_ms();
+        if due_ms.is_none_or(|due_ms| due_ms > self.log_time_ms()) || !self.is_leader() {
             return;
         }
-        let inner = wire::ledger::Command {
+        let ledger_command = wire::ledger::Command {
             kind: Some(wire::ledger::command::Kind::Expire(Expire {})),
         };
-        let data = self.command(Kind::Ledger(inner));
+        let data = self.command(Kind::Ledger(ledger_command));
         let ticket = self.tickets.open(Open::Own);
         self.step(Event::Propose { ticket, data });
     }
@@ -126,8 +128,8 @@
         let change = match &change.kind {
             Some(membership::Kind::Add(replica)) => convert::member(replica).map(Change::Add),
             Some(membership::Kind::Remove(id)) => Ok(Change::Remove(ReplicaId(*id))),
-            Some(membership::Kind::Evict(name)) => region(name).map(Change::Evict),
-            Some(membership::Kind::Readmit(name)) => region(name).map(Change::Readmit),
+            Some(membership::Kind::Evict(name)) => region_name(name).map(Change::Evict),
+            Some(membership::Kind::Readmit(name)) => region_name(name).map(Change::Readmit),
             None => Err(ConvertError::Missing("change")),
         };
         let change = match change {
@@ -141,24 +143,24 @@
             Change::Add(member) => Some(member.id),
             _ => None,
         };
-        let at = self.clock.now() + PENDING_AFTER;
-        let ticket = self.tickets.open(Open::Group(reply, added, at));
+        let pending_at = self.clock.now() + PENDING_AFTER;
+        let ticket = self.tickets.open(Open::Group(reply, added, pending_at));
         self.step(Event::Change { ticket, change });
     }
 }
 
-fn region(name: &str) -> Result<RegionName, ConvertError> {
+fn region_name(name: &str) -> Result<RegionName, ConvertError> {
     Ok(RegionName::new(name)?)
 }
 
-/// The answer to a change of the group that can't be made.
+/// The reply to a refused membership change.
 pub(super) fn refused(reason: &str) -> AskReply {
     tickets::membership(membership_reply::Kind::Refused(MembershipRefused {
         reason: reason.to_owned(),
     }))
 }
 
-fn answer(reply: oneshot::Sender<AskReply>, known: ChangeReply) {
+fn send_change_reply(reply: oneshot::Sender<AskReply>, known: ChangeReply) {
     let kind = Some(ask_reply::Kind::Change(known));
     let _ = reply.send(AskReply { kind });
 }
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a replica can't start or has stopped.
+//! Errors of a control replica.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,51 +14,51 @@
 use crate::writer::WriterError;
 
 quick_error! {
-    /// Why a replica can't start or has stopped.
+    /// Why a replica cannot start or has stopped.
     #[derive(Debug)]
     pub enum ControlError {
-        /// A port.
+        /// A port cannot be bound.
         Bind(address: SocketAddr, err: io::Error) {
             source(err)
             display("bind {address}: {err}")
         }
-        /// The data folder.
+        /// The data folder cannot be used.
         Store(err: StoreError) {
             from()
             source(err)
             display("{err}")
         }
-        /// What the data folder holds.
+        /// The recovered data cannot be converted.
         Convert(err: ConvertError) {
             from()
             source(err)
             display("data folder: {err}")
         }
-        /// The applied state.
+        /// The recovered snapshot cannot be restored.
         StateMachine(err: StateMachineError) {
             from()
             source(err)
             display("data folder: {err}")
         }
-        /// The data folder's thread.
+        /// The writer thread cannot be started.
         Writer(err: WriterError) {
             from()
             source(err)
             display("{err}")
         }
-        /// The metrics.
+        /// The metrics client cannot be started.
         Metrics(err: MetricsError) {
             from()
             source(err)
             display("{err}")
         }
-        /// The replica stopped by itself.
+        /// The driver stopped on its own.
         Driver(err: DriverError) {
             from()
             source(err)
             display("{err}")
         }
-        /// A task panicked.
+        /// A task panicked or was cancelled.
         Task(err: JoinError) {
             from()
             source(err)
--- a/crates/control/src/founding.rs
+++ b/crates/control/src/founding.rs
@@ -1,11 +1,11 @@
-//! How the initial replicas become a group on their very first start.
+//! Bootstrap of the group on the first start of its initial replicas.
 //!
-//! Identities are minted with the data folders, so nobody can write them into
-//! the settings. The replica with the least of the initial addresses asks all
-//! others who they are. Only when every one of them answers, names the same
-//! initial addresses and has no log does it form the group, sync it, and hand
-//! it to the others. A replica whose folder was emptied meets others with a
-//! log, so it never founds a second group: it waits to be added as a new one.
+//! Replica ids are generated with the data folders and so cannot be listed in the
+//! settings. The replica with the lowest initial address asks all others for their
+//! identity. It forms the group only when every one of them answers, has the same initial
+//! addresses and has no log; it then syncs the group and sends it to the others. A replica
+//! whose data folder was emptied finds others with a log, so it never founds a second
+//! group: it waits to be added under its new id.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -26,46 +26,46 @@
 use wire::replica::HelloReply;
 
 use crate::convert;
-use crate::input::Driver;
+use crate::input::DriverHandle;
 use crate::input::Input;
 use crate::link;
 use crate::partition::Partition;
 use crate::replica::Identity;
 
-/// How long another replica may take to answer.
-const TIMEOUT: Duration = Duration::from_millis(500);
-/// Between two rounds of questions.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Time limit for the reply of another replica.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval between rounds.
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a round of questions showed.
+/// The result of asking the other initial replicas for their identity.
 #[derive(Debug)]
 enum Round {
-    /// Form this group.
+    /// Found this group.
     Found(Config),
-    /// Others have one without this replica.
+    /// A group exists without this replica.
     Join,
-    /// Ask again.
+    /// Undecided; ask again.
     Wait,
 }
 
-/// The task that founds the group or finds that there is one.
+/// The task that founds the group or detects an existing one.
 pub struct Founder {
-    /// Who this replica is.
+    /// The identity of this replica.
     pub identity: Arc<Identity>,
-    /// The founding group's rule of acceptance.
+    /// The acceptance rule of the founding group.
     pub acceptance: Acceptance,
-    /// The task that decides.
-    pub driver: Driver,
-    /// Where tests cut the links.
+    /// Handle of the driver task.
+    pub driver: DriverHandle,
+    /// Simulated network partition, for tests.
     pub partition: Partition,
-    /// The log.
+    /// Logger.
     pub log: Logger,
 }
 
 impl Founder {
-    /// Ends when this replica belongs to a group or waits to be added to one.
+    /// Runs until this replica belongs to a group or waits to be added to one.
     ///
-    /// Gives the group if this replica formed it.
+    /// Returns the group if this replica founded it.
     pub async fn run(self) -> Option<Group> {
         loop {
             if self.is_member().await {
@@ -79,10 +79,10 @@
                 }
                 Round::Join => {
                     info!(self.log, "founding"; "outcome" => "join", "id" => self.identity.id);
-                    self.driver.tell(Input::Join);
+                    self.driver.notify(Input::Join);
                     return None;
                 }
-                Round::Wait => tokio::time::sleep(PAUSE).await,
+                Round::Wait => tokio::time::sleep(ROUND_INTERVAL).await,
             }
         }
     }
@@ -94,8 +94,8 @@
 
     async fn found(&self, config: Config) -> Option<Group> {
         let group = convert::group_to_wire(&config);
-        let taken = self.driver.call(|r| Input::Found(config, r)).await;
-        if taken != Ok(true) {
+        let accepted = self.driver.call(|r| Input::Found(config, r)).await;
+        if accepted != Ok(true) {
             return None;
         }
         let ids: Vec<String> = group.replicas.iter().map(|r| r.id.to_string()).collect();
@@ -107,30 +107,30 @@
         let own = self.identity.address.to_string();
         let others = self.identity.initial.iter().filter(|a| **a != own);
         let replies = join_all(others.map(|a| self.hello(a))).await;
-        let answered: Vec<&HelloReply> = replies.iter().flatten().collect();
-        if let Some(other) = answered.iter().find(|r| r.started) {
-            return self.meet(other);
+        let replies_received: Vec<&HelloReply> = replies.iter().flatten().collect();
+        if let Some(other) = replies_received.iter().find(|r| r.started) {
+            return self.on_started_replica(other);
         }
-        let first = self.identity.initial.first() == Some(&own);
-        if !first || answered.len() < replies.len() {
+        let is_first = self.identity.initial.first() == Some(&own);
+        if !is_first || replies_received.len() < replies.len() {
             return Round::Wait;
         }
-        self.form(&answered)
+        self.build_group(&replies_received)
     }
 
-    /// Another replica has a log: either its group counts on this one, or there
-    /// is no place for it.
-    fn meet(&self, other: &HelloReply) -> Round {
-        let expected = |r: &Replica| r.id == self.identity.id && r.voter;
-        if other.group.iter().any(expected) || other.group.is_empty() {
+    /// Handles a replica that has a log: its group either includes this replica as a voter,
+    /// or this replica has to join as a new one.
+    fn on_started_replica(&self, other: &HelloReply) -> Round {
+        let is_own_voter = |r: &Replica| r.id == self.identity.id && r.voter;
+        if other.group.iter().any(is_own_voter) || other.group.is_empty() {
             return Round::Wait;
         }
         Round::Join
     }
 
-    fn form(&self, answered: &[&HelloReply]) -> Round {
+    fn build_group(&self, replies_received: &[&HelloReply]) -> Round {
         let mut voters = vec![self.identity.to_wire(true)];
-        for reply in answered {
+        for reply in replies_received {
             if reply.initial != self.identity.initial {
                 warn!(self.log, "founding"; "outcome" => "settings differ",
                     "own" => self.identity.initial.join(","), "other" => reply.initial.join(","));
@@ -155,8 +155,8 @@
             initial: self.identity.initial.clone(),
         };
         let link = link::replica(address);
-        let reply = link::hello(&link, &self.partition, ask, TIMEOUT).await;
-        // One that answers at another's address must not stand for it.
+        let reply = link::hello(&link, &self.partition, ask, REPLY_TIMEOUT).await;
+        // Ignores a replica that answers at an address other than its own.
         reply.ok().filter(|r| {
             r.replica
                 .as_ref()
@@ -165,35 +165,35 @@
     }
 }
 
-/// Hands the founding group to members that don't have it yet.
+/// Sends the founding group to members that do not have it yet.
 pub struct Distributor {
-    /// Who this replica is.
+    /// The identity of this replica.
     pub identity: Arc<Identity>,
     /// The founding group.
     pub group: Group,
-    /// Where tests cut the links.
+    /// Simulated network partition, for tests.
     pub partition: Partition,
 }
 
 impl Distributor {
-    /// Ends when every member has it or turned out to be another replica.
+    /// Runs until every member has the group, or its address belongs to another replica.
     pub async fn run(self) {
         let others = self
             .group
             .replicas
             .iter()
             .filter(|r| r.id != self.identity.id);
-        join_all(others.map(|r| self.hand_over(r))).await;
+        join_all(others.map(|r| self.send_group(r))).await;
     }
 
-    async fn hand_over(&self, member: &Replica) {
+    async fn send_group(&self, member: &Replica) {
         let Ok(address) = member.address.parse() else {
             return;
         };
         loop {
             let link = link::replica(address);
             let ask = Hello { initial: vec![] };
-            if let Ok(reply) = link::hello(&link, &self.partition, ask, TIMEOUT).await {
+            if let Ok(reply) = link::hello(&link, &self.partition, ask, REPLY_TIMEOUT).await {
                 let same = reply.replica.is_some_and(|r| r.id == member.id);
                 if !same || reply.started {
                     return;
@@ -202,9 +202,9 @@
                     to: member.id,
                     group: Some(self.group.clone()),
                 };
-                let _ = link::found(&link, &self.partition, ask, TIMEOUT).await;
+                let _ = link::found(&link, &self.partition, ask, REPLY_TIMEOUT).await;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ROUND_INTERVAL).await;
         }
     }
 }
--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -1,4 +1,4 @@
-//! A whole group in one process, on free loopback ports, for tests and trials.
+//! A group of replicas in one process, on free loopback ports, for tests and benchmarks.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,14 +13,14 @@
 use crate::server::bind;
 use crate::settings::Settings;
 
-/// Failure domains of a local group, in turn.
+/// Failure domains, assigned to the replicas in turn.
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
 
-/// Settings for `count` replicas with folders below `data`, in three failure domains.
+/// Settings for `count` replicas with data folders below `data`, in three failure domains.
 ///
 /// # Errors
 ///
-/// Never with the names that are built in.
+/// Never fails, as the names are constant and valid.
 pub fn local(data: &Path, count: usize) -> Result<Vec<Settings>, base::name::NameError> {
     (0..count)
         .map(|i| {
@@ -34,30 +34,30 @@
         .collect()
 }
 
-/// Starts the replicas as one founding group.
+/// Starts the replicas as a founding group.
 ///
-/// The settings get the bound addresses, so that a replica can be started
-/// again with them.
+/// Writes the bound addresses to the settings, so that a replica can be restarted with
+/// them.
 ///
 /// # Errors
 ///
-/// Fails when one of them can't start.
+/// Fails when one of the replicas cannot start.
 pub async fn start(settings: &mut [Settings], log: &Logger) -> Result<Vec<Control>, ControlError> {
     let mut bound: Vec<Bound> = Vec::new();
-    for one in settings.iter() {
-        bound.push(bind(one).await?);
+    for replica_settings in settings.iter() {
+        bound.push(bind(replica_settings).await?);
     }
     let initial: Vec<SocketAddr> = bound.iter().map(Bound::replica).collect();
     let mut replicas = Vec::new();
-    for (one, bound) in settings.iter_mut().zip(bound) {
-        one.rpc = bound.rpc();
-        one.replica.listen = bound.replica();
-        one.replica.address = bound.replica();
-        one.replica.initial.clone_from(&initial);
-        let disk = Folder::open(&one.data)?;
+    for (replica_settings, bound) in settings.iter_mut().zip(bound) {
+        replica_settings.rpc = bound.rpc();
+        replica_settings.replica.listen = bound.replica();
+        replica_settings.replica.address = bound.replica();
+        replica_settings.replica.initial.clone_from(&initial);
+        let disk = Folder::open(&replica_settings.data)?;
         replicas.push(
             bound
-                .start(one.clone(), Box::new(disk), log.clone())
+                .start(replica_settings.clone(), Box::new(disk), log.clone())
                 .await?,
         );
     }
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -1,4 +1,4 @@
-//! A running replica, and how it stops.
+//! A running replica and its shutdown.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,33 +14,33 @@
 
 use crate::driver::DriverError;
 use crate::error::ControlError;
-use crate::input::Driver;
+use crate::input::DriverHandle;
 use crate::input::Input;
 use crate::local_client::LocalClient;
 use crate::partition::Partition;
 use crate::settings::Settings;
 
-/// Between two looks at who leads during a stop.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Interval at which the leader is checked during a graceful stop.
+const TRANSFER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// When to stop accepting, and when to close what was accepted.
+/// Cancellation tokens of the two listeners and their connections.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Ends {
-    /// Take no new connection.
-    pub(crate) accept: CancellationToken,
-    /// Close all connections.
-    pub(crate) serve: CancellationToken,
+pub(crate) struct ShutdownTokens {
+    /// Stops accepting connections.
+    pub(crate) stop_accepting: CancellationToken,
+    /// Closes all connections.
+    pub(crate) close_connections: CancellationToken,
 }
 
-impl Ends {
-    /// The connection's task, closed when all are.
-    pub(crate) fn bound<F>(&self, connection: F) -> impl Future<Output = ()> + use<F>
+impl ShutdownTokens {
+    /// Runs `connection` until it ends or all connections are closed.
+    pub(crate) fn run_until_closed<F>(&self, connection: F) -> impl Future<Output = ()> + use<F>
     where
         F: Future<Output = ()>,
     {
-        let end = self.serve.clone();
+        let closed = self.close_connections.clone();
         async move {
-            end.run_until_cancelled(connection).await;
+            closed.run_until_cancelled(connection).await;
         }
     }
 }
@@ -51,105 +51,106 @@
     pub(crate) rpc: SocketAddr,
     pub(crate) replica: SocketAddr,
     pub(crate) desk: LocalClient,
-    pub(crate) driver: Driver,
+    pub(crate) driver: DriverHandle,
     pub(crate) partition: Partition,
-    pub(crate) ends: Ends,
-    pub(crate) end: CancellationToken,
-    pub(crate) open: TaskTracker,
-    pub(crate) accepts: JoinSet<()>,
-    pub(crate) task: JoinHandle<Result<(), DriverError>>,
+    pub(crate) shutdown: ShutdownTokens,
+    pub(crate) driver_stop: CancellationToken,
+    pub(crate) open_requests: TaskTracker,
+    pub(crate) acceptors: JoinSet<()>,
+    pub(crate) driver_task: JoinHandle<Result<(), DriverError>>,
     pub(crate) founding: AbortOnDropHandle<()>,
     pub(crate) settings: Settings,
     pub(crate) log: Logger,
 }
 
 impl Control {
-    /// Minted with the data folder.
+    /// The id generated when the data folder was created.
     #[must_use]
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// Where directories, gateways and operators connect.
+    /// The address for directories, gateways and operators.
     #[must_use]
     pub fn rpc(&self) -> SocketAddr {
         self.rpc
     }
 
-    /// Where other replicas connect.
+    /// The address for other replicas.
     #[must_use]
     pub fn replica(&self) -> SocketAddr {
         self.replica
     }
 
-    /// Proposes and reads the route table.
+    /// The in-process client of this replica.
     #[must_use]
     pub fn local_client(&self) -> &LocalClient {
         &self.desk
     }
 
-    /// Where tests cut the links to the other replicas.
+    /// The simulated network partition, for tests.
     #[must_use]
     pub fn partition(&self) -> &Partition {
         &self.partition
     }
 
-    /// Waits until the replica stops by itself.
+    /// Waits until the replica stops on its own.
     ///
     /// # Errors
     ///
-    /// Fails with what stopped it.
+    /// Fails with the error that stopped the replica.
     pub async fn ended(&mut self) -> Result<(), ControlError> {
-        let result = (&mut self.task).await;
+        let result = (&mut self.driver_task).await;
         self.close().await;
         result?.map_err(ControlError::from)
     }
 
-    /// Hands leadership over, answers what is open, and stops.
+    /// Transfers leadership, answers open requests, and stops. Each of the two steps is
+    /// limited by the `stop` timeout.
     pub async fn stop(mut self) {
-        self.ends.accept.cancel();
-        let limit = self.settings.timing.stop;
-        let _ = tokio::time::timeout(limit, self.hand_over()).await;
-        self.open.close();
-        let _ = tokio::time::timeout(limit, self.open.wait()).await;
+        self.shutdown.stop_accepting.cancel();
+        let timeout = self.settings.timing.stop;
+        let _ = tokio::time::timeout(timeout, self.transfer_leadership()).await;
+        self.open_requests.close();
+        let _ = tokio::time::timeout(timeout, self.open_requests.wait()).await;
         self.kill().await;
         info!(self.log, "stopped"; "id" => self.id);
     }
 
-    /// Stops at once, as a crash would, but for what the disk does.
+    /// Stops at once like a crash of the process; completed disk writes are kept.
     pub async fn kill(&mut self) {
         self.close().await;
-        let _ = (&mut self.task).await;
+        let _ = (&mut self.driver_task).await;
     }
 
-    /// Asks again and again, as the chosen successor may be stopping, too.
-    async fn hand_over(&self) {
+    /// Repeats the transfer until it succeeds, as the chosen successor may be stopping, too.
+    async fn transfer_leadership(&self) {
         loop {
-            self.driver.tell(Input::Transfer);
+            self.driver.notify(Input::Transfer);
             let status = self.driver.call(Input::Status).await;
             if !status.is_ok_and(|s| s.role() == Role::Leader && s.replicas.len() > 1) {
                 return;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(TRANSFER_POLL_INTERVAL).await;
         }
     }
 
-    /// Ends everything, and waits until the ports are free again.
+    /// Cancels all tasks and waits until the ports are released.
     async fn close(&mut self) {
-        self.cancel();
-        while self.accepts.join_next().await.is_some() {}
+        self.cancel_all();
+        while self.acceptors.join_next().await.is_some() {}
     }
 
-    fn cancel(&self) {
-        self.ends.accept.cancel();
-        self.ends.serve.cancel();
-        self.end.cancel();
+    fn cancel_all(&self) {
+        self.shutdown.stop_accepting.cancel();
+        self.shutdown.close_connections.cancel();
+        self.driver_stop.cancel();
         self.founding.abort();
     }
 }
 
 impl Drop for Control {
     fn drop(&mut self) {
-        self.cancel();
+        self.cancel_all();
     }
 }
--- a/crates/control/src/input.rs
+++ b/crates/control/src/input.rs
@@ -1,4 +1,4 @@
-//! What the driver is asked, and the handle to ask it.
+//! Inputs of the driver task, and the handle that sends them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,38 +21,38 @@
 use wire::replica::Ask;
 use wire::replica::AskReply;
 
-/// Inputs that wait for the driver.
-pub const QUEUE: usize = 16_384;
+/// Maximum number of inputs queued for the driver.
+pub const QUEUE_CAPACITY: usize = 16_384;
 
-/// Pause before a quorum is asked again; well below the time that an answer may take.
-const PAUSE: Duration = Duration::from_millis(25);
+/// Delay before a quorum is asked again; well below the time within which it has to answer.
+const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
-/// What this replica has applied, for readers.
+/// The state applied by this replica, for readers.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// It in its wire form, shared by all answers.
+    /// The catalogue in its wire form, shared by all replies.
     pub catalogue: Arc<Catalogue>,
-    /// The route table; version 0 before the first.
+    /// The route table; its version is 0 until the first one is applied.
     pub table: Arc<Table>,
-    /// The announced upstreams.
+    /// The announced upstream instances.
     pub registry: Arc<Registry>,
-    /// The failure domains to which nothing is sent.
+    /// The evacuated failure domains.
     pub evacuations: Arc<Domains>,
-    /// The log's index up to which the announcements are applied.
+    /// Log index up to which `registry` is applied.
     pub announced: u64,
-    /// Snapshots that were installed: each numbers the changes of the registry anew.
+    /// Number of snapshots installed; each one restarts the numbering of registry changes.
     pub snapshots: u64,
-    /// A leader was known since the replica started.
-    pub led: bool,
+    /// Whether a leader was known at any time since the replica started.
+    pub leader_seen: bool,
 }
 
 quick_error! {
-    /// Why the driver gave no answer.
+    /// Why the driver did not answer.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    pub enum InputError {
-        /// Its queue is full; nothing was done.
+    pub enum CallError {
+        /// Its queue is full; the input was not processed.
         Busy {
-            display("the replica is busy")
+            display("the input queue of the replica is full")
         }
         /// It has stopped.
         Stopped {
@@ -61,76 +61,77 @@
     }
 }
 
-/// One question or event.
+/// An input of the driver.
 #[derive(Debug)]
 pub enum Input {
-    /// Messages of one replica, and where it is reached.
+    /// Consensus messages from a replica, with its address.
     Messages(ReplicaId, SocketAddr, Vec<Message>),
-    /// Do a request as the leader.
+    /// Process a request as the leader.
     Ask(Ask, oneshot::Sender<AskReply>),
-    /// Confirm through a quorum that what is applied is current.
+    /// Confirm through a quorum that the applied state is current.
     Read(oneshot::Sender<bool>),
-    /// Say how it stands.
+    /// Report the status of the replica.
     Status(oneshot::Sender<Status>),
     /// List accepted changes.
     History(HistoryQuery, oneshot::Sender<History>),
-    /// Take the founding group.
+    /// Accept the founding group.
     Found(Config, oneshot::Sender<bool>),
-    /// There is a group without this replica: take messages of whoever adds it.
+    /// Stop waiting for a founding group, as one exists without this replica, and accept
+    /// messages from the leader that adds it.
     Join,
-    /// Hand leadership over.
+    /// Transfer leadership to another replica.
     Transfer,
 }
 
-/// Asks the driver.
+/// Sends inputs to the driver.
 #[derive(Clone, Debug)]
-pub struct Driver {
+pub struct DriverHandle {
     inbox: mpsc::Sender<Input>,
 }
 
-impl Driver {
-    /// A handle, and the queue for the driver.
+impl DriverHandle {
+    /// Creates a handle and the queue that the driver reads.
     #[must_use]
     pub fn new() -> (Self, mpsc::Receiver<Input>) {
-        let (inbox, queue) = mpsc::channel(QUEUE);
-        (Self { inbox }, queue)
+        let (inbox, inputs) = mpsc::channel(QUEUE_CAPACITY);
+        (Self { inbox }, inputs)
     }
 
-    /// Passes messages on, or drops them when the driver is busy.
-    pub fn messages(&self, from: ReplicaId, address: SocketAddr, messages: Vec<Message>) {
-        self.tell(Input::Messages(from, address, messages));
+    /// Forwards messages, or drops them when the queue is full.
+    pub fn forward(&self, from: ReplicaId, address: SocketAddr, messages: Vec<Message>) {
+        self.notify(Input::Messages(from, address, messages));
     }
 
-    /// Tells the driver something that has no answer.
-    pub fn tell(&self, input: Input) {
+    /// Sends an input without waiting for a reply; dropped when the queue is full.
+    pub fn notify(&self, input: Input) {
         let _ = self.inbox.try_send(input);
     }
 
-    /// Asks and waits for the answer.
+    /// Sends an input and waits for the reply.
     ///
     /// # Errors
     ///
-    /// Fails when the driver is busy or has stopped.
+    /// Fails when the queue is full or the driver has stopped.
     pub async fn call<T>(
         &self,
         input: impl FnOnce(oneshot::Sender<T>) -> Input,
-    ) -> Result<T, InputError> {
+    ) -> Result<T, CallError> {
         let (reply, answer) = oneshot::channel();
         self.inbox.try_send(input(reply)).map_err(|err| match err {
-            mpsc::error::TrySendError::Full(_) => InputError::Busy,
-            mpsc::error::TrySendError::Closed(_) => InputError::Stopped,
+            mpsc::error::TrySendError::Full(_) => CallError::Busy,
+            mpsc::error::TrySendError::Closed(_) => CallError::Stopped,
         })?;
-        answer.await.map_err(|_| InputError::Stopped)
+        answer.await.map_err(|_| CallError::Stopped)
     }
 
-    /// Waits until a quorum has confirmed, after the call, that what is applied here
-    /// is current; false once `end` has come.
-    pub async fn confirm(&self, end: Instant) -> bool {
-        let tries = async {
+    /// Waits until a quorum has confirmed, after the call, that the applied state is
+    /// current. Returns false when `deadline` passes first.
+    pub async fn confirm(&self, deadline: Instant) -> bool {
+        let attempts = async {
             while self.call(Input::Read).await != Ok(true) {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_INTERVAL).await;
             }
         };
-        tokio::time::timeout_at(end, tries).await.is_ok()
+        tokio::time::timeout_at(deadline, attempts).await.is_ok()
     }
 }
--- a/crates/control/src/joining.rs
+++ b/crates/control/src/joining.rs
@@ -1,7 +1,7 @@
-//! How a replica without a group is taken into one, without an operator.
+//! Automatic joining of a group.
 //!
-//! It runs for the replica's whole life: one that was let go while it was cut
-//! off or frozen asks again when it is back.
+//! The task runs as long as the replica does: a replica that was removed while it was
+//! partitioned or suspended asks to join again once it is back.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,88 +18,88 @@
 use wire::replica::ask;
 use wire::replica::ask_reply::Kind;
 
-use crate::input::Driver;
+use crate::input::DriverHandle;
 use crate::input::Input;
 use crate::link;
 use crate::partition::Partition;
 use crate::replica::Identity;
 
-/// How long another replica may take to answer.
-const TIMEOUT: Duration = Duration::from_millis(500);
-/// Between two looks.
-const PAUSE: Duration = Duration::from_millis(200);
-/// A voter that has known no leader for so long asks whether it was let go.
-const LEADERLESS: Duration = Duration::from_secs(2);
+/// Time limit for the reply of another replica.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval between checks of this replica's membership.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Time without a known leader after which a voter asks other replicas whether it was removed.
+const LEADER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The task that asks to be taken in whenever the replica is no voter.
+/// The task that asks to join the group whenever the replica is not a voter.
 pub struct Joiner {
-    /// Who this replica is.
+    /// The identity of this replica.
     pub identity: Arc<Identity>,
-    /// Replicas that may know the group.
+    /// Addresses of replicas that may know the group.
     pub seeds: Vec<SocketAddr>,
-    /// The task that decides.
-    pub driver: Driver,
-    /// Where tests cut the links.
+    /// Handle of the driver task.
+    pub driver: DriverHandle,
+    /// Simulated network partition, for tests.
     pub partition: Partition,
-    /// The log.
+    /// Logger.
     pub log: Logger,
 }
 
 impl Joiner {
-    /// Never ends by itself.
+    /// Runs until dropped.
     pub async fn run(self) {
-        let mut led = Instant::now();
+        let mut leader_seen_at = Instant::now();
         loop {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             let status = self.driver.call(Input::Status).await.unwrap_or_default();
-            let voter = self.votes_in(&status.replicas);
-            if voter && status.leader != 0 {
-                led = Instant::now();
+            let is_voter = self.is_voter_in(&status.replicas);
+            if is_voter && status.leader != 0 {
+                leader_seen_at = Instant::now();
             }
-            if !voter || led.elapsed() >= LEADERLESS {
-                self.ask_around(&status).await;
+            if !is_voter || leader_seen_at.elapsed() >= LEADER_TIMEOUT {
+                self.request_join(&status).await;
             }
         }
     }
 
-    fn votes_in(&self, group: &[Replica]) -> bool {
-        let own = |r: &Replica| r.id == self.identity.id && r.voter;
-        group.iter().any(own)
+    fn is_voter_in(&self, group: &[Replica]) -> bool {
+        let is_self = |r: &Replica| r.id == self.identity.id && r.voter;
+        group.iter().any(is_self)
     }
 
-    /// Asks every replica that it knows of until one does something about it.
-    async fn ask_around(&self, status: &Status) {
-        let known = status
+    /// Asks the seeds and known members in turn until one of them handles the request.
+    async fn request_join(&self, status: &Status) {
+        let members = status
             .replicas
             .iter()
             .filter_map(|r| r.address.parse().ok());
-        let others: BTreeSet<SocketAddr> = self.seeds.iter().copied().chain(known).collect();
-        for address in others {
-            if address != self.identity.address && self.ask_at(address).await {
+        let addresses: BTreeSet<SocketAddr> = self.seeds.iter().copied().chain(members).collect();
+        for address in addresses {
+            if address != self.identity.address && self.request_join_at(address).await {
                 return;
             }
         }
     }
 
-    /// Whether the group at `address` counts on this replica, or works on it now.
-    async fn ask_at(&self, address: SocketAddr) -> bool {
+    /// Whether the group at `address` has this replica as a voter or is now adding it.
+    async fn request_join_at(&self, address: SocketAddr) -> bool {
         let link = link::replica(address);
         let hello = Hello { initial: vec![] };
-        let reply = link::hello(&link, &self.partition, hello, TIMEOUT).await;
+        let reply = link::hello(&link, &self.partition, hello, REPLY_TIMEOUT).await;
         let group = reply.map(|reply| reply.group).unwrap_or_default();
         if group.is_empty() {
             return false;
         }
-        if self.votes_in(&group) {
+        if self.is_voter_in(&group) {
             return true;
         }
-        self.ask_leader(address).await
+        self.forward_to_leader(address).await
     }
 
-    async fn ask_leader(&self, address: SocketAddr) -> bool {
-        match self.ask(address).await {
+    async fn forward_to_leader(&self, address: SocketAddr) -> bool {
+        match self.send_join(address).await {
             Some(Kind::Declined(declined)) => match declined.address.parse() {
-                Ok(leader) => matches!(self.ask(leader).await, Some(Kind::Membership(_))),
+                Ok(leader) => matches!(self.send_join(leader).await, Some(Kind::Membership(_))),
                 Err(_) => false,
             },
             Some(Kind::Membership(_)) => true,
@@ -107,12 +107,14 @@
         }
     }
 
-    async fn ask(&self, address: SocketAddr) -> Option<Kind> {
+    async fn send_join(&self, address: SocketAddr) -> Option<Kind> {
         let link = link::replica(address);
         let ask = Ask {
             kind: Some(ask::Kind::Join(self.identity.to_wire(true))),
         };
-        let reply = link::ask(&link, &self.partition, ask, TIMEOUT).await.ok()?;
+        let reply = link::ask(&link, &self.partition, ask, REPLY_TIMEOUT)
+            .await
+            .ok()?;
         info!(self.log, "joining"; "asked" => %address, "answer" => format!("{:?}", reply.kind));
         reply.kind
     }
--- a/crates/control/src/leader_client.rs
+++ b/crates/control/src/leader_client.rs
@@ -1,4 +1,4 @@
-//! Brings a request to the leader, wherever that is, and tries again until it is answered.
+//! Sends requests to the leader of the group, with retries.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,43 +14,43 @@
 use wire::replica::Declined;
 use wire::replica::ask_reply::Kind;
 
-use crate::input::Driver;
+use crate::input::DriverHandle;
 use crate::input::Input;
 use crate::link;
 use crate::link::ReplicaLink;
 use crate::partition::Partition;
 use crate::settings::Timing;
 
-/// Pause before a request is tried again.
-const PAUSE: Duration = Duration::from_millis(25);
-/// Links kept; they are few, as a group has few leaders.
+/// Delay between attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(25);
+/// Maximum number of cached links; all are dropped when it is reached.
 const MAX_LINKS: usize = 32;
 
 quick_error! {
-    /// Why a request has no answer.
+    /// Why a request failed.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum AskError {
-        /// Time ran out; it may be done all the same.
+    pub enum LeaderError {
+        /// The timeout has passed; the request may still take effect.
         Timeout {
             display("no leader answered in time")
         }
     }
 }
 
-/// Asks the leader. Every request may be repeated: the state machines give a
-/// repeated one its first answer.
+/// Client of the group's leader. Requests are safe to repeat, as the state machine
+/// answers a repeated request as it answered the first one.
 #[derive(Clone)]
 pub struct LeaderClient {
-    driver: Driver,
+    driver: DriverHandle,
     partition: Partition,
     timing: Timing,
     links: Arc<Mutex<HashMap<SocketAddr, Arc<ReplicaLink>>>>,
 }
 
 impl LeaderClient {
-    /// Asks by way of this replica's own driver first.
+    /// Creates a client that tries this replica's own driver first.
     #[must_use]
-    pub fn new(driver: Driver, partition: Partition, timing: Timing) -> Self {
+    pub fn new(driver: DriverHandle, partition: Partition, timing: Timing) -> Self {
         Self {
             driver,
             partition,
@@ -59,55 +59,57 @@
         }
     }
 
-    /// The leader's answer.
+    /// Sends a request and returns the leader's answer.
     ///
     /// # Errors
     ///
-    /// Fails when none came in time.
-    pub async fn ask(&self, ask: &Ask) -> Result<Kind, AskError> {
-        let end = Instant::now() + self.timing.ask;
-        let tries = self.try_often(ask, end);
-        tokio::time::timeout_at(end, tries)
+    /// Fails when there is no answer within the `ask` timeout.
+    pub async fn request(&self, ask: &Ask) -> Result<Kind, LeaderError> {
+        let deadline = Instant::now() + self.timing.ask;
+        let attempts = self.retry_until_answered(ask, deadline);
+        tokio::time::timeout_at(deadline, attempts)
             .await
-            .map_err(|_| AskError::Timeout)
+            .map_err(|_| LeaderError::Timeout)
     }
 
-    async fn try_often(&self, ask: &Ask, end: Instant) -> Kind {
+    async fn retry_until_answered(&self, ask: &Ask, deadline: Instant) -> Kind {
         let mut leader = None;
         loop {
             let kind = match leader {
-                None => self.ask_own(ask).await,
-                Some(address) => self.ask_other(ask, address, end).await,
+                None => self.ask_local(ask).await,
+                Some(address) => self.ask_remote(ask, address, deadline).await,
             };
             match kind {
                 Some(Kind::Declined(declined)) => {
-                    let own = leader.is_none();
-                    leader = address(&declined).filter(|_| own);
+                    let asked_locally = leader.is_none();
+                    leader = address(&declined).filter(|_| asked_locally);
                     if leader.is_none() {
-                        tokio::time::sleep(PAUSE).await;
+                        tokio::time::sleep(RETRY_DELAY).await;
                     }
                 }
                 Some(kind) => return kind,
                 None => {
                     leader = None;
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    async fn ask_own(&self, ask: &Ask) -> Option<Kind> {
+    async fn ask_local(&self, ask: &Ask) -> Option<Kind> {
         let ask = ask.clone();
         let reply = self.driver.call(|r| Input::Ask(ask, r)).await;
         reply.ok().and_then(|reply| reply.kind)
     }
 
-    /// One try is short, as a leader that doesn't answer may be cut off.
-    async fn ask_other(&self, ask: &Ask, address: SocketAddr, end: Instant) -> Option<Kind> {
-        let left = end.saturating_duration_since(Instant::now());
-        let span = left.min(self.timing.election * 2);
+    /// Limits each attempt to two election timeouts, as a leader that does not answer may
+    /// be partitioned.
+    async fn ask_remote(&self, ask: &Ask, address: SocketAddr, deadline: Instant) -> Option<Kind> {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let timeout = remaining.min(self.timing.election * 2);
         let link = self.link(address);
-        let reply: Result<AskReply, _> = link::ask(&link, &self.partition, ask.clone(), span).await;
+        let reply: Result<AskReply, _> =
+            link::ask(&link, &self.partition, ask.clone(), timeout).await;
         reply.ok().and_then(|reply| reply.kind)
     }
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,10 +1,9 @@
-//! A control replica: the catalogue and the at-most-once ledger, replicated.
+//! A control replica, which replicates the catalogue and the at-most-once ledger.
 //!
-//! One task owns the replicated log and the applied state ([`driver`]), one
-//! thread the data folder ([`writer`]). Other replicas are reached through
-//! bounded queues ([`peers`]); directories, gateways and operators through
-//! [`control`]. How a group comes to be on its very first start stands in
-//! [`founding`].
+//! The [`driver`] task owns the replicated log and the [`state_machine`]; the [`writer`]
+//! thread owns the data folder. Messages to other replicas go through bounded queues
+//! ([`peers`]). [`control`] serves directories, gateways and operators. [`founding`]
+//! bootstraps a new group, and [`joining`] adds replicas to an existing one.
 
 pub mod control;
 pub mod convert;
--- a/crates/control/src/link.rs
+++ b/crates/control/src/link.rs
@@ -1,4 +1,4 @@
-//! Clients of other replicas.
+//! Requests to other replicas.
 
 use std::time::Duration;
 
@@ -16,69 +16,69 @@
 
 use crate::partition::Partition;
 
-/// Asks who is at an address.
+/// Asks a replica for its identity.
 ///
 /// # Errors
 ///
-/// Fails when there is no answer in time.
+/// Fails when there is no answer within `timeout`.
 pub async fn hello(
     link: &ReplicaLink,
     partition: &Partition,
     ask: Hello,
-    span: Duration,
+    timeout: Duration,
 ) -> Result<HelloReply, LinkError> {
-    let once = |client: ReplicaApiClient| async move { client.hello(within(span), ask).await };
-    call(link, partition, span, once).await
+    let send = |client: ReplicaApiClient| async move { client.hello(within(timeout), ask).await };
+    call(link, partition, timeout, send).await
 }
 
-/// Hands over the founding group.
+/// Sends the founding group.
 ///
 /// # Errors
 ///
-/// Fails when there is no answer in time.
+/// Fails when there is no answer within `timeout`.
 pub async fn found(
     link: &ReplicaLink,
     partition: &Partition,
     ask: Found,
-    span: Duration,
+    timeout: Duration,
 ) -> Result<bool, LinkError> {
-    let once = |client: ReplicaApiClient| async move { client.found(within(span), ask).await };
-    call(link, partition, span, once)
+    let send = |client: ReplicaApiClient| async move { client.found(within(timeout), ask).await };
+    call(link, partition, timeout, send)
         .await
         .map(|reply| reply.taken)
 }
 
-/// Passes a request on.
+/// Forwards a request.
 ///
 /// # Errors
 ///
-/// Fails when there is no answer in time; it may be done all the same.
+/// Fails when there is no answer within `timeout`; the request may still take effect.
 pub async fn ask(
     link: &ReplicaLink,
     partition: &Partition,
     ask: Ask,
-    span: Duration,
+    timeout: Duration,
 ) -> Result<AskReply, LinkError> {
-    let once = |client: ReplicaApiClient| async move { client.ask(within(span), ask).await };
-    call(link, partition, span, once).await
+    let send = |client: ReplicaApiClient| async move { client.ask(within(timeout), ask).await };
+    call(link, partition, timeout, send).await
 }
 
 async fn call<T, F>(
     link: &ReplicaLink,
     partition: &Partition,
-    span: Duration,
-    once: impl FnOnce(ReplicaApiClient) -> F,
+    timeout: Duration,
+    send: impl FnOnce(ReplicaApiClient) -> F,
 ) -> Result<T, LinkError>
 where
     F: Future<Output = Result<T, RpcError>>,
 {
-    let call = async {
-        partition.pass().await;
+    let attempt = async {
+        partition.block_if_active().await;
         let client = link.client().await?;
-        link.judge(once(client).await)
+        link.judge(send(client).await)
     };
-    let timeout = |_| Err(LinkError::Timeout(link.address(), span));
-    tokio::time::timeout(span, call)
+    let timed_out = |_| Err(LinkError::Timeout(link.address(), timeout));
+    tokio::time::timeout(timeout, attempt)
         .await
-        .unwrap_or_else(timeout)
+        .unwrap_or_else(timed_out)
 }
--- a/crates/control/src/local_client.rs
+++ b/crates/control/src/local_client.rs
@@ -1,5 +1,5 @@
-//! The route table, the announced upstreams and the evacuations, for whoever runs in the
-//! replica's process.
+//! In-process client of a replica, for its route table, announced instances and
+//! evacuations.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,15 +19,15 @@
 use wire::replica::ask_reply::Kind;
 
 use crate::control::ControlServer;
-use crate::input::Driver;
+use crate::input::DriverHandle;
 use crate::input::Input;
 use crate::input::View;
 use crate::leader_client::LeaderClient;
 
-/// Proposes and reads the route table, announcements and evacuations.
+/// Proposes and reads the route table, instance announcements and evacuations.
 #[derive(Clone)]
 pub struct LocalClient {
-    driver: Driver,
+    driver: DriverHandle,
     leader_client: LeaderClient,
     views: watch::Receiver<View>,
 }
@@ -41,30 +41,34 @@
         }
     }
 
-    /// Proposes a table; none when no majority took it in time, and it may yet be taken.
+    /// Proposes a route table. Returns `None` when no majority accepted it in time; it may
+    /// still be accepted later.
     pub async fn put(&self, table: Table) -> Option<TableReply> {
         let ask = Ask {
             kind: Some(ask::Kind::Table(table)),
         };
-        match self.leader_client.ask(&ask).await {
+        match self.leader_client.request(&ask).await {
             Ok(Kind::Table(reply)) => Some(reply),
             Ok(_) | Err(_) => None,
         }
     }
 
-    /// Puts an announcement into the log; false when no majority took it in time.
+    /// Proposes an instance announcement. Returns false when no majority accepted it in time.
     pub async fn register(&self, instance: Instance) -> bool {
         let ask = Ask {
             kind: Some(ask::Kind::Instance(instance)),
         };
-        matches!(self.leader_client.ask(&ask).await, Ok(Kind::Instance(_)))
+        matches!(
+            self.leader_client.request(&ask).await,
+            Ok(Kind::Instance(_))
+        )
     }
 
-    /// Asks that nothing be sent to the upstreams of `domain`, or takes that back; none
-    /// when no majority took it in time, and it may yet be taken while no other order is.
+    /// Starts the evacuation of `domain`, or ends it. Returns `None` when no majority
+    /// accepted the order in time; it may still be accepted until another order is.
     ///
-    /// What is in force is confirmed first, within `limit`: an order made from an older
-    /// state would count as overtaken.
+    /// Confirms the current evacuations first, within `limit`, as an order based on an older
+    /// revision is rejected.
     pub async fn evacuate(
         &self,
         domain: &DomainName,
@@ -75,58 +79,59 @@
         let ask = Ask {
             kind: Some(ask::Kind::Evacuation(order)),
         };
-        match self.leader_client.ask(&ask).await {
+        match self.leader_client.request(&ask).await {
             Ok(Kind::Evacuation(reply)) => Some(reply.outcome()),
             Ok(_) | Err(_) => None,
         }
     }
 
-    /// The evacuations, confirmed by a majority after the call began; none when that
-    /// takes longer than `limit`.
+    /// The current evacuations, confirmed by a majority after the call began. Returns `None`
+    /// when the confirmation takes longer than `limit`.
     pub async fn evacuations(&self, limit: Duration) -> Option<Arc<Domains>> {
         let confirmed = self.driver.confirm(Instant::now() + limit).await;
         confirmed.then(|| Arc::clone(&self.views.borrow().evacuations))
     }
 
-    /// The announced upstreams as applied by this replica.
+    /// The announced upstream instances as applied by this replica.
     #[must_use]
     pub fn registry(&self) -> Arc<Registry> {
         Arc::clone(&self.views.borrow().registry)
     }
 
-    /// The newest table, confirmed by a majority after the call began; none when
-    /// that takes longer than `limit`.
+    /// The current route table, confirmed by a majority after the call began. Returns `None`
+    /// when the confirmation takes longer than `limit`.
     pub async fn read(&self, limit: Duration) -> Option<Arc<Table>> {
         let confirmed = self.driver.confirm(Instant::now() + limit).await;
         confirmed.then(|| self.applied())
     }
 
-    /// The table as applied by this replica, which others may have overtaken.
+    /// The route table as applied by this replica, which may be behind others.
     #[must_use]
     pub fn applied(&self) -> Arc<Table> {
         Arc::clone(&self.views.borrow().table)
     }
 
-    /// The evacuations as applied by this replica, which others may have overtaken.
+    /// The evacuations as applied by this replica, which may be behind others.
     #[must_use]
     pub fn evacuated(&self) -> Arc<Domains> {
         Arc::clone(&self.views.borrow().evacuations)
     }
 
-    /// Whether a leader was known since this replica started. Before, what is applied
-    /// comes from its own disk: all of it was committed, and others may have more.
+    /// Whether a leader was known at any time since this replica started. Until then the
+    /// applied state comes from its own disk: it was committed, but may be behind others.
     #[must_use]
     pub fn has_seen_leader(&self) -> bool {
-        self.views.borrow().led
+        self.views.borrow().leader_seen
     }
 
-    /// Tells when more is applied.
+    /// Receives the applied state whenever it changes.
     #[must_use]
     pub fn views(&self) -> watch::Receiver<View> {
         self.views.clone()
     }
 
-    /// The replicas of the group, as this one knows them.
+    /// The replicas of the group as known to this replica; empty when the driver does not
+    /// answer.
     pub async fn replicas(&self) -> Vec<Replica> {
         let status = self.driver.call(Input::Status).await;
         status.map(|status| status.replicas).unwrap_or_default()
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -1,4 +1,4 @@
-//! `rwr-control`: a replica of the catalogue and the at-most-once ledger, as a process.
+//! `rwr-control`: the control replica process.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
 impl Daemon for ControlDaemon {
     const NAME: &'static str = "rwr-control";
     const VERSION: &'static str = env!("CARGO_PKG_VERSION");
-    const SUMMARY: &'static str = "Keeps a replica of the catalogue and the at-most-once ledger.";
+    const SUMMARY: &'static str = "Runs a replica of the catalogue and the at-most-once ledger.";
     type Settings = Settings;
     type Error = ControlError;
 
--- a/crates/control/src/partition.rs
+++ b/crates/control/src/partition.rs
@@ -1,10 +1,10 @@
-//! A switch in the links between replicas, for tests of silent cuts.
+//! A simulated network partition between replicas, for tests.
 
 use std::sync::Arc;
 
 use tokio::sync::watch;
 
-/// While it is cut, frames in both directions vanish and no side gets an error.
+/// While it is active, frames in both directions are dropped without an error.
 #[derive(Clone, Debug)]
 pub struct Partition {
     cut: Arc<watch::Sender<bool>>,
@@ -19,19 +19,19 @@
 }
 
 impl Partition {
-    /// Cuts the links, or joins them again.
+    /// Starts or ends the partition.
     pub fn set(&self, cut: bool) {
         self.cut.send_replace(cut);
     }
 
-    /// Whether frames vanish.
+    /// Whether frames are dropped.
     #[must_use]
     pub fn is_active(&self) -> bool {
         *self.cut.borrow()
     }
 
-    /// Never returns to a call that met a cut, as its frame has vanished.
-    pub async fn pass(&self) {
+    /// Never returns when called while the partition is active, as the frame is dropped.
+    pub async fn block_if_active(&self) {
         if self.is_active() {
             std::future::pending::<()>().await;
         }
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages to the other replicas: a bounded queue and a task for each.
+//! Sends consensus messages to the other replicas, with a bounded queue and a task per peer.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,18 +23,18 @@
 use crate::link::ReplicaLink;
 use crate::partition::Partition;
 
-/// Messages that wait for one peer; more are dropped, as the network may.
-const QUEUE: usize = 1024;
-/// Bytes after which an envelope is closed.
-const ENVELOPE: usize = 1024 * 1024;
-/// Envelopes on the way to one peer.
-const WINDOW: usize = 4;
-/// How long an envelope may take to be received.
-const STEP_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a failed connection.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Replicas outside of the group whose addresses are remembered.
-const STRANGERS: usize = 16;
+/// Maximum number of messages queued for one peer; further ones are dropped.
+const QUEUE_CAPACITY: usize = 1024;
+/// Size in bytes at which an envelope takes no further messages.
+const MAX_ENVELOPE_BYTES: usize = 1024 * 1024;
+/// Maximum number of unacknowledged envelopes per peer.
+const MAX_IN_FLIGHT: usize = 4;
+/// Time limit for the acknowledgement of an envelope.
+const DELIVERY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay after a failed delivery.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Maximum number of connected replicas outside of the group.
+const MAX_NON_MEMBERS: usize = 16;
 
 struct Peer {
     address: SocketAddr,
@@ -42,61 +42,62 @@
     _task: AbortOnDropHandle<()>,
 }
 
-/// All other replicas that are known.
+/// Connections to the other replicas.
 pub struct Peers {
-    own: ReplicaId,
+    own_id: ReplicaId,
     address: SocketAddr,
     partition: Partition,
     metrics: Arc<StatsdClient>,
-    known: HashMap<ReplicaId, Peer>,
+    connections: HashMap<ReplicaId, Peer>,
     members: Vec<ReplicaId>,
 }
 
 impl Peers {
-    /// None yet; `address` is where the others reach this replica.
+    /// Creates an empty set; `address` is the address of this replica for the others.
     #[must_use]
     pub fn new(
-        own: ReplicaId,
+        own_id: ReplicaId,
         address: SocketAddr,
         partition: Partition,
         metrics: Arc<StatsdClient>,
     ) -> Self {
         Self {
-            own,
+            own_id,
             address,
             partition,
             metrics,
-            known: HashMap::new(),
+            connections: HashMap::new(),
             members: Vec::new(),
         }
     }
 
-    /// Takes the group's addresses and forgets replicas that left it.
+    /// Connects to the members of the group and disconnects all other replicas.
     pub fn set_group(&mut self, config: &Config) {
         self.members = config.members().map(|m| m.id).collect();
-        self.known.retain(|id, _| config.member(*id).is_some());
+        self.connections
+            .retain(|id, _| config.member(*id).is_some());
         for member in config.members() {
             self.connect(member.id, member.address);
         }
     }
 
-    /// Notes where a sender is reached that the group doesn't name.
-    pub fn note(&mut self, id: ReplicaId, address: SocketAddr) {
-        let strangers = self.known.len().saturating_sub(self.members.len());
-        if !self.members.contains(&id) && strangers < STRANGERS {
+    /// Connects to a sender that is not a member of the known group.
+    pub fn learn_address(&mut self, id: ReplicaId, address: SocketAddr) {
+        let non_members = self.connections.len().saturating_sub(self.members.len());
+        if !self.members.contains(&id) && non_members < MAX_NON_MEMBERS {
             self.connect(id, address);
         }
     }
 
-    /// Where a replica is reached.
+    /// The address of a connected replica.
     #[must_use]
     pub fn address(&self, id: ReplicaId) -> Option<SocketAddr> {
-        self.known.get(&id).map(|peer| peer.address)
+        self.connections.get(&id).map(|peer| peer.address)
     }
 
-    /// Sends, or drops when the peer is unknown or its queue is full.
+    /// Queues a message, or drops it when the peer is unknown or its queue is full.
     pub fn send(&self, message: Message) {
-        let peer = self.known.get(&message.to);
+        let peer = self.connections.get(&message.to);
         let sent = peer.is_some_and(|p| p.queue.try_send(message).is_ok());
         if !sent {
             let _ = self.metrics.count("control.peer.dropped", 1);
@@ -104,13 +105,16 @@
     }
 
     fn connect(&mut self, id: ReplicaId, address: SocketAddr) {
-        let known = self.known.get(&id).is_some_and(|p| p.address == address);
-        if known || id == self.own {
+        let connected = self
+            .connections
+            .get(&id)
+            .is_some_and(|p| p.address == address);
+        if connected || id == self.own_id {
             return;
         }
-        let (queue, inbox) = mpsc::channel(QUEUE);
-        let sender = Sender {
-            own: self.own,
+        let (queue, inbox) = mpsc::channel(QUEUE_CAPACITY);
+        let sender = PeerSender {
+            own_id: self.own_id,
             address: self.address,
             link: link::replica(address),
             partition: self.partition.clone(),
@@ -121,51 +125,51 @@
             queue,
             _task: task,
         };
-        self.known.insert(id, peer);
+        self.connections.insert(id, peer);
     }
 }
 
-struct Sender {
-    own: ReplicaId,
+struct PeerSender {
+    own_id: ReplicaId,
     address: SocketAddr,
     link: ReplicaLink,
     partition: Partition,
 }
 
-impl Sender {
+impl PeerSender {
     async fn run(self, mut inbox: mpsc::Receiver<Message>) {
-        let mut open = FuturesUnordered::new();
+        let mut in_flight = FuturesUnordered::new();
         loop {
-            let room = open.len() < WINDOW;
+            let has_capacity = in_flight.len() < MAX_IN_FLIGHT;
             tokio::select! {
-                Some(good) = delivered(&mut open), if !open.is_empty() => {
-                    if !good {
-                        self.pause(&mut inbox).await;
+                Some(ok) = delivered(&mut in_flight), if !in_flight.is_empty() => {
+                    if !ok {
+                        self.back_off(&mut inbox).await;
                     }
                 }
-                first = inbox.recv(), if room => {
+                first = inbox.recv(), if has_capacity => {
                     let Some(first) = first else { return };
-                    let envelope = self.fill(&first, &mut inbox);
+                    let envelope = self.build_envelope(&first, &mut inbox);
                     if !self.partition.is_active() {
-                        open.push(self.deliver(envelope));
+                        in_flight.push(self.deliver(envelope));
                     }
                 }
             }
         }
     }
 
-    /// Puts all that waits into one envelope, up to its bound.
-    fn fill(&self, first: &Message, inbox: &mut mpsc::Receiver<Message>) -> Envelope {
+    /// Puts the queued messages into one envelope, up to its maximum size.
+    fn build_envelope(&self, first: &Message, inbox: &mut mpsc::Receiver<Message>) -> Envelope {
         let mut messages = vec![message::to_wire(first)];
         let mut bytes = messages[0].encoded_len();
-        while bytes < ENVELOPE {
+        while bytes < MAX_ENVELOPE_BYTES {
             let Ok(next) = inbox.try_recv() else { break };
             let next = message::to_wire(&next);
             bytes += next.encoded_len();
             messages.push(next);
         }
         Envelope {
-            from: self.own.0,
+            from: self.own_id.0,
             address: self.address.to_string(),
             messages,
         }
@@ -175,21 +179,21 @@
         let Ok(client) = self.link.client().await else {
             return false;
         };
-        let result = client.step(within(STEP_TIMEOUT), envelope).await;
+        let result = client.step(within(DELIVERY_TIMEOUT), envelope).await;
         self.link.judge(result).is_ok()
     }
 
-    /// Waits a little and drops what waited, as it is stale by then.
-    async fn pause(&self, inbox: &mut mpsc::Receiver<Message>) {
-        tokio::time::sleep(PAUSE).await;
+    /// Waits for the retry delay and drops the messages queued meanwhile, as they are stale.
+    async fn back_off(&self, inbox: &mut mpsc::Receiver<Message>) {
+        tokio::time::sleep(RETRY_DELAY).await;
         while inbox.try_recv().is_ok() {}
     }
 }
 
-/// Whether the next envelope was received.
-async fn delivered<F>(open: &mut FuturesUnordered<F>) -> Option<bool>
+/// Whether the next completed delivery was acknowledged.
+async fn delivered<F>(in_flight: &mut FuturesUnordered<F>) -> Option<bool>
 where
     F: Future<Output = bool>,
 {
-    open.next().await
+    in_flight.next().await
 }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,4 +1,4 @@
-//! What this replica serves to the others.
+//! The service for other replicas.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,28 +21,28 @@
 
 use crate::convert;
 use crate::convert::message;
-use crate::input::Driver;
+use crate::input::DriverHandle;
 use crate::input::Input;
 use crate::partition::Partition;
 use crate::tickets;
 
-/// Who this replica is.
+/// The identity of a replica.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Minted with the data folder.
+    /// The id generated when the data folder was created.
     pub id: u64,
-    /// Where others reach it.
+    /// The address for other replicas.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainName,
     /// Its region.
     pub region: RegionName,
-    /// The founding group's addresses, sorted; empty for a joiner.
+    /// Sorted addresses of the founding group; empty for a replica that joins later.
     pub initial: Vec<String>,
 }
 
 impl Identity {
-    /// As others see it.
+    /// Converts the identity to its wire form.
     #[must_use]
     pub fn to_wire(&self, voter: bool) -> Replica {
         Replica {
@@ -55,35 +55,35 @@
     }
 }
 
-/// The service, one clone a request.
+/// The service implementation, cloned for each request.
 #[derive(Clone)]
 pub struct ReplicaServer {
-    /// Who this replica is.
+    /// The identity of this replica.
     pub identity: Arc<Identity>,
-    /// The task that decides.
-    pub driver: Driver,
-    /// Where tests cut the links.
+    /// Handle of the driver task.
+    pub driver: DriverHandle,
+    /// Simulated network partition, for tests.
     pub partition: Partition,
-    /// The log.
+    /// Logger.
     pub log: Logger,
 }
 
 impl ReplicaServer {
-    async fn take_found(&self, ask: Found) -> bool {
+    async fn accept_founding(&self, ask: Found) -> bool {
         let group = ask.group.unwrap_or_default();
         let mut addresses: Vec<&str> = group.replicas.iter().map(|r| &*r.address).collect();
         addresses.sort_unstable();
-        let fits = ask.to == self.identity.id && addresses == self.identity.initial;
+        let matches_settings = ask.to == self.identity.id && addresses == self.identity.initial;
         let config = match convert::group(&group) {
-            Ok(config) if fits => config,
+            Ok(config) if matches_settings => config,
             _ => {
                 warn!(self.log, "founding"; "outcome" => "refused", "to" => ask.to,
                     "group" => addresses.join(","));
                 return false;
             }
         };
-        let taken = self.driver.call(|r| Input::Found(config, r)).await;
-        taken.unwrap_or(false)
+        let accepted = self.driver.call(|r| Input::Found(config, r)).await;
+        accepted.unwrap_or(false)
     }
 }
 
@@ -100,36 +100,36 @@
         match messages {
             Ok(messages) => self
                 .driver
-                .messages(ReplicaId(envelope.from), address, messages),
+                .forward(ReplicaId(envelope.from), address, messages),
             Err(err) => {
-                debug!(self.log, "bad message"; "from" => envelope.from, "error" => %err);
+                debug!(self.log, "invalid replica message"; "from" => envelope.from, "error" => %err);
             }
         }
     }
 
     async fn hello(self, _: Context, _: Hello) -> HelloReply {
-        self.partition.pass().await;
+        self.partition.block_if_active().await;
         let status = self.driver.call(Input::Status).await.unwrap_or_default();
-        let member = !status.replicas.is_empty();
+        let is_member = !status.replicas.is_empty();
         HelloReply {
             replica: Some(self.identity.to_wire(false)),
-            started: member || status.term > 0,
+            started: is_member || status.term > 0,
             initial: self.identity.initial.clone(),
             group: status.replicas,
         }
     }
 
     async fn found(self, _: Context, ask: Found) -> FoundReply {
-        self.partition.pass().await;
+        self.partition.block_if_active().await;
         FoundReply {
-            taken: self.take_found(ask).await,
+            taken: self.accept_founding(ask).await,
         }
     }
 
     async fn ask(self, _: Context, ask: Ask) -> AskReply {
-        self.partition.pass().await;
+        self.partition.block_if_active().await;
         let reply = self.driver.call(|r| Input::Ask(ask, r)).await;
-        self.partition.pass().await;
+        self.partition.block_if_active().await;
         reply.unwrap_or_else(|err| AskReply {
             kind: Some(tickets::declined(None, true, &err.to_string())),
         })
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -42,14 +42,14 @@
 use crate::control::ControlServer;
 use crate::convert;
 use crate::convert::ConvertError;
+use crate::driver::Driver;
 use crate::driver::Parts;
-use crate::driver::Task;
 use crate::error::ControlError;
 use crate::founding::Distributor;
 use crate::founding::Founder;
 use crate::handle::Control;
-use crate::handle::Ends;
-use crate::input::Driver;
+use crate::handle::ShutdownTokens;
+use crate::input::DriverHandle;
 use crate::input::View;
 use crate::joining::Joiner;
 use crate::leader_client::LeaderClient;
@@ -62,34 +62,36 @@
 use crate::state_machine::StateMachine;
 use crate::writer::Writer;
 
-/// Most connections on one port at once.
+/// Maximum number of concurrent connections per port.
 const MAX_CONNECTIONS: usize = 1024;
 
-/// Both ports, bound and not yet served.
+/// The two bound listeners, before they accept connections.
 pub struct Bound {
     rpc: Incoming<ClientMessage<ControlApiRequest>, Response<ControlApiResponse>>,
     replica: Incoming<ClientMessage<ReplicaApiRequest>, Response<ReplicaApiResponse>>,
 }
 
-/// Binds both ports; port 0 takes a free one.
+/// Binds both ports; port 0 selects a free one.
 ///
 /// # Errors
 ///
-/// Fails when one can't be bound.
+/// Fails when a port cannot be bound.
 pub async fn bind(settings: &Settings) -> Result<Bound, ControlError> {
-    let fail = |address| move |err| ControlError::Bind(address, err);
+    let bind_error = |address| move |err| ControlError::Bind(address, err);
     let (rpc, replica) = (settings.rpc, settings.replica.listen);
     Ok(Bound {
-        rpc: wire::link::listen(rpc).await.map_err(fail(rpc))?,
-        replica: wire::link::listen(replica).await.map_err(fail(replica))?,
+        rpc: wire::link::listen(rpc).await.map_err(bind_error(rpc))?,
+        replica: wire::link::listen(replica)
+            .await
+            .map_err(bind_error(replica))?,
     })
 }
 
-/// Binds, opens the data folder and starts.
+/// Opens the data folder, binds the ports and starts the replica.
 ///
 /// # Errors
 ///
-/// Fails when a port can't be bound or the data folder can't be used.
+/// Fails when a port cannot be bound or the data folder cannot be used.
 pub async fn start(settings: Settings, log: Logger) -> Result<Control, ControlError> {
     let disk = Folder::open(&settings.data)?;
     bind(&settings)
@@ -99,23 +101,24 @@
 }
 
 impl Bound {
-    /// Where directories, gateways and operators connect.
+    /// The address for directories, gateways and operators.
     #[must_use]
     pub fn rpc(&self) -> SocketAddr {
         self.rpc.local_addr()
     }
 
-    /// Where other replicas connect.
+    /// The address for other replicas.
     #[must_use]
     pub fn replica(&self) -> SocketAddr {
         self.replica.local_addr()
     }
 
-    /// Starts on `disk`; a published port 0 stands for the bound one.
+    /// Starts the replica on `disk`. A port 0 in the published address is replaced by the
+    /// bound port.
     ///
     /// # Errors
     ///
-    /// Fails when the data folder can't be used.
+    /// Fails when the data folder cannot be used.
     pub async fn start(
         self,
         settings: Settings,
@@ -123,17 +126,17 @@
         log: Logger,
     ) -> Result<Control, ControlError> {
         let segment_bytes = settings.sizes.segment.0;
-        let opening = move || Store::open(disk, Options { segment_bytes }, rand::random());
-        let (store, recovered) = tokio::task::spawn_blocking(opening).await??;
+        let open_store = move || Store::open(disk, Options { segment_bytes }, rand::random());
+        let (store, recovered) = tokio::task::spawn_blocking(open_store).await??;
         let metrics = telemetry::metrics::start(settings.telemetry.sink, settings.host.as_str())?;
-        let plan = Plan {
+        let startup = Startup {
             identity: Arc::new(self.identity(&settings, recovered.id)),
             settings,
             partition: Partition::default(),
             metrics: Arc::new(metrics),
             log,
         };
-        plan.start(self, store, &recovered)
+        startup.start(self, store, &recovered)
     }
 
     fn identity(&self, settings: &Settings, id: u64) -> Identity {
@@ -154,8 +157,8 @@
     }
 }
 
-/// What all parts of a starting replica share.
-struct Plan {
+/// Settings and dependencies shared by the tasks of a replica.
+struct Startup {
     settings: Settings,
     identity: Arc<Identity>,
     partition: Partition,
@@ -163,7 +166,7 @@
     log: Logger,
 }
 
-impl Plan {
+impl Startup {
     fn start(
         self,
         bound: Bound,
@@ -173,48 +176,54 @@
         let (rpc, replica) = (bound.rpc(), bound.replica());
         let stored = stored(recovered)?;
         let group = convert::group_to_wire(&stored.snapshot.config);
-        let empty = stored == Stored::empty(stored.id);
-        let unfounded = empty && !self.identity.initial.is_empty();
+        let is_empty = stored == Stored::empty(stored.id);
+        let awaits_founding = is_empty && !self.identity.initial.is_empty();
         info!(self.log, "recovered"; "id" => recovered.id, "term" => recovered.state.term,
             "snapshot" => stored.snapshot.position.index.0, "entries" => stored.entries.len(),
             "commit" => stored.commit.0,
             "torn" => recovered.torn);
-        let stored_index = stored.snapshot.position.index.0;
-        let (driver, inbox) = Driver::new();
+        let snapshot_index = stored.snapshot.position.index.0;
+        let (driver, inbox) = DriverHandle::new();
         let (views, view) = watch::channel(View::default());
-        let parts = self.parts(store, stored, views, unfounded)?;
-        let end = CancellationToken::new();
-        let ends = Ends::default();
-        let task = tokio::spawn({
-            let run = Task::new(parts).run(inbox, end.clone());
-            let ends = ends.clone();
+        let parts = self.parts(store, stored, views, awaits_founding)?;
+        let driver_stop = CancellationToken::new();
+        let shutdown = ShutdownTokens::default();
+        let driver_task = tokio::spawn({
+            let run = Driver::new(parts).run(inbox, driver_stop.clone());
+            let shutdown = shutdown.clone();
             async move {
                 let result = run.await;
-                // A replica that stopped by itself keeps nobody waiting.
-                ends.accept.cancel();
-                ends.serve.cancel();
+                // Closes all connections also when the driver fails.
+                shutdown.stop_accepting.cancel();
+                shutdown.close_connections.cancel();
                 result
             }
         });
-        let group = (!empty && stored_index == 0).then_some(group);
-        let founding = tokio::spawn(self.founding(&driver, unfounded, group));
-        let open = TaskTracker::new();
-        let server = self.control_server(&driver, view, &ends);
+        let group = (!is_empty && snapshot_index == 0).then_some(group);
+        let founding = tokio::spawn(self.run_founding(&driver, awaits_founding, group));
+        let open_requests = TaskTracker::new();
+        let server = self.new_control_server(&driver, view, &shutdown);
         let desk = LocalClient::new(&server);
-        let mut accepts = JoinSet::new();
+        let mut acceptors = JoinSet::new();
         let acceptor = Acceptor {
             limit: MAX_CONNECTIONS,
-            stop: ends.accept.clone(),
+            stop: shutdown.stop_accepting.clone(),
             log: self.log.clone(),
         };
-        accepts.spawn(acceptor.clone().run(bound.rpc, {
-            let (ends, open) = (ends.clone(), open.clone());
-            move |channel| ends.bound(serve_control(channel, server.clone(), open.clone()))
+        acceptors.spawn(acceptor.clone().run(bound.rpc, {
+            let (shutdown, open_requests) = (shutdown.clone(), open_requests.clone());
+            move |channel| {
+                shutdown.run_until_closed(serve_control(
+                    channel,
+                    server.clone(),
+                    open_requests.clone(),
+                ))
+            }
         }));
-        let server = self.replica_server(&driver);
-        accepts.spawn(acceptor.run(bound.replica, {
-            let ends = ends.clone();
-            move |channel| ends.bound(serve_replica(channel, server.clone()))
+        let server = self.new_replica_server(&driver);
+        acceptors.spawn(acceptor.run(bound.replica, {
+            let shutdown = shutdown.clone();
+            move |channel| shutdown.run_until_closed(serve_replica(channel, server.clone()))
         }));
         info!(self.log, "ready"; "id" => recovered.id, "address" => %rpc, "replica" => %replica);
         Ok(Control {
@@ -224,11 +233,11 @@
             desk,
             driver,
             partition: self.partition,
-            ends,
-            end,
-            open,
-            accepts,
-            task,
+            shutdown,
+            driver_stop,
+            open_requests,
+            acceptors,
+            driver_task,
             founding: AbortOnDropHandle::new(founding),
             settings: self.settings,
             log: self.log,
@@ -240,17 +249,17 @@
         store: Store,
         stored: Stored,
         views: watch::Sender<View>,
-        unfounded: bool,
+        awaits_founding: bool,
     ) -> Result<Parts, ControlError> {
         let (writer, reports) = Writer::start(store)?;
         let sizes = self.settings.sizes;
         let snapshot_bytes = usize::try_from(sizes.snapshot.0).unwrap_or(usize::MAX);
-        let preset = consensus::Settings::default();
+        let defaults = consensus::Settings::default();
         let settings = consensus::Settings {
             heartbeat: self.settings.timing.heartbeat,
             election: self.settings.timing.election,
-            keep_bytes: preset.keep_bytes.min(snapshot_bytes / 2),
-            ..preset
+            keep_bytes: defaults.keep_bytes.min(snapshot_bytes / 2),
+            ..defaults
         };
         let peers = Peers::new(
             stored.id,
@@ -266,9 +275,9 @@
             reports,
             peers,
             views,
-            unfounded,
+            awaits_founding,
             snapshot_bytes,
-            group: usize::try_from(sizes.group).unwrap_or(usize::MAX),
+            max_write_commands: usize::try_from(sizes.group).unwrap_or(usize::MAX),
             automatic: !self.settings.replica.seeds.is_empty(),
             seed: rand::random(),
             log: self.log.clone(),
@@ -276,14 +285,15 @@
         })
     }
 
-    /// Founds the group when there is none, and hands it on while it is the founding one.
-    fn founding(
+    /// Founds the group when there is none, distributes a founding group to its members,
+    /// and runs the joiner.
+    fn run_founding(
         &self,
-        driver: &Driver,
-        unfounded: bool,
+        driver: &DriverHandle,
+        awaits_founding: bool,
         group: Option<Group>,
     ) -> impl Future<Output = ()> + Send + use<> {
-        let founder = unfounded.then(|| Founder {
+        let founder = awaits_founding.then(|| Founder {
             identity: Arc::clone(&self.identity),
             acceptance: self.settings.replica.acceptance,
             driver: driver.clone(),
@@ -305,7 +315,7 @@
                 Some(founder) => founder.run().await,
                 None => group,
             };
-            let handing = async {
+            let distributing = async {
                 if let Some(group) = group {
                     let distributor = Distributor {
                         identity,
@@ -320,15 +330,15 @@
                     joiner.run().await;
                 }
             };
-            tokio::join!(handing, joining);
+            tokio::join!(distributing, joining);
         }
     }
 
-    fn control_server(
+    fn new_control_server(
         &self,
-        driver: &Driver,
+        driver: &DriverHandle,
         views: watch::Receiver<View>,
-        ends: &Ends,
+        shutdown: &ShutdownTokens,
     ) -> ControlServer {
         let timing = self.settings.timing;
         ControlServer {
@@ -337,12 +347,12 @@
             views,
             timing,
             partition: self.partition.clone(),
-            stopping: ends.accept.clone(),
+            stopping: shutdown.stop_accepting.clone(),
             log: self.log.clone(),
         }
     }
 
-    fn replica_server(&self, driver: &Driver) -> ReplicaServer {
+    fn new_replica_server(&self, driver: &DriverHandle) -> ReplicaServer {
         ReplicaServer {
             identity: Arc::clone(&self.identity),
             driver: driver.clone(),
@@ -352,7 +362,7 @@
     }
 }
 
-/// Reads what the disk held into the log's own types.
+/// Converts recovered data to the types of the replicated log.
 fn stored(recovered: &Recovered) -> Result<Stored, ConvertError> {
     let mut stored = Stored::empty(ReplicaId(recovered.id));
     stored.hard = HardState {
@@ -371,13 +381,13 @@
 async fn serve_control(
     channel: Transport<ClientMessage<ControlApiRequest>, Response<ControlApiResponse>>,
     server: ControlServer,
-    open: TaskTracker,
+    open_requests: TaskTracker,
 ) {
     BaseChannel::new(config(), channel)
         .max_concurrent_requests(MAX_PENDING)
         .execute(server.serve())
         .for_each(|request| {
-            open.spawn(request);
+            open_requests.spawn(request);
             std::future::ready(())
         })
         .await;
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one control replica, typed and checked.
+//! Settings of a control replica.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -18,37 +18,38 @@
 const TIMING: &str = "timing";
 const STORE: &str = "store";
 
-/// Most replicas of a founding group.
+/// Maximum number of replicas in a founding group.
 pub const MAX_INITIAL: usize = 7;
-/// The least and the most bytes of a segment.
-const SEGMENT: std::ops::RangeInclusive<u64> = 64 * 1024..=64 * 1024 * 1024;
+/// Permitted segment sizes in bytes.
+const SEGMENT_BYTES: std::ops::RangeInclusive<u64> = 64 * 1024..=64 * 1024 * 1024;
 
-/// What the other replicas need to know, and the founding group.
+/// Addresses of the replica and of its group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replica {
-    /// Where other replicas connect, as this process binds it.
+    /// The address that this process binds for other replicas.
     pub listen: SocketAddr,
-    /// The same as others see it.
+    /// The address that is published to other replicas.
     pub address: SocketAddr,
-    /// The published addresses of the founding group, this one included; empty for a joiner.
+    /// Published addresses of the founding group, including this replica; empty for a
+    /// replica that joins later.
     pub initial: Vec<SocketAddr>,
-    /// The founding group's rule of acceptance.
+    /// The acceptance rule of the founding group.
     pub acceptance: Acceptance,
-    /// Replicas that a replica without a group asks to be taken in; empty where
-    /// only operators change the group.
+    /// Replicas that a replica without a group asks to join; empty where only operators
+    /// change the membership.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// Times.
+/// Timeouts and intervals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Between two heartbeats of a leader.
+    /// Interval between heartbeats of a leader.
     pub heartbeat: Duration,
-    /// The shortest election timeout.
+    /// Minimum election timeout.
     pub election: Duration,
-    /// How long a change, claim or settlement is tried for.
+    /// Time limit for a change, claim or settlement, including retries.
     pub ask: Duration,
-    /// How long a graceful stop waits for what is open.
+    /// Time limit of a graceful stop for the leadership transfer, and again for open requests.
     pub stop: Duration,
 }
 
@@ -63,14 +64,14 @@
     }
 }
 
-/// Sizes on disk.
+/// Size limits of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sizes {
-    /// Bytes of one segment of the log.
+    /// Size of a log segment.
     pub segment: Bytes,
-    /// Bytes of entries after which a snapshot is taken.
+    /// Log size above which a snapshot is taken.
     pub snapshot: Bytes,
-    /// Most commands that share one sync.
+    /// Maximum number of commands per write.
     pub group: u32,
 }
 
@@ -84,31 +85,31 @@
     }
 }
 
-/// All settings of one control replica.
+/// All settings of a control replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Its host.
+    /// Name of the host.
     pub host: HostName,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: DomainName,
-    /// Its region.
+    /// Region of the host.
     pub region: RegionName,
-    /// The data folder, of this process alone.
+    /// The data folder, used by this process alone.
     pub data: PathBuf,
-    /// Where directories, gateways and operators connect.
+    /// The address for directories, gateways and operators.
     pub rpc: SocketAddr,
-    /// The group.
+    /// Addresses of the replica and of its group.
     pub replica: Replica,
-    /// Times.
+    /// Timeouts and intervals.
     pub timing: Timing,
-    /// Sizes on disk.
+    /// Size limits of the log.
     pub sizes: Sizes,
     /// Log and metrics.
     pub telemetry: telemetry::Settings,
 }
 
 impl Settings {
-    /// Settings on loopback with free ports, the rest as by default.
+    /// Default settings on loopback with free ports.
     #[must_use]
     pub fn local(host: HostName, domain: DomainName, region: RegionName, data: PathBuf) -> Self {
         let free = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -135,7 +136,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with every fault of the file.
+    /// Fails with all faults of the file.
     pub fn open(path: &Path) -> Result<Self, ConfError> {
         Self::read(Reader::open(path)?)
     }
@@ -144,7 +145,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with every fault noted.
+    /// Fails with all faults found by the reader.
     pub fn read(mut reader: Reader) -> Result<Self, ConfError> {
         let r = &mut reader;
         let host = r.required(CONTROL, "host");
@@ -160,7 +161,7 @@
         let parts = names.zip(data.zip(rpc)).zip(replica);
         reader.finish()?;
         let Some(((((host, domain), region), (data, rpc)), replica)) = parts else {
-            unreachable!("a required key that is missing is a fault of its own")
+            unreachable!("Reader::finish fails when a required key is missing")
         };
         Ok(Self {
             host,
@@ -180,7 +181,13 @@
     let listen = r.required(REPLICA, "listen");
     let address = r.required(REPLICA, "address");
     let mut initial: Vec<SocketAddr> = r.list(REPLICA, "initial");
-    let acceptance = r.or(REPLICA, "acceptance", Rule(Acceptance::default())).0;
+    let acceptance = r
+        .or(
+            REPLICA,
+            "acceptance",
+            AcceptanceValue(Acceptance::default()),
+        )
+        .0;
     let seeds = r.list(REPLICA, "seeds");
     let count = initial.len();
     initial.sort_unstable();
@@ -189,9 +196,9 @@
         let form = "at most 7 different addresses";
         r.fault(REPLICA, "initial", Problem::Form(count.to_string()), form);
     }
-    if let Some(own) = address
+    if let Some(own_address) = address
         && !initial.is_empty()
-        && !initial.contains(&own)
+        && !initial.contains(&own_address)
     {
         let form = "the addresses of the founding group, this replica's included";
         r.fault(REPLICA, "initial", Problem::Contradicts("address"), form);
@@ -206,12 +213,12 @@
 }
 
 fn read_timing(r: &mut Reader) -> Timing {
-    let preset = Timing::default();
+    let defaults = Timing::default();
     let timing = Timing {
-        heartbeat: r.or(TIMING, "heartbeat", preset.heartbeat),
-        election: r.or(TIMING, "election", preset.election),
-        ask: r.or(TIMING, "ask", preset.ask),
-        stop: r.or(TIMING, "stop", preset.stop),
+        heartbeat: r.or(TIMING, "heartbeat", defaults.heartbeat),
+        election: r.or(TIMING, "election", defaults.election),
+        ask: r.or(TIMING, "ask", defaults.ask),
+        stop: r.or(TIMING, "stop", defaults.stop),
     };
     if timing.heartbeat.is_zero() || timing.heartbeat * 4 > timing.election {
         let form = "over 0, at most a quarter of election";
@@ -225,13 +232,13 @@
 }
 
 fn read_sizes(r: &mut Reader) -> Sizes {
-    let preset = Sizes::default();
+    let defaults = Sizes::default();
     let sizes = Sizes {
-        segment: r.or(STORE, "segment", preset.segment),
-        snapshot: r.or(STORE, "snapshot", preset.snapshot),
-        group: r.or(STORE, "group", preset.group),
+        segment: r.or(STORE, "segment", defaults.segment),
+        snapshot: r.or(STORE, "snapshot", defaults.snapshot),
+        group: r.or(STORE, "group", defaults.group),
     };
-    if !SEGMENT.contains(&sizes.segment.0) {
+    if !SEGMENT_BYTES.contains(&sizes.segment.0) {
         let problem = Problem::Form(sizes.segment.0.to_string());
         r.fault(STORE, "segment", problem, "64KiB to 64MiB");
     }
@@ -245,10 +252,10 @@
     sizes
 }
 
-/// The rule of acceptance as a key's value.
-struct Rule(Acceptance);
+/// The acceptance rule as a setting value.
+struct AcceptanceValue(Acceptance);
 
-impl conf::Value for Rule {
+impl conf::Value for AcceptanceValue {
     const FORM: &'static str = "majority or every-region";
 
     fn read(text: &str) -> Option<Self> {
@@ -258,7 +265,7 @@
 
 impl fmt::Display for Settings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let millis = |span: Duration| format!("{}ms", span.as_millis());
+        let millis = |duration: Duration| format!("{}ms", duration.as_millis());
         let addresses = |list: &[SocketAddr]| {
             let list: Vec<String> = list.iter().map(ToString::to_string).collect();
             list.join(", ")
--- a/crates/control/src/state_machine.rs
+++ b/crates/control/src/state_machine.rs
@@ -1,12 +1,13 @@
-//! What the log drives: the catalogue and the ledger, applied in one order.
+//! The state machine of the replicated log: the catalogue, the ledger, the route table, the
+//! announced instances and the evacuations.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
 
 use base::prelude::*;
 use bytes::Bytes;
-use catalogue::State as Book;
-use catalogue::state::RestoreError as BookError;
+use catalogue::State as CatalogueState;
+use catalogue::state::RestoreError as CatalogueError;
 use evacuation::Domains;
 use evacuation::StateError;
 use ledger::Bounds;
@@ -30,75 +31,75 @@
 use wire::replica::command::Kind;
 
 quick_error! {
-    /// Why what the log holds can't be applied; the replica then stops.
+    /// Why an entry or a snapshot cannot be applied. The replica then stops.
     #[derive(Debug)]
     pub enum StateMachineError {
-        /// Bytes aren't a message.
+        /// The bytes cannot be decoded as a message.
         Decode(err: prost::DecodeError) {
             from()
             source(err)
             display("log entry: {err}")
         }
-        /// The snapshot's catalogue.
-        Book(err: BookError) {
+        /// The catalogue of a snapshot cannot be restored.
+        Catalogue(err: CatalogueError) {
             from()
             source(err)
             display("snapshot of the catalogue: {err}")
         }
-        /// The snapshot's ledger.
+        /// The ledger of a snapshot cannot be restored.
         Ledger(err: LedgerError) {
             from()
             source(err)
             display("snapshot of the ledger: {err}")
         }
-        /// The snapshot's evacuations.
+        /// The evacuations of a snapshot cannot be restored.
         Evacuations(err: StateError) {
             from()
             source(err)
             display("snapshot of evacuations: {err}")
         }
-        /// A command of a kind that this version doesn't know.
+        /// The command has a kind that this version does not know.
         Kind {
-            display("log entry: a command of unknown kind")
+            display("log entry: unknown command kind")
         }
     }
 }
 
-/// What a command led to.
+/// The result of applying a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Of a change.
+    /// Result of a catalogue change.
     Change {
-        /// The change's id.
+        /// Id of the change.
         id: String,
         /// What its operator is told.
         reply: ChangeReply,
     },
-    /// Of a claim.
+    /// Result of a ledger claim.
     Claim(ClaimReply),
-    /// Of a settlement.
+    /// Result of a ledger settlement.
     Settle(SettleReply),
-    /// Of the passing of time.
+    /// Expired ledger records were removed.
     Expire,
-    /// Of a route table.
+    /// Result of a route table.
     Table(TableReply),
-    /// Of an announcement.
+    /// An instance announcement was applied.
     Instance,
-    /// Of an operator's order on a failure domain.
+    /// Result of an order to evacuate a failure domain or to end its evacuation.
     Evacuation {
-        /// The domain.
+        /// Name of the domain.
         domain: String,
-        /// Whether it was to be evacuated.
+        /// Whether the order asks for an evacuation, or for its end.
         evacuated: bool,
         /// What its operator is told.
         reply: EvacuationReply,
     },
 }
 
-/// The applied state.
+/// The state machine, with all state that is applied from the log.
 #[derive(Clone, Debug)]
 pub struct StateMachine {
-    book: Book,
+    catalogue_state: CatalogueState,
     ledger: Ledger,
     table: Arc<Table>,
     registry: Arc<Registry>,
@@ -108,7 +109,7 @@
 impl Default for StateMachine {
     fn default() -> Self {
         Self {
-            book: Book::default(),
+            catalogue_state: CatalogueState::default(),
             ledger: Ledger::new(Bounds::default()),
             table: Arc::default(),
             registry: Arc::default(),
@@ -118,33 +119,37 @@
 }
 
 impl StateMachine {
-    /// Reads what [`Machine::snapshot`] gave; nothing is the empty state.
+    /// Restores the state from the bytes of [`StateMachine::snapshot`]. Without any bytes the
+    /// state is empty.
     ///
     /// # Errors
     ///
-    /// Fails on bytes that no state writes.
+    /// Fails on bytes that are not a valid snapshot.
     pub fn restore(data: &Bytes) -> Result<Self, StateMachineError> {
         if data.is_empty() {
             return Ok(Self::default());
         }
         let state = State::decode(data.clone())?;
-        let book = state.catalogue.unwrap_or_default();
+        let catalogue_state = state.catalogue.unwrap_or_default();
         let ledger = state.ledger.unwrap_or_default();
         let evacuations = state.evacuations.unwrap_or_default();
         Ok(Self {
-            book: Book::restore(catalogue::history::Window::default(), &book)?,
+            catalogue_state: CatalogueState::restore(
+                catalogue::history::Window::default(),
+                &catalogue_state,
+            )?,
             ledger: Ledger::restore(Bounds::default(), &ledger)?,
             table: Arc::new(state.table.unwrap_or_default()),
-            registry: Arc::new(restored(state.instances)),
+            registry: Arc::new(restore_registry(state.instances)),
             evacuations: Arc::new(Domains::from_wire(&evacuations)?),
         })
     }
 
-    /// The whole state; equal states give equal bytes.
+    /// Encodes the whole state; equal states give equal bytes.
     #[must_use]
     pub fn snapshot(&self) -> Bytes {
         let state = State {
-            catalogue: Some(self.book.snapshot()),
+            catalogue: Some(self.catalogue_state.snapshot()),
             ledger: Some(self.ledger.snapshot()),
             table: Some((*self.table).clone()).filter(|table| table.version > 0),
             instances: self.registry.all().cloned().collect(),
@@ -153,16 +158,16 @@
         state.encode_to_vec().into()
     }
 
-    /// Applies one command of the log.
+    /// Applies a command of the log.
     ///
     /// # Errors
     ///
-    /// Fails on what no leader of this version proposes.
+    /// Fails on a command that cannot be decoded or has an unknown kind.
     pub fn apply(&mut self, data: &Bytes) -> Result<Output, StateMachineError> {
         let command = Command::decode(data.clone())?;
         match command.kind.ok_or(StateMachineError::Kind)? {
             Kind::Change(change) => Ok(Output::Change {
-                reply: self.book.apply(&change),
+                reply: self.catalogue_state.apply(&change),
                 id: change.id,
             }),
             Kind::Ledger(inner) => Ok(match self.ledger.apply(command.now_ms, &inner) {
@@ -170,7 +175,7 @@
                 Reply::Settle(reply) => Output::Settle(reply),
                 Reply::Expire => Output::Expire,
             }),
-            Kind::Table(table) => Ok(Output::Table(self.take_table(table))),
+            Kind::Table(table) => Ok(Output::Table(self.apply_table(table))),
             Kind::Instance(instance) => {
                 let now = Moment::from_millis(command.now_ms);
                 Arc::make_mut(&mut self.registry).take(now, instance);
@@ -189,9 +194,10 @@
         }
     }
 
-    /// The highest version wins, and the first content under a version.
-    fn take_table(&mut self, table: Table) -> TableReply {
-        let outcome = compare(&self.table, &table);
+    /// Replaces the route table if `table` has a higher version; the first content under a
+    /// version is kept.
+    fn apply_table(&mut self, table: Table) -> TableReply {
+        let outcome = table_outcome(&self.table, &table);
         if outcome == TableOutcome::Taken {
             self.table = Arc::new(table);
         }
@@ -201,34 +207,34 @@
         }
     }
 
-    /// The announced upstreams.
+    /// The announced upstream instances.
     #[must_use]
     pub fn registry(&self) -> &Arc<Registry> {
         &self.registry
     }
 
-    /// The route table in force; version 0 before the first.
+    /// The current route table; its version is 0 until the first one is applied.
     #[must_use]
     pub fn table(&self) -> &Arc<Table> {
         &self.table
     }
 
-    /// The failure domains to which nothing is sent.
+    /// The evacuated failure domains.
     #[must_use]
     pub fn evacuations(&self) -> &Arc<Domains> {
         &self.evacuations
     }
 
-    /// The answer to a change that needs no log entry.
+    /// The reply to a change that is already known and so needs no log entry.
     #[must_use]
     pub fn known(&self, change: &Change) -> Option<ChangeReply> {
-        self.book.known(change)
+        self.catalogue_state.known(change)
     }
 
-    /// The catalogue with its history.
+    /// The catalogue and its history.
     #[must_use]
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn catalogue_state(&self) -> &CatalogueState {
+        &self.catalogue_state
     }
 
     /// The ledger.
@@ -238,8 +244,8 @@
     }
 }
 
-/// The registry that a snapshot holds.
-fn restored(instances: Vec<Instance>) -> Registry {
+/// Restores the registry from the instances of a snapshot.
+fn restore_registry(instances: Vec<Instance>) -> Registry {
     let mut registry = Registry::default();
     for instance in instances {
         registry.take(Moment::ZERO, instance);
@@ -247,12 +253,12 @@
     registry
 }
 
-/// What `next` would lead to while `held` is in force.
-fn compare(held: &Table, next: &Table) -> TableOutcome {
-    match next.version.cmp(&held.version) {
+/// The outcome of applying `next` over `current`.
+fn table_outcome(current: &Table, next: &Table) -> TableOutcome {
+    match next.version.cmp(&current.version) {
         Ordering::Greater => TableOutcome::Taken,
         Ordering::Less => TableOutcome::Older,
-        Ordering::Equal if next.content == held.content => TableOutcome::Held,
+        Ordering::Equal if next.content == current.content => TableOutcome::Held,
         Ordering::Equal => TableOutcome::Differs,
     }
 }
--- a/crates/control/src/tickets.rs
+++ b/crates/control/src/tickets.rs
@@ -1,4 +1,4 @@
-//! Requests that the log has not answered yet.
+//! Open requests to the replicated log.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -19,23 +19,24 @@
 
 use crate::state_machine::Output;
 
-/// Outputs kept for tickets that are about to be answered.
+/// Maximum number of outputs retained for open requests.
 const MAX_OUTPUTS: usize = 65_536;
 
-/// One open request.
+/// An open request.
 #[derive(Debug)]
 pub enum Open {
-    /// A command.
+    /// A command for the state machine.
     Command(oneshot::Sender<AskReply>),
-    /// A change of the group: who is added, and when it counts as pending.
+    /// A membership change: the replica that it adds, and the time from which it is
+    /// answered as pending.
     Group(oneshot::Sender<AskReply>, Option<ReplicaId>, Moment),
-    /// A read.
+    /// Confirmation that the applied state is current.
     Read(oneshot::Sender<bool>),
-    /// The driver's own command.
+    /// A proposal of the driver itself, which needs no reply.
     Own,
 }
 
-/// All open requests, and outputs of the last entries applied.
+/// All open requests, and the outputs of recently applied entries.
 #[derive(Debug, Default)]
 pub struct Tickets {
     next: u64,
@@ -44,7 +45,7 @@
 }
 
 impl Tickets {
-    /// Opens a request.
+    /// Registers a request and returns its ticket.
     pub fn open(&mut self, open: Open) -> Ticket {
         self.next += 1;
         let ticket = Ticket(self.next);
@@ -52,8 +53,8 @@
         ticket
     }
 
-    /// Keeps an output while any request is open.
-    pub fn keep(&mut self, index: Index, output: Output) {
+    /// Retains an output while any request is open.
+    pub fn store_output(&mut self, index: Index, output: Output) {
         if self.open.is_empty() {
             self.outputs.clear();
             return;
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Answers a request whose entry was applied.
-    pub fn committed(&mut self, ticket: Ticket, index: Index) {
+    /// Answers a request whose entry was applied or whose read was confirmed.
+    pub fn complete(&mut self, ticket: Ticket, index: Index) {
         let output = self.outputs.remove(&index);
         match self.open.remove(&ticket) {
             Some(Open::Command(reply)) => {
@@ -82,20 +83,24 @@
         }
     }
 
-    /// Takes a request that the log has refused.
+    /// Removes a request that the log has rejected.
     pub fn take(&mut self, ticket: Ticket) -> Option<Open> {
         self.open.remove(&ticket)
     }
 
-    /// Takes additions that have been open for long.
-    pub fn pending(&mut self, now: Moment) -> Vec<(oneshot::Sender<AskReply>, ReplicaId)> {
-        let due: Vec<Ticket> = self
+    /// Removes additions whose reply is due at `now`.
+    pub fn take_overdue_additions(
+        &mut self,
+        now: Moment,
+    ) -> Vec<(oneshot::Sender<AskReply>, ReplicaId)> {
+        let overdue: Vec<Ticket> = self
             .open
             .iter()
-            .filter(|(_, open)| matches!(open, Open::Group(_, Some(_), at) if *at <= now))
+            .filter(|(_, open)| matches!(open, Open::Group(_, Some(_), pending_at) if *pending_at <= now))
             .map(|(ticket, _)| *ticket)
             .collect();
-        due.iter()
+        overdue
+            .iter()
             .filter_map(|ticket| match self.open.remove(ticket) {
                 Some(Open::Group(reply, Some(id), _)) => Some((reply, id)),
                 _ => None,
@@ -104,7 +109,7 @@
     }
 }
 
-/// The answer of a request that wasn't done.
+/// The reply to a request that was not processed; `uncertain` if it may still take effect.
 #[must_use]
 pub fn declined(leader: Option<ReplicaId>, uncertain: bool, reason: &str) -> Kind {
     Kind::Declined(Declined {
@@ -115,20 +120,20 @@
     })
 }
 
-/// The answer of a request that the log has refused.
+/// The reply to a request that the log has rejected.
 #[must_use]
 pub fn rejected(reason: &Rejection) -> Kind {
-    let word: &str = reason.into();
+    let text: &str = reason.into();
     match reason {
-        Rejection::NotLeader(leader) => declined(*leader, false, word),
+        Rejection::NotLeader(leader) => declined(*leader, false, text),
         Rejection::Uncertain | Rejection::Stopped | Rejection::Timeout => {
-            declined(None, true, word)
+            declined(None, true, text)
         }
-        _ => declined(None, false, word),
+        _ => declined(None, false, text),
     }
 }
 
-/// The answer to a change of the group.
+/// The reply to a membership change.
 #[must_use]
 pub fn membership(kind: membership_reply::Kind) -> AskReply {
     AskReply {
--- a/crates/control/src/writer.rs
+++ b/crates/control/src/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the data folder: writes, syncs, reports.
+//! The thread that owns the data folder, and writes and syncs the log.
 
 use std::io;
 use std::sync::mpsc;
@@ -11,77 +11,77 @@
 use quick_error::quick_error;
 use store::Store;
 use store::StoreError;
-use tokio::sync::mpsc as tasks;
+use tokio::sync::mpsc as async_mpsc;
 use wire::store::Batch;
 use wire::store::HardState;
 
 use crate::convert;
 
-/// A write that is durable, and how long it took.
+/// A durable write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Written {
-    /// Names the write.
+    /// Number of the write.
     pub number: WriteNumber,
-    /// From the first byte to the end of the sync.
-    pub span: Duration,
+    /// Time from the start of the write to the end of the sync.
+    pub elapsed: Duration,
 }
 
 quick_error! {
-    /// Why no write can be taken.
+    /// Why the writer could not start.
     #[derive(Debug)]
     pub enum WriterError {
-        /// The thread couldn't be started.
+        /// The thread could not be started.
         Thread(err: io::Error) {
             source(err)
-            display("writer thread: {err}")
+            display("start of the writer thread: {err}")
         }
     }
 }
 
-/// Hands writes to the thread; it ends when this is dropped.
+/// Sends writes to the thread, which ends when the writer is dropped.
 ///
-/// At most one write is in flight, so neither queue grows.
+/// At most one write is in flight, so neither channel grows.
 #[derive(Debug)]
 pub struct Writer {
-    jobs: mpsc::Sender<Write>,
+    writes: mpsc::Sender<Write>,
 }
 
-/// What the thread reports.
-pub type Reports = tasks::UnboundedReceiver<Result<Written, StoreError>>;
+/// Results of writes, as reported by the thread.
+pub type Reports = async_mpsc::UnboundedReceiver<Result<Written, StoreError>>;
 
 impl Writer {
-    /// Starts the thread for `store`.
+    /// Starts the writer thread for `store`.
     ///
     /// # Errors
     ///
-    /// Fails when there can be no further thread.
+    /// Fails when the thread cannot be started.
     pub fn start(store: Store) -> Result<(Self, Reports), WriterError> {
-        let (jobs, inbox) = mpsc::channel();
-        let (outbox, reports) = tasks::unbounded_channel();
+        let (writes, inbox) = mpsc::channel();
+        let (outbox, reports) = async_mpsc::unbounded_channel();
         thread::Builder::new()
             .name("store".into())
             .spawn(move || run(store, &inbox, &outbox))
             .map_err(WriterError::Thread)?;
-        Ok((Self { jobs }, reports))
+        Ok((Self { writes }, reports))
     }
 
-    /// Asks for one write.
+    /// Queues a write.
     pub fn write(&self, write: Write) {
-        // The thread ends only after it reported a failure.
-        let _ = self.jobs.send(write);
+        // The channel is closed only after the thread has reported a failure.
+        let _ = self.writes.send(write);
     }
 }
 
 fn run(
     mut store: Store,
     inbox: &mpsc::Receiver<Write>,
-    outbox: &tasks::UnboundedSender<Result<Written, StoreError>>,
+    outbox: &async_mpsc::UnboundedSender<Result<Written, StoreError>>,
 ) {
     for write in inbox {
-        let begun = Instant::now();
-        let result = put(&mut store, &write).map(|()| Written {
+        let started_at = Instant::now();
+        let result = write_to_store(&mut store, &write).map(|()| Written {
             number: write.number,
-            span: begun.elapsed(),
+            elapsed: started_at.elapsed(),
         });
         let failed = result.is_err();
         if outbox.send(result).is_err() || failed {
@@ -90,7 +90,7 @@
     }
 }
 
-fn put(store: &mut Store, write: &Write) -> Result<(), StoreError> {
+fn write_to_store(store: &mut Store, write: &Write) -> Result<(), StoreError> {
     let state = write.hard.map(|hard| HardState {
         term: hard.term.0,
         vote: hard.vote.map_or(0, |id| id.0),
@@ -114,7 +114,7 @@
 }
 
 fn append(store: &mut Store, batch: &Batch) -> Result<(), StoreError> {
-    // A commit index alone isn't worth a sync.
+    // A new commit index alone does not justify a sync.
     let empty = Batch {
         commit: batch.commit,
         ..Batch::default()
