--- a/crates/control/src/local_client.rs
+++ b/crates/control/src/local_client.rs
@@ -102,12 +102,12 @@
     /// when the confirmation takes longer than `limit`.
     pub async fn read(&self, limit: Duration) -> Option<Arc<Table>> {
         let confirmed = self.driver.confirm(Instant::now() + limit).await;
-        confirmed.then(|| self.applied())
+        confirmed.then(|| self.applied_table())
     }
 
     /// The route table as applied by this replica, which may be behind others.
     #[must_use]
-    pub fn applied(&self) -> Arc<Table> {
+    pub fn applied_table(&self) -> Arc<Table> {
         Arc::clone(&self.views.borrow().table)
     }
 
--- a/crates/control/tests/test_join.rs
+++ b/crates/control/tests/test_join.rs
@@ -99,14 +99,17 @@
     assert_eq!(put(other, table(4, "b")).await, TableOutcome::Differs);
     assert_eq!(put(other, table(3, "c")).await, TableOutcome::Older);
     assert_eq!(read(other).await, 4);
-    assert_eq!(&other.applied().content[..], b"a");
+    assert_eq!(&other.applied_table().content[..], b"a");
     kill(&mut replicas).await;
     let mut again = Vec::new();
     for one in &settings {
         again.push(restart(one).await);
     }
     assert_eq!(read(again[2].local_client()).await, 4);
-    assert_eq!(&again[2].local_client().applied().source[..], b"as sent");
+    assert_eq!(
+        &again[2].local_client().applied_table().source[..],
+        b"as sent"
+    );
 }
 
 #[tokio::test]
--- a/crates/hub/src/server.rs
+++ b/crates/hub/src/server.rs
@@ -177,7 +177,7 @@
     /// After a loss of all processes entry processes have no table. One that was
     /// accepted is told to them at once in place of after the election.
     fn is_recovered(&self) -> bool {
-        !self.state.tables.has_seen_leader() && self.state.tables.applied().version > 0
+        !self.state.tables.has_seen_leader() && self.state.tables.applied_table().version > 0
     }
 
     fn note(&self, ask: &Watch) {
@@ -207,7 +207,7 @@
         let told = self.wait(&ask).await;
         let now = self.state.clock.now();
         self.state.known().entries.answered(now, &ask);
-        let table = self.state.tables.applied().version;
+        let table = self.state.tables.applied_table().version;
         let evacuations = self.state.tables.evacuated();
         let evacuations = Some(evacuations).filter(|held| held.revision() > ask.evacuations);
         let known = self.state.known();
@@ -253,7 +253,7 @@
     }
 
     async fn fetch(self, _: Context, ask: Fetch) -> Table {
-        let table = self.state.tables.applied();
+        let table = self.state.tables.applied_table();
         let newer = table.version > ask.have;
         Table {
             version: table.version,
