--- a/crates/control/examples/capacity.rs
+++ b/crates/control/examples/capacity.rs
@@ -1,7 +1,7 @@
 //! Measures control replicas on loopback with real syncs, as key=value lines.
 //!
 //! `cargo run --release -p control --example capacity -- [FOLDER]`; the folder
-//! should lie on the disk that counts. It ends within a minute, also on a busy machine.
+//! should be on the disk to measure. The run takes less than a minute.
 
 use std::error::Error;
 use std::fs;
@@ -37,9 +37,9 @@
 
 type Failure = Box<dyn Error + Send + Sync>;
 
-const PATIENCE: Duration = Duration::from_secs(10);
-const SPAN: Duration = Duration::from_secs(1);
-const RETRY: Duration = Duration::from_millis(2);
+const TIMEOUT: Duration = Duration::from_secs(10);
+const RUN_TIME: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_millis(2);
 const HOLD_MS: u32 = 600_000;
 
 #[tokio::main]
@@ -48,7 +48,7 @@
         .nth(1)
         .map_or_else(|| PathBuf::from("target/capacity"), PathBuf::from);
     let _ = fs::remove_dir_all(&folder);
-    // Before anything else has freed memory that would be taken again.
+    // Runs first, as reuse of freed memory would distort the figures.
     for count in [10_000, 50_000, 200_000] {
         memory(count)?;
     }
@@ -88,17 +88,17 @@
         client(self.replicas[index].rpc()).await
     }
 
-    /// Clients of the leader and of one that follows.
+    /// Clients of the leader and of a follower.
     async fn leader_first(&self) -> Result<[ControlApiClient; 2], Failure> {
         loop {
             for index in 0..self.replicas.len() {
                 let api = self.client(index).await?;
-                if api.status(within(PATIENCE)).await?.role() == Role::Leader {
+                if api.status(within(TIMEOUT)).await?.role() == Role::Leader {
                     let other = self.client((index + 1) % self.replicas.len()).await?;
                     return Ok([api, other]);
                 }
             }
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
@@ -132,17 +132,24 @@
     let mut first = 0;
     for (place, api) in ["leader", "follower"].into_iter().zip(apis) {
         let bytes = log_bytes(&data)?;
-        let begun = Instant::now();
+        let start = Instant::now();
         let tasks: Vec<_> = (0..workers)
-            .map(|w| tokio::spawn(work(api.clone(), first + w, workers, begun + SPAN)))
+            .map(|w| {
+                tokio::spawn(run_claims(
+                    api.clone(),
+                    first + w,
+                    workers,
+                    start + RUN_TIME,
+                ))
+            })
             .collect();
         let mut all = Histogram::<u64>::new(3)?;
         for task in tasks {
             all.add(task.await??)?;
         }
         first += 100_000_000;
-        let millis = u64::try_from(begun.elapsed().as_millis())?.max(1);
-        // A snapshot meanwhile cuts the log, and the figure means nothing.
+        let millis = u64::try_from(start.elapsed().as_millis())?.max(1);
+        // Meaningless if a snapshot truncates the log during the measurement.
         let grown = log_bytes(&data)?.saturating_sub(bytes) / 3 / all.len().max(1);
         let rate = all.len() * 1_000 / millis;
         println!(
@@ -157,24 +164,24 @@
     Ok(())
 }
 
-async fn work(
+async fn run_claims(
     api: ControlApiClient,
     first: u64,
     step: u64,
-    end: Instant,
+    deadline: Instant,
 ) -> Result<Histogram<u64>, Failure> {
-    let mut spans = Histogram::new(3)?;
+    let mut latencies = Histogram::new(3)?;
     let mut number = first;
-    while Instant::now() < end {
-        let begun = Instant::now();
-        let reply = api.claim(within(PATIENCE), claim(number)).await?;
+    while Instant::now() < deadline {
+        let start = Instant::now();
+        let reply = api.claim(within(TIMEOUT), claim(number)).await?;
         if !matches!(reply.kind, Some(claim_reply::Kind::Granted(_))) {
             return Err(format!("claim {number}: {reply:?}").into());
         }
-        spans.record(micros(begun))?;
+        latencies.record(elapsed_micros(start))?;
         number += step;
     }
-    Ok(spans)
+    Ok(latencies)
 }
 
 fn log_bytes(data: &Path) -> Result<u64, Failure> {
@@ -213,32 +220,32 @@
     }
 }
 
-/// Changes one after another, from `from` on.
+/// Proposes changes one after another with the base versions `from..to`.
 async fn fill(api: &ControlApiClient, from: u64, to: u64) -> Result<Histogram<u64>, Failure> {
-    let mut spans = Histogram::new(3)?;
+    let mut latencies = Histogram::new(3)?;
     for base in from..to {
-        let begun = Instant::now();
-        let reply = api.propose(within(PATIENCE), change(base)).await?;
+        let start = Instant::now();
+        let reply = api.propose(within(TIMEOUT), change(base)).await?;
         if !matches!(reply.kind, Some(change_reply::Kind::Accepted(_))) {
             return Err(format!("change {base}: {reply:?}").into());
         }
-        spans.record(micros(begun))?;
+        latencies.record(elapsed_micros(start))?;
     }
-    Ok(spans)
+    Ok(latencies)
 }
 
-/// How long a change takes to be accepted, and to be seen by a follow on another replica.
+/// Latency of accepting a change, and of a follow on another replica returning it.
 async fn changes(folder: &Path, count: usize) -> Result<(), Failure> {
     let mut group = Group::start(&folder.join("changes"), count, 4096).await?;
     let [leader, follower] = group.leader_first().await?;
     let at_leader = fill(&leader, 0, 300).await?;
     let at_follower = fill(&follower, 300, 600).await?;
-    for (place, spans) in [("leader", at_leader), ("follower", at_follower)] {
+    for (place, latencies) in [("leader", at_leader), ("follower", at_follower)] {
         println!(
             "measure=change replicas={count} at={place} changes={} p50_us={} p99_us={}",
-            spans.len(),
-            spans.value_at_quantile(0.5),
-            spans.value_at_quantile(0.99),
+            latencies.len(),
+            latencies.value_at_quantile(0.5),
+            latencies.value_at_quantile(0.99),
         );
     }
     let mut seen = Histogram::<u64>::new(3)?;
@@ -249,12 +256,12 @@
         };
         let waiting = tokio::spawn({
             let api = follower.clone();
-            async move { api.follow(within(PATIENCE), ask).await }
+            async move { api.follow(within(TIMEOUT), ask).await }
         });
-        let begun = Instant::now();
+        let start = Instant::now();
         fill(&leader, base, base + 1).await?;
         waiting.await??;
-        seen.record(micros(begun))?;
+        seen.record(elapsed_micros(start))?;
     }
     println!(
         "measure=follow replicas={count} changes={} p50_us={} p99_us={}",
@@ -266,43 +273,43 @@
     Ok(())
 }
 
-/// Processor time of a replica that does nothing but keep its group.
+/// Processor time of an idle replica.
 async fn idle(folder: &Path, count: usize) -> Result<(), Failure> {
     let mut group = Group::start(&folder.join("idle"), count, 4096).await?;
     group.leader_first().await?;
-    let before = processor()?;
-    tokio::time::sleep(SPAN).await;
-    let spent = processor()? - before;
-    let share = spent * 1_000_000 / u64::try_from(SPAN.as_millis())? / count as u64;
+    let before = processor_ms()?;
+    tokio::time::sleep(RUN_TIME).await;
+    let spent = processor_ms()? - before;
+    let share = spent * 1_000_000 / u64::try_from(RUN_TIME.as_millis())? / count as u64;
     println!("measure=idle replicas={count} core_ppm_per_replica={share}");
     group.kill().await;
     Ok(())
 }
 
 /// Processor time of this process in milliseconds.
-fn processor() -> Result<u64, Failure> {
+fn processor_ms() -> Result<u64, Failure> {
     let text = fs::read_to_string("/proc/self/stat")?;
     let rest = text.rsplit(')').next().ok_or("stat has no name")?;
     let fields: Vec<&str> = rest.split_whitespace().collect();
     let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<u64>().ok());
     let sum = ticks(11).zip(ticks(12)).ok_or("stat has no times")?;
-    // The system counts in hundredths of a second.
+    // The kernel reports ticks of 10 ms.
     Ok((sum.0 + sum.1) * 10)
 }
 
-/// How long until every replica confirms the last version after all were killed.
+/// Time until every replica confirms the last version after a restart of all.
 async fn restart(folder: &Path, count: u64) -> Result<(), Failure> {
     let mut group = Group::start(&folder.join("restart"), 3, 4096).await?;
     let [api, _] = group.leader_first().await?;
     fill(&api, 0, count).await?;
     group.kill().await;
-    let begun = Instant::now();
+    let start = Instant::now();
     let mut replicas = Vec::new();
     for settings in &group.settings {
         let one = control::start(settings.clone(), telemetry::log::silent());
         replicas.push(one.await?);
     }
-    let opened = begun.elapsed();
+    let opened = start.elapsed();
     for replica in &replicas {
         let api = client(replica.rpc()).await?;
         loop {
@@ -310,17 +317,17 @@
                 have: 0,
                 wait_ms: 0,
             };
-            let reply = api.follow(within(PATIENCE), ask).await?;
+            let reply = api.follow(within(TIMEOUT), ask).await?;
             if reply.confirmed && reply.version == count {
                 break;
             }
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
     println!(
         "measure=restart replicas=3 changes={count} opened_ms={} ready_ms={} log_bytes={}",
         opened.as_millis(),
-        begun.elapsed().as_millis(),
+        start.elapsed().as_millis(),
         log_bytes(&folder.join("restart"))? / 3,
     );
     for replica in &mut replicas {
@@ -331,9 +338,9 @@
 
 /// Memory and snapshot bytes of ledger records that are in flight.
 fn memory(count: u64) -> Result<(), Failure> {
-    let before = resident()?;
+    let before = resident_bytes()?;
     let mut state_machine = StateMachine::default();
-    let begun = Instant::now();
+    let start = Instant::now();
     for number in 0..count {
         let mut one = claim(number);
         one.service = format!("grants-{}", number % 8);
@@ -346,9 +353,9 @@
         };
         state_machine.apply(&command.encode_to_vec().into())?;
     }
-    let applied = begun.elapsed();
-    let grown = resident()?.saturating_sub(before);
-    let begun = Instant::now();
+    let applied = start.elapsed();
+    let grown = resident_bytes()?.saturating_sub(before);
+    let start = Instant::now();
     let snapshot = state_machine.snapshot();
     println!(
         "measure=ledger records={} resident_bytes_per_record={} snapshot_bytes_per_record={} \
@@ -357,20 +364,20 @@
         grown / count,
         snapshot.len() as u64 / count,
         applied.as_nanos() / u128::from(count),
-        begun.elapsed().as_millis(),
+        start.elapsed().as_millis(),
     );
-    // The next size must not reuse this one's memory unseen.
+    // Keeps the memory allocated, as the next measurement must not reuse it.
     let kept = Arc::new(state_machine);
     std::mem::forget(Arc::clone(&kept));
     Ok(())
 }
 
-fn resident() -> Result<u64, Failure> {
+fn resident_bytes() -> Result<u64, Failure> {
     let text = fs::read_to_string("/proc/self/statm")?;
     let pages = text.split(' ').nth(1).ok_or("statm has no second field")?;
     Ok(pages.parse::<u64>()? * 4096)
 }
 
-fn micros(begun: Instant) -> u64 {
-    u64::try_from(begun.elapsed().as_micros()).unwrap_or(u64::MAX)
+fn elapsed_micros(start: Instant) -> u64 {
+    u64::try_from(start.elapsed().as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Clients and groups for the tests of the control replicas.
+//! Clients, groups and sample requests for tests of control replicas.
 #![allow(dead_code, reason = "each test binary uses its own part")]
 
 pub mod process;
@@ -37,12 +37,12 @@
 use wire::peer;
 use wire::peer::ControlLink;
 
-/// Longer than any step of a test takes, for what must come in the end.
-pub const PATIENCE: Duration = Duration::from_mins(1);
-/// Between two looks at what must come in the end.
-pub const PAUSE: Duration = Duration::from_millis(20);
+/// Time limit for a condition that must eventually hold.
+pub const TIMEOUT: Duration = Duration::from_mins(1);
+/// Interval between checks of such a condition.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A fresh folder for one test.
+/// Creates an empty folder for a test.
 pub fn folder(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&path);
@@ -50,12 +50,12 @@
     path
 }
 
-/// A started group with the settings to start each replica again.
+/// Starts a group and returns the settings for restarting each replica.
 pub async fn start(name: &str, count: usize) -> (Vec<Settings>, Vec<Control>) {
     start_with(name, count, |_| {}).await
 }
 
-/// A started group with settings that were changed first.
+/// Like [`start`], with settings modified by `change`.
 pub async fn start_with(
     name: &str,
     count: usize,
@@ -69,20 +69,20 @@
     (settings, replicas)
 }
 
-/// Starts a replica again from its folder.
+/// Restarts a replica from its data folder.
 pub async fn restart(settings: &Settings) -> Control {
     control::start(settings.clone(), telemetry::log::silent())
         .await
         .expect("starts again")
 }
 
-/// A client of one replica.
+/// A client of a replica.
 pub struct Client {
     link: ControlLink,
 }
 
 impl Client {
-    /// Connects when first used.
+    /// Creates a client, which connects on first use.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             link: peer::control(address),
@@ -94,121 +94,121 @@
         self.link.client().await
     }
 
-    /// One proposal; an error is a lost answer.
+    /// Proposes a change once. After an error its outcome is unknown.
     pub async fn propose(&self, change: &Change) -> Result<change_reply::Kind, LinkError> {
         let api = self.api().await?;
-        let result = api.propose(within(PATIENCE), change.clone()).await;
+        let result = api.propose(within(TIMEOUT), change.clone()).await;
         let reply: ChangeReply = self.link.judge(result)?;
         Ok(reply.kind.expect("a reply has a kind"))
     }
 
-    /// Proposes until there is a certain answer.
-    pub async fn propose_surely(&self, change: &Change) -> change_reply::Kind {
-        let tries = async {
+    /// Proposes a change until its outcome is known.
+    pub async fn propose_with_retry(&self, change: &Change) -> change_reply::Kind {
+        let attempts = async {
             loop {
                 match self.propose(change).await {
                     Ok(change_reply::Kind::Uncertain(_)) | Err(_) => {
-                        tokio::time::sleep(PAUSE).await;
+                        tokio::time::sleep(POLL_INTERVAL).await;
                     }
                     Ok(kind) => return kind,
                 }
             }
         };
-        tokio::time::timeout(PATIENCE, tries)
+        tokio::time::timeout(TIMEOUT, attempts)
             .await
             .expect("a certain answer")
     }
 
-    /// One follow.
+    /// Sends a follow request.
     pub async fn follow(&self, have: u64, wait_ms: u32) -> Result<FollowReply, LinkError> {
         let api = self.api().await?;
-        let result = api.follow(within(PATIENCE), Follow { have, wait_ms }).await;
+        let result = api.follow(within(TIMEOUT), Follow { have, wait_ms }).await;
         self.link.judge(result)
     }
 
-    /// Follows until `version` is confirmed.
-    pub async fn reaches(&self, version: u64) -> FollowReply {
-        let tries = async {
+    /// Follows until a version of at least `version` is confirmed.
+    pub async fn wait_for_version(&self, version: u64) -> FollowReply {
+        let attempts = async {
             loop {
                 match self.follow(0, 0).await {
                     Ok(reply) if reply.confirmed && reply.version >= version => return reply,
-                    _ => tokio::time::sleep(PAUSE).await,
+                    _ => tokio::time::sleep(POLL_INTERVAL).await,
                 }
             }
         };
-        tokio::time::timeout(PATIENCE, tries)
+        tokio::time::timeout(TIMEOUT, attempts)
             .await
             .expect("the version is reached")
     }
 
-    /// One claim.
+    /// Sends a claim once.
     pub async fn claim(&self, claim: &Claim) -> Result<claim_reply::Kind, LinkError> {
         let api = self.api().await?;
-        let result = api.claim(within(PATIENCE), claim.clone()).await;
+        let result = api.claim(within(TIMEOUT), claim.clone()).await;
         let reply = self.link.judge(result)?;
         Ok(reply.kind.expect("a reply has a kind"))
     }
 
-    /// Claims until a quorum answers.
-    pub async fn claim_surely(&self, claim: &Claim) -> claim_reply::Kind {
-        let tries = async {
+    /// Repeats a claim until a quorum answers it.
+    pub async fn claim_with_retry(&self, claim: &Claim) -> claim_reply::Kind {
+        let attempts = async {
             loop {
                 match self.claim(claim).await {
                     Ok(claim_reply::Kind::Unreachable(_)) | Err(_) => {
-                        tokio::time::sleep(PAUSE).await;
+                        tokio::time::sleep(POLL_INTERVAL).await;
                     }
                     Ok(kind) => return kind,
                 }
             }
         };
-        tokio::time::timeout(PATIENCE, tries)
+        tokio::time::timeout(TIMEOUT, attempts)
             .await
             .expect("a certain answer")
     }
 
-    /// Settles until a quorum answers that it is recorded.
-    pub async fn settle_surely(&self, settle: &Settle) {
-        let tries = async {
+    /// Repeats a settlement until it is recorded.
+    pub async fn settle_with_retry(&self, settle: &Settle) {
+        let attempts = async {
             loop {
                 let api = self.api().await;
                 if let Ok(api) = api {
-                    let result = api.settle(within(PATIENCE), settle.clone()).await;
+                    let result = api.settle(within(TIMEOUT), settle.clone()).await;
                     if self.link.judge(result).is_ok_and(|r| r.recorded) {
                         return;
                     }
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(PATIENCE, tries)
+        tokio::time::timeout(TIMEOUT, attempts)
             .await
             .expect("recorded");
     }
 
-    /// One change of the group.
+    /// Requests a membership change once.
     pub async fn change_group(
         &self,
         kind: membership::Kind,
     ) -> Result<membership_reply::Kind, LinkError> {
         let api = self.api().await?;
         let ask = Membership { kind: Some(kind) };
-        let result = api.change_membership(within(PATIENCE), ask).await;
+        let result = api.change_membership(within(TIMEOUT), ask).await;
         let reply = self.link.judge(result)?;
         Ok(reply.kind.expect("a reply has a kind"))
     }
 
-    /// Asks for a change of the group until it is done.
-    pub async fn change_group_surely(&self, kind: membership::Kind) {
-        let tries = async {
+    /// Repeats a membership change until it is done.
+    pub async fn change_group_with_retry(&self, kind: membership::Kind) {
+        let attempts = async {
             loop {
                 let reply = self.change_group(kind.clone()).await;
                 if matches!(reply, Ok(membership_reply::Kind::Done(_))) {
                     return;
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(PATIENCE, tries).await.expect("done");
+        tokio::time::timeout(TIMEOUT, attempts).await.expect("done");
     }
 
     /// All accepted changes.
@@ -218,7 +218,7 @@
             let from = items.last().map_or(0, |item| item.version + 1);
             let query = HistoryQuery { from, most: 256 };
             let api = self.api().await.expect("connects");
-            let result = api.history(within(PATIENCE), query).await;
+            let result = api.history(within(TIMEOUT), query).await;
             let page = self.link.judge(result).expect("history").items;
             if page.is_empty() {
                 return items;
@@ -227,14 +227,14 @@
         }
     }
 
-    /// The replica's view of itself.
+    /// The status of the replica.
     pub async fn status(&self) -> Result<Status, LinkError> {
         let api = self.api().await?;
-        self.link.judge(api.status(within(PATIENCE)).await)
+        self.link.judge(api.status(within(TIMEOUT)).await)
     }
 }
 
-/// A claim of `key`, told apart by `number`.
+/// A claim of `key` with an id made from `number`.
 pub fn claim(key: &str, number: u8, hold_ms: u32) -> Claim {
     Claim {
         service: "grants".into(),
@@ -246,7 +246,7 @@
     }
 }
 
-/// The settlement of a claim as done, with `body` as the answer.
+/// A settlement that records a claim as done with the answer `body`.
 pub fn done(claim: &Claim, body: &'static [u8]) -> Settle {
     Settle {
         service: claim.service.clone(),
@@ -264,17 +264,17 @@
     }
 }
 
-/// Which of the replicas leads, once one does and the others agree.
+/// Waits until all replicas agree on a leader and returns its index.
 pub async fn leader(clients: &[Client]) -> usize {
-    let tries = async {
+    let attempts = async {
         loop {
             if let Some(found) = find_leader(clients).await {
                 return found;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(PATIENCE, tries)
+    tokio::time::timeout(TIMEOUT, attempts)
         .await
         .expect("a leader")
 }
@@ -292,12 +292,12 @@
     ids.iter().position(|id| agreed && *id == first)
 }
 
-/// Clients of all replicas.
+/// Clients of the replicas.
 pub fn clients(replicas: &[Control]) -> Vec<Client> {
     replicas.iter().map(|r| Client::new(r.rpc())).collect()
 }
 
-/// A change that puts one service.
+/// A change that adds or replaces one service.
 pub fn change(id: &str, base: u64, service: &str) -> Change {
     Change {
         id: id.into(),
@@ -309,7 +309,7 @@
     }
 }
 
-/// An entry that is valid.
+/// A valid catalogue entry.
 pub fn entry(service: &str) -> Entry {
     Entry {
         service: service.into(),
@@ -326,7 +326,7 @@
     }
 }
 
-/// The version of an accepted change.
+/// The version of an accepted change; panics on any other reply.
 pub fn accepted(kind: &change_reply::Kind) -> u64 {
     match kind {
         change_reply::Kind::Accepted(accepted) => accepted.version,
--- a/crates/control/tests/common/process.rs
+++ b/crates/control/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! Control replicas as processes of their own.
+//! Control replicas as separate processes.
 
 use std::fs;
 use std::io::BufRead;
@@ -18,26 +18,27 @@
 use std::sync::mpsc;
 use std::thread;
 
-use super::PATIENCE;
+use super::TIMEOUT;
 
-/// One replica's files and addresses.
+/// The files and addresses of a replica.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its settings file.
+    /// The settings file.
     pub config: PathBuf,
-    /// Its data folder.
+    /// The data folder.
     pub data: PathBuf,
-    /// Where clients connect.
+    /// The address for clients.
     pub rpc: SocketAddr,
-    /// Where other replicas connect.
+    /// The address for other replicas.
     pub replica: SocketAddr,
 }
 
-/// Writes settings for a founding group below `folder`.
+/// Writes the settings of a founding group to `folder`.
 pub fn plan(folder: &Path, count: usize) -> Vec<Plan> {
     let host = loopback();
-    let addresses: Vec<(SocketAddr, SocketAddr)> =
-        (0..count).map(|_| (free(host), free(host))).collect();
+    let addresses: Vec<(SocketAddr, SocketAddr)> = (0..count)
+        .map(|_| (free_address(host), free_address(host)))
+        .collect();
     let initial: Vec<String> = addresses.iter().map(|(_, r)| r.to_string()).collect();
     let initial = initial.join(", ");
     let plans = addresses.iter().enumerate();
@@ -46,10 +47,10 @@
         .collect()
 }
 
-/// Writes settings for a replica that joins a group later.
+/// Writes the settings of a replica that joins a group later.
 pub fn joiner(folder: &Path, number: usize) -> Plan {
     let host = loopback();
-    write(folder, number, free(host), free(host), "")
+    write(folder, number, free_address(host), free_address(host), "")
 }
 
 fn write(
@@ -76,14 +77,14 @@
     }
 }
 
-/// Makes sizes so small that some hundred changes pass several snapshots.
-pub fn take_snapshots(plan: &Plan) {
+/// Reduces the size limits so that a few hundred changes cause several snapshots.
+pub fn use_small_snapshots(plan: &Plan) {
     let mut text = fs::read_to_string(&plan.config).expect("settings");
     text.push_str("\n[store]\nsegment = 64KiB\nsnapshot = 64KiB\n");
     fs::write(&plan.config, text).expect("settings");
 }
 
-/// A loopback address that no other test process uses.
+/// A loopback address that no other test process uses, so that ports do not collide.
 fn loopback() -> IpAddr {
     static NEXT: AtomicU16 = AtomicU16::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
@@ -92,12 +93,12 @@
     IpAddr::V4(Ipv4Addr::new(127, high.max(1), low, last))
 }
 
-fn free(host: IpAddr) -> SocketAddr {
+fn free_address(host: IpAddr) -> SocketAddr {
     let listener = TcpListener::bind((host, 0)).expect("binds");
     listener.local_addr().expect("address")
 }
 
-/// A running process; it is killed when dropped.
+/// A running replica process, killed on drop.
 pub struct Process {
     child: Child,
 }
@@ -106,17 +107,17 @@
     /// Starts a replica and waits until it is ready.
     pub fn start(plan: &Plan) -> Self {
         let (process, ready) = Self::spawn(plan);
-        ready.recv_timeout(PATIENCE).expect("ready line");
+        ready.recv_timeout(TIMEOUT).expect("ready line");
         process
     }
 
-    /// Starts all replicas.
+    /// Starts all replicas and waits until they are ready.
     pub fn start_all(plans: &[Plan]) -> Vec<Self> {
         let started: Vec<_> = plans.iter().map(Self::spawn).collect();
         started
             .into_iter()
             .map(|(process, ready)| {
-                ready.recv_timeout(PATIENCE).expect("ready line");
+                ready.recv_timeout(TIMEOUT).expect("ready line");
                 process
             })
             .collect()
@@ -144,25 +145,25 @@
         (Self { child }, ready)
     }
 
-    /// SIGKILL.
+    /// Sends SIGKILL and waits for the process to end.
     pub fn kill(mut self) {
         self.child.kill().expect("kills");
         self.child.wait().expect("ends");
     }
 
-    /// SIGTERM, and the exit status.
+    /// Sends SIGTERM and returns the exit status.
     pub fn terminate(mut self) -> ExitStatus {
         self.signal("-TERM");
         self.child.wait().expect("ends")
     }
 
-    /// SIGSTOP.
-    pub fn freeze(&self) {
+    /// Suspends the process with SIGSTOP.
+    pub fn suspend(&self) {
         self.signal("-STOP");
     }
 
-    /// SIGCONT.
-    pub fn thaw(&self) {
+    /// Resumes the process with SIGCONT.
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
--- a/crates/control/tests/test_convert.rs
+++ b/crates/control/tests/test_convert.rs
@@ -1,4 +1,4 @@
-//! What goes to the wire and the disk comes back the same.
+//! Data lost or changed by a conversion to the wire or disk form and back.
 
 use std::collections::BTreeSet;
 
@@ -109,24 +109,24 @@
             term: Term(4),
             body,
         };
-        let got = message::from_wire(&message::to_wire(&sent)).expect("reads");
-        assert_eq!(got, sent);
+        let converted = message::from_wire(&message::to_wire(&sent)).expect("reads");
+        assert_eq!(converted, sent);
     }
 }
 
 #[test]
 fn test_convert_snapshots_come_back_the_same() {
-    let kept = Snapshot {
+    let snapshot = Snapshot {
         position: position(),
         config: config(),
         data: "state".into(),
     };
-    let got = convert::snapshot(&convert::snapshot_to_wire(&kept)).expect("reads");
-    assert_eq!(got, kept);
+    let converted = convert::snapshot(&convert::snapshot_to_wire(&snapshot)).expect("reads");
+    assert_eq!(converted, snapshot);
 }
 
 #[test]
-fn test_convert_what_is_no_message_is_refused() {
+fn test_convert_malformed_messages_are_refused() {
     let good = message::to_wire(&Message {
         from: ReplicaId(1),
         to: ReplicaId(2),
--- a/crates/control/tests/test_faults.rs
+++ b/crates/control/tests/test_faults.rs
@@ -1,9 +1,9 @@
-//! What a replica does when its disk fails under it.
+//! Acknowledged changes that are lost, or damage that goes unnoticed, when a disk fails.
 
 mod common;
 
 use common::Client;
-use common::PATIENCE;
+use common::TIMEOUT;
 use common::accepted;
 use common::change;
 use common::clients;
@@ -22,9 +22,9 @@
 use store::memory::Fault;
 use wire::catalogue::change_reply::Kind;
 
-/// More changes than the disk has room for.
-const MOST: u64 = 5_000;
-const FIRST: &str = "log-00000000000000000001";
+/// Upper limit on the changes sent; the disk is full before.
+const MAX_CHANGES: u64 = 5_000;
+const FIRST_SEGMENT: &str = "log-00000000000000000001";
 
 async fn start_on(settings: &mut Settings, disk: &MemoryDisk) -> Result<Control, ControlError> {
     let bound = bind(settings).await.expect("binds");
@@ -37,20 +37,20 @@
         .await
 }
 
-fn alone(name: &str) -> Settings {
+fn single_replica(name: &str) -> Settings {
     let mut settings = group::local(&folder(name), 1).expect("settings").remove(0);
     settings.timing.ask = std::time::Duration::from_secs(1);
     settings
 }
 
-/// What the replica stopped with.
-async fn ended(replica: &mut Control) -> ControlError {
-    let end = tokio::time::timeout(PATIENCE, replica.ended()).await;
-    end.expect("it stops by itself")
+/// Waits until the replica stops on its own and returns its error.
+async fn stop_error(replica: &mut Control) -> ControlError {
+    let end = tokio::time::timeout(TIMEOUT, replica.ended()).await;
+    end.expect("the replica stops on its own")
         .expect_err("with a failure")
 }
 
-/// How a write fails, and what stays of it after the crash.
+/// How a write fails, and how much of it is on disk after the crash.
 struct Case {
     name: &'static str,
     fault: Fault,
@@ -82,17 +82,17 @@
     ];
     for case in cases {
         let disk = MemoryDisk::default();
-        let mut settings = alone(case.name);
+        let mut settings = single_replica(case.name);
         let mut replica = start_on(&mut settings, &disk).await.expect("starts");
         let client = Client::new(replica.rpc());
-        let first = client.propose_surely(&change("c-1", 0, "status")).await;
+        let first = client.propose_with_retry(&change("c-1", 0, "status")).await;
         assert_eq!(accepted(&first), 1, "{}", case.name);
 
         disk.arm(case.fault);
         let reply = client.propose(&change("c-2", 1, "grants")).await;
         let acknowledged = matches!(reply, Ok(Kind::Accepted(_)));
         assert!(!acknowledged, "{}: acknowledged", case.name);
-        let err = ended(&mut replica).await;
+        let err = stop_error(&mut replica).await;
         match err {
             ControlError::Driver(DriverError::Store(StoreError::Full(_))) => assert!(case.full),
             ControlError::Driver(DriverError::Store(StoreError::Io(Operation::Sync, ..))) => {
@@ -105,8 +105,8 @@
         disk.crash();
         let mut replica = start_on(&mut settings, &disk).await.expect("starts again");
         let client = Client::new(replica.rpc());
-        assert_eq!(client.reaches(1).await.version, 1, "{}", case.name);
-        let again = client.propose_surely(&change("c-2", 1, "grants")).await;
+        assert_eq!(client.wait_for_version(1).await.version, 1, "{}", case.name);
+        let again = client.propose_with_retry(&change("c-2", 1, "grants")).await;
         assert_eq!(accepted(&again), 2, "{}", case.name);
         replica.kill().await;
     }
@@ -115,24 +115,24 @@
 #[tokio::test]
 async fn test_faults_half_written_snapshot_loses_nothing() {
     let disk = MemoryDisk::default();
-    let mut settings = alone("faults-snapshot");
+    let mut settings = single_replica("faults-snapshot");
     settings.sizes.snapshot = conf::value::Bytes(64 * 1024);
     let mut replica = start_on(&mut settings, &disk).await.expect("starts");
     let client = Client::new(replica.rpc());
     let service = |base: u64| format!("service-{base:0100}");
-    // The log has room for what leads to the snapshot, but not for the snapshot.
+    // The disk has room for the log up to the snapshot, but not for the snapshot.
     disk.arm(Fault::Full(100_000));
     let mut version = 0;
-    while version < MOST {
+    while version < MAX_CHANGES {
         let next = change(&format!("c-{version}"), version, &service(version));
         match client.propose(&next).await {
             Ok(Kind::Accepted(done)) => version = done.version,
-            // A busy machine: the same change goes again.
+            // On a slow host the change may time out; it is sent again.
             Ok(Kind::Uncertain(_)) => {}
             _ => break,
         }
     }
-    let err = ended(&mut replica).await;
+    let err = stop_error(&mut replica).await;
     let ControlError::Driver(DriverError::Store(StoreError::Full(file))) = err else {
         panic!("{err}");
     };
@@ -142,23 +142,23 @@
     disk.crash();
     let mut replica = start_on(&mut settings, &disk).await.expect("starts again");
     let client = Client::new(replica.rpc());
-    assert!(client.reaches(version).await.version >= version);
+    assert!(client.wait_for_version(version).await.version >= version);
     replica.kill().await;
 }
 
 #[tokio::test]
 async fn test_faults_damaged_record_stops_the_start() {
     let cases = [
-        (FIRST, 40, Damage::Frame),
+        (FIRST_SEGMENT, 40, Damage::Frame),
         ("identity", 14, Damage::Identity),
         ("snapshot-00000000000000000000", 14, Damage::Snapshot),
     ];
     for (file, offset, damage) in cases {
         let disk = MemoryDisk::default();
-        let mut settings = alone("faults-damage");
+        let mut settings = single_replica("faults-damage");
         let mut replica = start_on(&mut settings, &disk).await.expect("starts");
         let client = Client::new(replica.rpc());
-        client.propose_surely(&change("c-1", 0, "status")).await;
+        client.propose_with_retry(&change("c-1", 0, "status")).await;
         replica.kill().await;
         disk.flip(file, offset);
         match start_on(&mut settings, &disk).await {
@@ -191,21 +191,32 @@
         replicas.push(started.expect("starts"));
     }
     let clients = clients(&replicas);
-    clients[0].propose_surely(&change("c-1", 0, "status")).await;
-    let led = leader(&clients).await;
+    clients[0]
+        .propose_with_retry(&change("c-1", 0, "status"))
+        .await;
+    let leading = leader(&clients).await;
 
-    disks[led].arm(Fault::Sync(0));
+    disks[leading].arm(Fault::Sync(0));
     let second = change("c-2", 1, "grants");
-    let reply = clients[(led + 1) % 3].propose_surely(&second).await;
+    let reply = clients[(leading + 1) % 3].propose_with_retry(&second).await;
     assert_eq!(accepted(&reply), 2);
-    let mut failed = replicas.remove(led);
-    ended(&mut failed).await;
-    disks[led].crash();
-    let bound = bind(&settings[led]).await.expect("binds again");
+    let mut failed = replicas.remove(leading);
+    stop_error(&mut failed).await;
+    disks[leading].crash();
+    let bound = bind(&settings[leading]).await.expect("binds again");
     let log = telemetry::log::silent();
-    let disk = Box::new(disks[led].clone());
-    let back = bound.start(settings[led].clone(), disk, log).await;
-    let back = back.expect("starts again");
-    assert_eq!(Client::new(back.rpc()).reaches(2).await.version, 2);
-    assert_eq!(accepted(&clients[led].propose_surely(&second).await), 2);
+    let disk = Box::new(disks[leading].clone());
+    let restarted = bound.start(settings[leading].clone(), disk, log).await;
+    let restarted = restarted.expect("starts again");
+    assert_eq!(
+        Client::new(restarted.rpc())
+            .wait_for_version(2)
+            .await
+            .version,
+        2
+    );
+    assert_eq!(
+        accepted(&clients[leading].propose_with_retry(&second).await),
+        2
+    );
 }
--- a/crates/control/tests/test_founding.rs
+++ b/crates/control/tests/test_founding.rs
@@ -1,4 +1,4 @@
-//! How a group comes to be, and that it never does twice.
+//! A group that is founded twice, too early, or with members not in its settings.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::Client;
-use common::PAUSE;
+use common::POLL_INTERVAL;
 use common::change;
 use common::clients;
 use common::folder;
@@ -21,25 +21,27 @@
 use wire::replica::Found;
 use wire::replica::Group;
 
-/// Long enough for many rounds of questions.
-const ROUNDS: Duration = Duration::from_millis(800);
+/// Time for many rounds of the founding protocol.
+const ROUNDS_DURATION: Duration = Duration::from_millis(800);
 
 #[tokio::test]
 async fn test_founding_emptied_founder_founds_no_second_group() {
     let (settings, mut replicas) = start("founding-emptied", 3).await;
     let clients = clients(&replicas);
-    clients[0].propose_surely(&change("c-1", 0, "status")).await;
+    clients[0]
+        .propose_with_retry(&change("c-1", 0, "status"))
+        .await;
     let address = |s: &Settings| s.replica.address.to_string();
-    let least = (0..3)
+    let lowest = (0..3)
         .min_by_key(|i| address(&settings[*i]))
         .expect("three");
-    let mut old = replicas.remove(least);
-    let old_id = old.id();
-    old.kill().await;
-    std::fs::remove_dir_all(&settings[least].data).expect("removes");
-    let emptied = restart(&settings[least]).await;
-    assert_ne!(emptied.id(), old_id);
-    tokio::time::sleep(ROUNDS).await;
+    let mut founder = replicas.remove(lowest);
+    let founder_id = founder.id();
+    founder.kill().await;
+    std::fs::remove_dir_all(&settings[lowest].data).expect("removes");
+    let emptied = restart(&settings[lowest]).await;
+    assert_ne!(emptied.id(), founder_id);
+    tokio::time::sleep(ROUNDS_DURATION).await;
     let status = Client::new(emptied.rpc()).status().await;
     let status = status.expect("answers");
     assert_eq!(status.id, emptied.id());
@@ -64,7 +66,7 @@
     drop(bound);
     let first = restart(&settings[0]).await;
     let second = restart(&settings[1]).await;
-    tokio::time::sleep(ROUNDS).await;
+    tokio::time::sleep(ROUNDS_DURATION).await;
     for one in &settings[..2] {
         let status = Client::new(one.rpc).status().await.expect("answers");
         assert!(status.replicas.is_empty(), "founded without the third");
@@ -72,7 +74,7 @@
     let third = restart(&settings[2]).await;
     for replica in [&first, &second, &third] {
         let client = Client::new(replica.rpc());
-        client.reaches(0).await;
+        client.wait_for_version(0).await;
         let status = client.status().await.expect("answers");
         assert_eq!(status.replicas.len(), 3);
     }
@@ -82,7 +84,7 @@
 async fn test_founding_refuses_a_group_that_is_not_its_own() {
     let (settings, replicas) = start("founding-refuses", 3).await;
     let clients = clients(&replicas);
-    clients[0].reaches(0).await;
+    clients[0].wait_for_version(0).await;
     let replica = |id: u64, address: &SocketAddr| Replica {
         id,
         address: address.to_string(),
@@ -115,16 +117,16 @@
             }),
         };
         let link = link::replica(*own);
-        let taken = link::found(&link, &Partition::default(), ask, common::PATIENCE).await;
+        let taken = link::found(&link, &Partition::default(), ask, common::TIMEOUT).await;
         assert!(!taken.expect("answers"), "{name}");
     }
-    // The founded group is as it was.
+    // The existing group is unchanged.
     loop {
         let status = clients[0].status().await.expect("answers");
         if status.leader != 0 {
             assert_eq!(status.replicas.len(), 3);
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/control/tests/test_freeze.rs
+++ b/crates/control/tests/test_freeze.rs
@@ -1,9 +1,9 @@
-//! A replica that the system stops, and that goes on much later.
+//! Stale reads confirmed by a replica that was suspended and later resumed.
 
 mod common;
 
 use common::Client;
-use common::PAUSE;
+use common::POLL_INTERVAL;
 use common::accepted;
 use common::change;
 use common::folder;
@@ -11,42 +11,44 @@
 use common::process::Process;
 use common::process::plan;
 
-/// Follows that are asked of the thawed replica.
-const LOOKS: usize = 50;
-/// Changes that are accepted meanwhile.
+/// Follow requests sent to the resumed replica.
+const READS: usize = 50;
+/// Changes accepted while the replica is suspended.
 const CHANGES: u64 = 100;
 
 #[tokio::test]
-async fn test_freeze_thawed_leader_confirms_nothing_old() {
-    freeze("freeze-leader", 0).await;
+async fn test_freeze_resumed_leader_confirms_no_stale_read() {
+    suspend("freeze-leader", 0).await;
 }
 
 #[tokio::test]
-async fn test_freeze_thawed_follower_confirms_nothing_old() {
-    freeze("freeze-follower", 1).await;
+async fn test_freeze_resumed_follower_confirms_no_stale_read() {
+    suspend("freeze-follower", 1).await;
 }
 
-/// Freezes the replica that is `distance` after the leader.
-async fn freeze(name: &str, distance: usize) {
+/// Suspends the replica that is `distance` places after the leader.
+async fn suspend(name: &str, distance: usize) {
     let plans = plan(&folder(name), 3);
     let processes = Process::start_all(&plans);
     let clients: Vec<Client> = plans.iter().map(|p| Client::new(p.rpc)).collect();
-    clients[0].propose_surely(&change("c-0", 0, "status")).await;
-    let frozen = (leader(&clients).await + distance) % 3;
-    clients[frozen].reaches(1).await;
+    clients[0]
+        .propose_with_retry(&change("c-0", 0, "status"))
+        .await;
+    let suspended = (leader(&clients).await + distance) % 3;
+    clients[suspended].wait_for_version(1).await;
 
-    processes[frozen].freeze();
-    let other = &clients[(frozen + 1) % 3];
+    processes[suspended].suspend();
+    let other = &clients[(suspended + 1) % 3];
     for base in 1..CHANGES {
         let next = change(&format!("c-{base}"), base, "grants");
-        assert_eq!(accepted(&other.propose_surely(&next).await), base + 1);
+        assert_eq!(accepted(&other.propose_with_retry(&next).await), base + 1);
     }
-    processes[frozen].thaw();
-    for _ in 0..LOOKS {
-        let reply = clients[frozen].follow(0, 0).await.expect("answers");
-        let old = reply.confirmed && reply.version != CHANGES;
-        assert!(!old, "confirmed {}", reply.version);
-        tokio::time::sleep(PAUSE / 10).await;
+    processes[suspended].resume();
+    for _ in 0..READS {
+        let reply = clients[suspended].follow(0, 0).await.expect("answers");
+        let stale = reply.confirmed && reply.version != CHANGES;
+        assert!(!stale, "confirmed {}", reply.version);
+        tokio::time::sleep(POLL_INTERVAL / 10).await;
     }
-    clients[frozen].reaches(CHANGES).await;
+    clients[suspended].wait_for_version(CHANGES).await;
 }
--- a/crates/control/tests/test_group.rs
+++ b/crates/control/tests/test_group.rs
@@ -11,10 +11,12 @@
 async fn test_group_accepts_a_change_that_all_follow() {
     let (_, replicas) = start("group-accepts", 3).await;
     let clients = clients(&replicas);
-    let kind = clients[1].propose_surely(&change("c-1", 0, "status")).await;
+    let kind = clients[1]
+        .propose_with_retry(&change("c-1", 0, "status"))
+        .await;
     assert_eq!(accepted(&kind), 1);
     for client in &clients {
-        let reply = client.reaches(1).await;
+        let reply = client.wait_for_version(1).await;
         let catalogue = reply.catalogue.expect("newer than nothing");
         assert_eq!(catalogue.entries[0].service, "status");
     }
--- a/crates/control/tests/test_join.rs
+++ b/crates/control/tests/test_join.rs
@@ -1,13 +1,13 @@
-//! Replicas that are taken in without an operator, and what the log keeps of
-//! route tables and announcements.
+//! Replicas that fail to join without an operator, and route tables, announcements or
+//! evacuations lost in a restart.
 
 mod common;
 
 use std::net::SocketAddr;
 
 use base::prelude::*;
-use common::PATIENCE;
-use common::PAUSE;
+use common::POLL_INTERVAL;
+use common::TIMEOUT;
 use common::folder;
 use common::restart;
 use common::start;
@@ -29,15 +29,15 @@
     }
 }
 
-async fn put(desk: &LocalClient, table: Table) -> TableOutcome {
-    let tries = async {
+async fn put_table(client: &LocalClient, table: Table) -> TableOutcome {
+    let attempts = async {
         loop {
-            if let Some(reply) = desk.put(table.clone()).await {
+            if let Some(reply) = client.put(table.clone()).await {
                 return reply.outcome();
             }
         }
     };
-    tokio::time::timeout(PATIENCE, tries)
+    tokio::time::timeout(TIMEOUT, attempts)
         .await
         .expect("a leader answers in the end")
 }
@@ -48,16 +48,16 @@
     }
 }
 
-/// What a majority confirms, however long that takes.
-async fn read(desk: &LocalClient) -> u64 {
-    desk.read(PATIENCE).await.expect("a majority").version
+/// The version of the route table, confirmed by a majority.
+async fn read(client: &LocalClient) -> u64 {
+    client.read(TIMEOUT).await.expect("a majority").version
 }
 
-/// Waits until a replica votes in a group of exactly these addresses.
-async fn votes(replica: &Control, group: &[SocketAddr]) {
+/// Waits until a replica knows a group with exactly these addresses as voters.
+async fn wait_until_voter(replica: &Control, group: &[SocketAddr]) {
     let mut expected: Vec<String> = group.iter().map(ToString::to_string).collect();
     expected.sort_unstable();
-    let tries = async {
+    let attempts = async {
         loop {
             let replicas = replica.local_client().replicas().await;
             let mut voters: Vec<String> = replicas
@@ -69,20 +69,20 @@
             if voters == expected {
                 return;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(PATIENCE, tries)
+    tokio::time::timeout(TIMEOUT, attempts)
         .await
-        .expect("the group takes it in");
+        .expect("the group adds the replica");
 }
 
 fn addresses(settings: &[Settings]) -> Vec<SocketAddr> {
     settings.iter().map(|s| s.replica.address).collect()
 }
 
-/// The settings of a replica that knows nothing but whom to ask.
-fn joining(settings: &Settings, seeds: Vec<SocketAddr>) -> Settings {
+/// The settings of a replica without a founding group, which asks `seeds` to join.
+fn joining_settings(settings: &Settings, seeds: Vec<SocketAddr>) -> Settings {
     let mut settings = settings.clone();
     settings.replica.initial = Vec::new();
     settings.replica.seeds = seeds;
@@ -92,22 +92,22 @@
 #[tokio::test]
 async fn test_join_highest_version_wins_and_first_content_under_it() {
     let (settings, mut replicas) = start("join-versions", 3).await;
-    let desk = replicas[0].local_client();
+    let client = replicas[0].local_client();
     let other = replicas[1].local_client();
-    assert_eq!(put(desk, table(4, "a")).await, TableOutcome::Taken);
-    assert_eq!(put(other, table(4, "a")).await, TableOutcome::Held);
-    assert_eq!(put(other, table(4, "b")).await, TableOutcome::Differs);
-    assert_eq!(put(other, table(3, "c")).await, TableOutcome::Older);
+    assert_eq!(put_table(client, table(4, "a")).await, TableOutcome::Taken);
+    assert_eq!(put_table(other, table(4, "a")).await, TableOutcome::Held);
+    assert_eq!(put_table(other, table(4, "b")).await, TableOutcome::Differs);
+    assert_eq!(put_table(other, table(3, "c")).await, TableOutcome::Older);
     assert_eq!(read(other).await, 4);
     assert_eq!(&other.applied_table().content[..], b"a");
     kill(&mut replicas).await;
-    let mut again = Vec::new();
+    let mut restarted = Vec::new();
     for one in &settings {
-        again.push(restart(one).await);
+        restarted.push(restart(one).await);
     }
-    assert_eq!(read(again[2].local_client()).await, 4);
+    assert_eq!(read(restarted[2].local_client()).await, 4);
     assert_eq!(
-        &again[2].local_client().applied_table().source[..],
+        &restarted[2].local_client().applied_table().source[..],
         b"as sent"
     );
 }
@@ -125,25 +125,25 @@
         sequence,
         ..Instance::default()
     };
-    let desk = replicas[0].local_client();
+    let client = replicas[0].local_client();
     for row in [
         instance("i-1", Phase::Ready, 1),
         instance("i-2", Phase::Ready, 1),
         instance("i-2", Phase::Draining, 2),
-        // Late, and so without effect.
+        // Out of order, and so ignored.
         instance("i-2", Phase::Ready, 1),
     ] {
-        while !desk.register(row.clone()).await {
-            tokio::time::sleep(PAUSE).await;
+        while !client.register(row.clone()).await {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     kill(&mut replicas).await;
-    let mut again = Vec::new();
+    let mut restarted = Vec::new();
     for one in &settings {
-        again.push(restart(one).await);
+        restarted.push(restart(one).await);
     }
-    let _ = read(again[1].local_client()).await;
-    let registry = again[1].local_client().registry();
+    let _ = read(restarted[1].local_client()).await;
+    let registry = restarted[1].local_client().registry();
     let phase = |id| registry.get(id).map(Instance::phase);
     assert_eq!(phase("i-1"), Some(Phase::Ready));
     assert_eq!(phase("i-2"), Some(Phase::Draining));
@@ -153,39 +153,39 @@
 async fn test_join_evacuations_outlive_a_restart_of_all() {
     let (settings, mut replicas) = start("join-evacuations", 3).await;
     let [a, b] = ["a", "b"].map(|name| DomainName::new(name).expect("a name"));
-    let order = async |desk: &LocalClient, domain, evacuated| {
-        let tries = async {
+    let order = async |client: &LocalClient, domain, evacuated| {
+        let attempts = async {
             loop {
-                let outcome = desk.evacuate(domain, evacuated, PATIENCE).await;
+                let outcome = client.evacuate(domain, evacuated, TIMEOUT).await;
                 if let Some(outcome) = outcome {
                     return outcome;
                 }
             }
         };
-        let outcome = tokio::time::timeout(PATIENCE, tries).await;
+        let outcome = tokio::time::timeout(TIMEOUT, attempts).await;
         outcome.expect("a leader answers in the end")
     };
     let (one, two) = (replicas[0].local_client(), replicas[1].local_client());
     assert_eq!(order(one, &a, true).await, Outcome::Taken);
-    // Each order is made from what a majority confirms, so that none counts as overtaken.
+    // Each order is based on confirmed evacuations, so that none is rejected as outdated.
     assert_eq!(order(two, &a, true).await, Outcome::Held);
     assert_eq!(order(two, &b, true).await, Outcome::Taken);
     assert_eq!(order(one, &a, false).await, Outcome::Taken);
     kill(&mut replicas).await;
-    let mut again = Vec::new();
+    let mut restarted = Vec::new();
     for one in &settings {
-        again.push(restart(one).await);
+        restarted.push(restart(one).await);
     }
-    let held = again[2].local_client().evacuations(PATIENCE).await;
-    let held = held.expect("a majority");
-    assert!(!held.is_evacuated(&a) && held.is_evacuated(&b));
+    let evacuations = restarted[2].local_client().evacuations(TIMEOUT).await;
+    let evacuations = evacuations.expect("a majority");
+    assert!(!evacuations.is_evacuated(&a) && evacuations.is_evacuated(&b));
 }
 
 #[tokio::test]
-async fn test_join_emptied_replica_comes_back_as_another_one() {
+async fn test_join_emptied_replica_rejoins_with_a_new_id() {
     let (settings, mut replicas) = start("join-emptied", 3).await;
     assert_eq!(
-        put(replicas[0].local_client(), table(7, "a")).await,
+        put_table(replicas[0].local_client(), table(7, "a")).await,
         TableOutcome::Taken
     );
     let mut lost = replicas.remove(2);
@@ -193,32 +193,34 @@
     lost.kill().await;
     std::fs::remove_dir_all(&settings[2].data).expect("removes");
     let all = addresses(&settings);
-    let back = restart(&joining(&settings[2], all.clone())).await;
-    assert_ne!(back.id(), id);
-    votes(&back, &all).await;
-    // It counts: with one of the others gone, it and the last one are the majority.
+    let rejoined = restart(&joining_settings(&settings[2], all.clone())).await;
+    assert_ne!(rejoined.id(), id);
+    wait_until_voter(&rejoined, &all).await;
+    // With another replica killed, the rejoined one is needed for a majority.
     replicas.remove(0).kill().await;
-    assert_eq!(read(back.local_client()).await, 7);
+    assert_eq!(read(rejoined.local_client()).await, 7);
     assert_eq!(
-        put(back.local_client(), table(8, "b")).await,
+        put_table(rejoined.local_client(), table(8, "b")).await,
         TableOutcome::Taken
     );
 }
 
 #[tokio::test]
 async fn test_join_replacement_at_another_address_takes_the_place_of_the_lost_one() {
-    // The leader lets a silent voter go by itself only in a group that has seeds.
+    // The leader removes a silent voter on its own only when seeds are configured.
     let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
     let (settings, mut replicas) =
         start_with("join-replaced", 3, |s| s.replica.seeds = vec![nobody]).await;
     assert_eq!(
-        put(replicas[0].local_client(), table(7, "a")).await,
+        put_table(replicas[0].local_client(), table(7, "a")).await,
         TableOutcome::Taken
     );
     replicas.remove(2).kill().await;
-    let mut fresh = joining(&settings[2], addresses(&settings[..2]));
+    let mut fresh = joining_settings(&settings[2], addresses(&settings[..2]));
     fresh.data = folder("join-replaced-fresh");
-    let bound = control::bind(&free(&fresh)).await.expect("binds");
+    let bound = control::bind(&with_free_ports(&fresh))
+        .await
+        .expect("binds");
     fresh.rpc = bound.rpc();
     fresh.replica.listen = bound.replica();
     fresh.replica.address = bound.replica();
@@ -233,12 +235,12 @@
         settings[1].replica.address,
         fresh.replica.address,
     ];
-    votes(&new, &group).await;
+    wait_until_voter(&new, &group).await;
     assert_eq!(read(new.local_client()).await, 7);
 }
 
-/// The same settings on free ports.
-fn free(settings: &Settings) -> Settings {
+/// The same settings with free ports.
+fn with_free_ports(settings: &Settings) -> Settings {
     let mut settings = settings.clone();
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     settings.rpc = any;
--- a/crates/control/tests/test_port.rs
+++ b/crates/control/tests/test_port.rs
@@ -1,4 +1,4 @@
-//! What comes to a port that is no request.
+//! Malformed input on a port that affects other clients or is not rejected.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// Bytes that come, and whether the replica closes the connection for them.
+/// Bytes sent to a port, and whether the replica closes the connection.
 struct Case {
     name: &'static str,
     bytes: Vec<u8>,
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn test_port_garbage_touches_nobody_else() {
+async fn test_port_garbage_does_not_affect_other_clients() {
     let (_, replicas) = start("port-garbage", 3).await;
     let clients = clients(&replicas);
     let mut version = 0;
@@ -67,7 +67,7 @@
                     idle.push(stream);
                 }
                 let next = change(&format!("c-{version}"), version, "status");
-                let kind = clients[0].propose_surely(&next).await;
+                let kind = clients[0].propose_with_retry(&next).await;
                 version += 1;
                 assert_eq!(accepted(&kind), version, "{}", case.name);
             }
@@ -82,8 +82,8 @@
     if case.closed {
         let mut rest = Vec::new();
         let read = stream.read_to_end(&mut rest);
-        let end = tokio::time::timeout(common::PATIENCE, read).await;
-        // A reset is an end, too.
+        let end = tokio::time::timeout(common::TIMEOUT, read).await;
+        // A connection reset also counts as closed.
         let _ = end.expect(case.name);
         assert!(rest.is_empty(), "{}", case.name);
     }
--- a/crates/control/tests/test_replace.rs
+++ b/crates/control/tests/test_replace.rs
@@ -1,27 +1,28 @@
-//! A replica's disk is lost and replaced, and a second one right after the repair.
+//! Loss of acknowledged changes when one disk after another is lost and replaced, and votes
+//! of a replica with an emptied data folder.
 
 mod common;
 
 use common::Client;
-use common::PAUSE;
+use common::POLL_INTERVAL;
 use common::accepted;
 use common::change;
 use common::folder;
 use common::process::Plan;
 use common::process::Process;
 use common::process::plan;
-use common::process::take_snapshots;
+use common::process::use_small_snapshots;
 use wire::catalogue::Change;
 use wire::catalogue::change_reply::Kind;
 use wire::control::Replica;
 use wire::control::Role;
 use wire::control::membership;
 
-/// How much lies behind the replicas when the first disk is lost.
+/// The length of the log when the first disk is lost.
 struct Case {
     name: &'static str,
     changes: u64,
-    /// The log before is gone, so that the new replica needs a snapshot.
+    /// The log is compacted, so that the new replica needs a snapshot.
     snapshots: bool,
 }
 
@@ -39,22 +40,22 @@
 ];
 
 /// Kills a replica and empties its data folder.
-fn lose(process: Process, plan: &Plan) {
+fn kill_and_empty(process: Process, plan: &Plan) {
     process.kill();
     std::fs::remove_dir_all(&plan.data).expect("removes");
 }
 
-/// Adds whoever answers at the plan's address and removes `old`.
-async fn repair(client: &Client, plan: &Plan, old: u64) {
+/// Adds the replica at the plan's address and removes `old`.
+async fn replace_member(client: &Client, plan: &Plan, old: u64) {
     let added = Replica {
         address: plan.replica.to_string(),
         ..Replica::default()
     };
     client
-        .change_group_surely(membership::Kind::Add(added))
+        .change_group_with_retry(membership::Kind::Add(added))
         .await;
     client
-        .change_group_surely(membership::Kind::Remove(old))
+        .change_group_with_retry(membership::Kind::Remove(old))
         .await;
 }
 
@@ -62,7 +63,7 @@
     loop {
         match client.status().await {
             Ok(status) if status.id != 0 => return status.id,
-            _ => tokio::time::sleep(PAUSE).await,
+            _ => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
@@ -74,7 +75,7 @@
 
 async fn fill(client: &Client, from: u64, to: u64) {
     for base in from..to {
-        let kind = client.propose_surely(&numbered(base)).await;
+        let kind = client.propose_with_retry(&numbered(base)).await;
         assert_eq!(accepted(&kind), base + 1);
     }
 }
@@ -89,7 +90,7 @@
 async fn second_loss(case: &Case) {
     let plans = plan(&folder(case.name), 3);
     if case.snapshots {
-        plans.iter().for_each(take_snapshots);
+        plans.iter().for_each(use_small_snapshots);
     }
     let clients: Vec<Client> = plans.iter().map(|p| Client::new(p.rpc)).collect();
     let [a, b, c] = <[Process; 3]>::try_from(Process::start_all(&plans))
@@ -100,23 +101,23 @@
     assert_eq!(first > 1, case.snapshots, "{}", case.name);
 
     let old = id(&clients[2]).await;
-    lose(c, &plans[2]);
+    kill_and_empty(c, &plans[2]);
     let c = Process::start(&plans[2]);
     let new = id(&clients[2]).await;
     assert_ne!(new, old, "an emptied folder is another replica");
-    repair(&clients[0], &plans[2], old).await;
+    replace_member(&clients[0], &plans[2], old).await;
 
-    // The repair is finished: the next loss may come at once.
+    // Once the membership changes are done, a further loss must be tolerated.
     let old = id(&clients[1]).await;
-    lose(b, &plans[1]);
-    let reply = clients[2].reaches(case.changes).await;
+    kill_and_empty(b, &plans[1]);
+    let reply = clients[2].wait_for_version(case.changes).await;
     assert_eq!(reply.version, case.changes);
     assert_eq!(clients[2].history().await.len() as u64, case.changes);
     fill(&clients[2], case.changes, case.changes + 5).await;
 
     let b = Process::start(&plans[1]);
-    repair(&clients[2], &plans[1], old).await;
-    clients[1].reaches(case.changes + 5).await;
+    replace_member(&clients[2], &plans[1], old).await;
+    clients[1].wait_for_version(case.changes + 5).await;
     let status = clients[0].status().await.expect("answers");
     assert_eq!(status.replicas.len(), 3);
     assert!(status.replicas.iter().all(|r| r.voter));
@@ -124,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn test_replace_emptied_replica_is_no_vote() {
+async fn test_replace_emptied_replica_does_not_vote() {
     let plans = plan(&folder("replace-vote"), 3);
     let clients: Vec<Client> = plans.iter().map(|p| Client::new(p.rpc)).collect();
     let [a, b, c] = <[Process; 3]>::try_from(Process::start_all(&plans))
@@ -132,12 +133,12 @@
         .expect("three");
     fill(&clients[0], 0, 1).await;
     for client in &clients {
-        client.reaches(1).await;
+        client.wait_for_version(1).await;
     }
-    // Two of three are lost, and one comes back empty at its old address: were
-    // it to vote as its old self, the one that is left would have a majority.
+    // Two of three replicas are lost, and one restarts with an empty data folder. If it
+    // voted under its old id, it would form a majority with the remaining replica.
     b.kill();
-    lose(c, &plans[2]);
+    kill_and_empty(c, &plans[2]);
     let c = Process::start(&plans[2]);
     let emptied = id(&clients[2]).await;
     let reply = clients[0].propose(&numbered(1)).await;
@@ -145,10 +146,13 @@
     let status = clients[2].status().await.expect("answers");
     assert_eq!(status.id, emptied);
     assert_eq!(status.role(), Role::Learner);
-    assert!(status.replicas.is_empty(), "it founded a group of its own");
+    assert!(
+        status.replicas.is_empty(),
+        "the emptied replica founded a group"
+    );
     assert_eq!(status.commit, 0);
 
-    // With the second one back the group goes on, and has lost nothing.
+    // Once the killed replica is back, the group continues without loss.
     let b = Process::start(&plans[1]);
     fill(&clients[1], 1, 3).await;
     drop((a, b, c));
--- a/crates/control/tests/test_settings.rs
+++ b/crates/control/tests/test_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a control replica.
+//! Invalid settings that are accepted, and command lines with a wrong exit code.
 
 use std::process::Command;
 
@@ -25,10 +25,10 @@
 }
 
 #[test]
-fn test_settings_effective_ones_read_back_the_same() {
+fn test_settings_displayed_settings_read_back_the_same() {
     let settings = read(GOOD).expect("reads");
-    let again = read(&settings.to_string()).expect("reads back");
-    assert_eq!(settings, again);
+    let reparsed = read(&settings.to_string()).expect("reads back");
+    assert_eq!(settings, reparsed);
 }
 
 #[test]
@@ -103,7 +103,7 @@
     }
 }
 
-/// Arguments, the exit code, and a part of what is printed.
+/// Command line arguments, the expected exit code, and a part of the expected output.
 struct Case {
     arguments: &'static [&'static str],
     code: i32,
--- a/crates/control/tests/test_stop.rs
+++ b/crates/control/tests/test_stop.rs
@@ -1,4 +1,4 @@
-//! A graceful stop of the leader.
+//! Unanswered requests or a leaderless period when the leader stops gracefully.
 
 mod common;
 
@@ -8,25 +8,25 @@
 use common::start;
 use wire::ledger::claim_reply::Kind;
 
-/// Claims that are on their way while the leader stops.
+/// Claims sent while the leader stops.
 const CLAIMS: u8 = 50;
 
 #[tokio::test]
-async fn test_stop_hands_leadership_over_and_answers_what_is_open() {
+async fn test_stop_transfers_leadership_and_answers_open_requests() {
     let (_, mut replicas) = start("stop-leader", 3).await;
     let mut all = clients(&replicas);
-    let led = leader(&all).await;
-    let stopping = all.remove(led);
-    let replica = replicas.remove(led);
+    let leading = leader(&all).await;
+    let stopping = all.remove(leading);
+    let replica = replicas.remove(leading);
     let old = replica.id();
-    stopping.reaches(0).await;
+    stopping.wait_for_version(0).await;
 
-    let held = stopping.follow(0, 30_000);
+    let pending_follow = stopping.follow(0, 30_000);
     let claims = async {
         let mut granted = 0;
         for number in 1..=CLAIMS {
             let one = claim(&format!("key-{number}"), number, 60_000);
-            let reply = all[usize::from(number) % 2].claim_surely(&one).await;
+            let reply = all[usize::from(number) % 2].claim_with_retry(&one).await;
             assert!(matches!(reply, Kind::Granted(_)), "{reply:?}");
             granted += 1;
         }
@@ -35,18 +35,21 @@
     let stop = async {
         tokio::task::yield_now().await;
         replica.stop().await;
-        // Nobody had to find out that it was gone.
+        // The others know the new leader without an election timeout.
         for client in &all {
             let status = client.status().await.expect("answers");
-            assert_ne!(status.leader, old, "it still leads");
+            assert_ne!(
+                status.leader, old,
+                "the stopped replica is still the leader"
+            );
         }
     };
-    let (held, granted, ()) = tokio::join!(held, claims, stop);
-    held.expect("a held follow is answered");
+    let (pending_follow, granted, ()) = tokio::join!(pending_follow, claims, stop);
+    pending_follow.expect("the pending follow is answered");
     assert_eq!(granted, CLAIMS);
     for (number, client) in (1..=CLAIMS).zip(all.iter().cycle()) {
         let other = claim(&format!("key-{number}"), 200, 60_000);
-        let reply = client.claim_surely(&other).await;
+        let reply = client.claim_with_retry(&other).await;
         assert!(matches!(reply, Kind::InFlight(_)), "{reply:?}");
     }
 }
