--- a/crates/control/examples/capacity.rs
+++ b/crates/control/examples/capacity.rs
@@ -134,14 +134,7 @@
         let bytes = log_bytes(&data)?;
         let start = Instant::now();
         let tasks: Vec<_> = (0..workers)
-            .map(|w| {
-                tokio::spawn(run_claims(
-                    api.clone(),
-                    first + w,
-                    workers,
-                    start + RUN_TIME,
-                ))
-            })
+            .map(|w| tokio::spawn(worker(api.clone(), first + w, workers, start + RUN_TIME)))
             .collect();
         let mut all = Histogram::<u64>::new(3)?;
         for task in tasks {
@@ -164,7 +157,7 @@
     Ok(())
 }
 
-async fn run_claims(
+async fn worker(
     api: ControlApiClient,
     first: u64,
     step: u64,
--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -43,7 +43,7 @@
 use crate::peers::Peers;
 use crate::state_machine::StateMachine;
 use crate::state_machine::StateMachineError;
-use crate::tickets::Open;
+use crate::tickets::OpenRequest;
 use crate::tickets::Tickets;
 use crate::tickets::membership;
 use crate::writer::Reports;
@@ -58,7 +58,7 @@
 const MAX_BATCH: usize = 4096;
 /// Number of the write that stores a founding group; writes of the log start at 1.
 const FOUNDING_WRITE: WriteNumber = WriteNumber(0);
-/// Interval between checks for expired ledger records.
+/// Interval between checks for expired ledger records and surplus voters.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 /// Time after which a request to add a replica is answered as pending.
 const PENDING_AFTER: Duration = Duration::from_secs(2);
@@ -240,7 +240,7 @@
             }
             Input::Ask(ask, reply) => self.ask(ask, reply),
             Input::Read(reply) => {
-                let ticket = self.tickets.open(Open::Read(reply));
+                let ticket = self.tickets.open(OpenRequest::Read(reply));
                 self.step(Event::Read { ticket });
             }
             Input::Status(reply) => {
--- a/crates/control/src/driver/actions.rs
+++ b/crates/control/src/driver/actions.rs
@@ -35,7 +35,7 @@
 use crate::state_machine::StateMachine;
 use crate::state_machine::StateMachineError;
 use crate::tickets;
-use crate::tickets::Open;
+use crate::tickets::OpenRequest;
 
 /// Minimum ratio between the log size and the size of the last snapshot before a new
 /// snapshot is taken.
@@ -120,10 +120,10 @@
 
     fn reject(&mut self, ticket: Ticket, reason: &Rejection) {
         match self.tickets.take(ticket) {
-            Some(Open::Command(reply)) => {
+            Some(OpenRequest::Command(reply)) => {
                 let _ = reply.send(self.declined(reason));
             }
-            Some(Open::Group(reply, added, _)) => {
+            Some(OpenRequest::Membership(reply, added, _)) => {
                 let answer = match (reason, added) {
                     (Rejection::ChangeOpen, Some(id)) if self.group.learners.contains_key(&id) => {
                         self.pending_reply(id)
@@ -135,10 +135,10 @@
                 };
                 let _ = reply.send(answer);
             }
-            Some(Open::Read(reply)) => {
+            Some(OpenRequest::Read(reply)) => {
                 let _ = reply.send(false);
             }
-            Some(Open::Own) | None => {}
+            Some(OpenRequest::Internal) | None => {}
         }
     }
 
@@ -184,7 +184,7 @@
         info!(self.parts.log, "membership"; "voters" => voters, "learners" => learners);
     }
 
-    /// Logs low-volume outputs and counts the others.
+    /// Counts outputs, and logs all but the frequent claims and settlements.
     fn record_output(&self, index: Index, output: &Output) {
         match output {
             Output::Change { id, reply } => self.log_change(index, id, reply),
--- a/crates/control/src/driver/members.rs
+++ b/crates/control/src/driver/members.rs
@@ -23,7 +23,7 @@
 use crate::driver::Driver;
 use crate::driver::PENDING_AFTER;
 use crate::driver::propose::refused;
-use crate::tickets::Open;
+use crate::tickets::OpenRequest;
 use crate::tickets::membership;
 
 /// Time without contact after which a voter may be replaced by a joining replica.
@@ -57,7 +57,9 @@
             "address" => %member.address, "step" => format!("{change:?}"));
         let added = Some(member.id);
         let pending_at = self.clock.now() + PENDING_AFTER;
-        let ticket = self.tickets.open(Open::Group(reply, added, pending_at));
+        let ticket = self
+            .tickets
+            .open(OpenRequest::Membership(reply, added, pending_at));
         self.step(Event::Change { ticket, change });
     }
 
@@ -94,8 +96,9 @@
     }
 
     fn remove_silent_voter(&mut self, id: ReplicaId) {
-        info!(self.parts.log, "letting go"; "id" => id.0, "silent_ms" => SILENT_VOTER_TIMEOUT.as_millis());
-        let ticket = self.tickets.open(Open::Own);
+        info!(self.parts.log, "letting go"; "id" => id.0,
+            "silent_ms" => SILENT_VOTER_TIMEOUT.as_millis());
+        let ticket = self.tickets.open(OpenRequest::Internal);
         let change = Change::Remove(id);
         self.step(Event::Change { ticket, change });
     }
--- a/crates/control/src/driver/propose.rs
+++ b/crates/control/src/driver/propose.rs
@@ -29,7 +29,7 @@
 use crate::driver::EXPIRY_INTERVAL;
 use crate::driver::PENDING_AFTER;
 use crate::tickets;
-use crate::tickets::Open;
+use crate::tickets::OpenRequest;
 
 /// Maximum number of requests queued behind the current write; further ones are declined.
 const MAX_QUEUED: usize = 16_384;
@@ -78,7 +78,7 @@
 
     fn propose(&mut self, kind: Kind, reply: oneshot::Sender<AskReply>) {
         let data = self.command(kind);
-        let ticket = self.tickets.open(Open::Command(reply));
+        let ticket = self.tickets.open(OpenRequest::Command(reply));
         let before = self.actions.len();
         self.step(Event::Propose { ticket, data });
         let refused = self.actions[before..]
@@ -120,7 +120,7 @@
             kind: Some(wire::ledger::command::Kind::Expire(Expire {})),
         };
         let data = self.command(Kind::Ledger(ledger_command));
-        let ticket = self.tickets.open(Open::Own);
+        let ticket = self.tickets.open(OpenRequest::Internal);
         self.step(Event::Propose { ticket, data });
     }
 
@@ -144,7 +144,9 @@
             _ => None,
         };
         let pending_at = self.clock.now() + PENDING_AFTER;
-        let ticket = self.tickets.open(Open::Group(reply, added, pending_at));
+        let ticket = self
+            .tickets
+            .open(OpenRequest::Membership(reply, added, pending_at));
         self.step(Event::Change { ticket, change });
     }
 }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -102,7 +102,8 @@
                 .driver
                 .forward(ReplicaId(envelope.from), address, messages),
             Err(err) => {
-                debug!(self.log, "invalid replica message"; "from" => envelope.from, "error" => %err);
+                debug!(self.log, "invalid replica message";
+                    "from" => envelope.from, "error" => %err);
             }
         }
     }
--- a/crates/control/src/state_machine.rs
+++ b/crates/control/src/state_machine.rs
@@ -72,7 +72,7 @@
     Change {
         /// Id of the change.
         id: String,
-        /// What its operator is told.
+        /// The reply to the operator.
         reply: ChangeReply,
     },
     /// Result of a ledger claim.
@@ -91,7 +91,7 @@
         domain: String,
         /// Whether the order asks for an evacuation, or for its end.
         evacuated: bool,
-        /// What its operator is told.
+        /// The reply to the operator.
         reply: EvacuationReply,
     },
 }
--- a/crates/control/src/tickets.rs
+++ b/crates/control/src/tickets.rs
@@ -24,38 +24,38 @@
 
 /// An open request.
 #[derive(Debug)]
-pub enum Open {
+pub enum OpenRequest {
     /// A command for the state machine.
     Command(oneshot::Sender<AskReply>),
     /// A membership change: the replica that it adds, and the time from which it is
     /// answered as pending.
-    Group(oneshot::Sender<AskReply>, Option<ReplicaId>, Moment),
+    Membership(oneshot::Sender<AskReply>, Option<ReplicaId>, Moment),
     /// Confirmation that the applied state is current.
     Read(oneshot::Sender<bool>),
     /// A proposal of the driver itself, which needs no reply.
-    Own,
+    Internal,
 }
 
 /// All open requests, and the outputs of recently applied entries.
 #[derive(Debug, Default)]
 pub struct Tickets {
     next: u64,
-    open: HashMap<Ticket, Open>,
+    requests: HashMap<Ticket, OpenRequest>,
     outputs: BTreeMap<Index, Output>,
 }
 
 impl Tickets {
     /// Registers a request and returns its ticket.
-    pub fn open(&mut self, open: Open) -> Ticket {
+    pub fn open(&mut self, request: OpenRequest) -> Ticket {
         self.next += 1;
         let ticket = Ticket(self.next);
-        self.open.insert(ticket, open);
+        self.requests.insert(ticket, request);
         ticket
     }
 
     /// Retains an output while any request is open.
     pub fn store_output(&mut self, index: Index, output: Output) {
-        if self.open.is_empty() {
+        if self.requests.is_empty() {
             self.outputs.clear();
             return;
         }
@@ -68,24 +68,24 @@
     /// Answers a request whose entry was applied or whose read was confirmed.
     pub fn complete(&mut self, ticket: Ticket, index: Index) {
         let output = self.outputs.remove(&index);
-        match self.open.remove(&ticket) {
-            Some(Open::Command(reply)) => {
+        match self.requests.remove(&ticket) {
+            Some(OpenRequest::Command(reply)) => {
                 let kind = output.map_or_else(|| declined(None, true, "stopped"), to_reply);
                 let _ = reply.send(AskReply { kind: Some(kind) });
             }
-            Some(Open::Group(reply, ..)) => {
+            Some(OpenRequest::Membership(reply, ..)) => {
                 let _ = reply.send(membership(membership_reply::Kind::Done(MembershipDone {})));
             }
-            Some(Open::Read(reply)) => {
+            Some(OpenRequest::Read(reply)) => {
                 let _ = reply.send(true);
             }
-            Some(Open::Own) | None => {}
+            Some(OpenRequest::Internal) | None => {}
         }
     }
 
     /// Removes a request that the log has rejected.
-    pub fn take(&mut self, ticket: Ticket) -> Option<Open> {
-        self.open.remove(&ticket)
+    pub fn take(&mut self, ticket: Ticket) -> Option<OpenRequest> {
+        self.requests.remove(&ticket)
     }
 
     /// Removes additions whose reply is due at `now`.
@@ -94,22 +94,22 @@
         now: Moment,
     ) -> Vec<(oneshot::Sender<AskReply>, ReplicaId)> {
         let overdue: Vec<Ticket> = self
-            .open
+            .requests
             .iter()
-            .filter(|(_, open)| matches!(open, Open::Group(_, Some(_), pending_at) if *pending_at <= now))
+            .filter(|(_, r)| matches!(r, OpenRequest::Membership(_, Some(_), at) if *at <= now))
             .map(|(ticket, _)| *ticket)
             .collect();
         overdue
             .iter()
-            .filter_map(|ticket| match self.open.remove(ticket) {
-                Some(Open::Group(reply, Some(id), _)) => Some((reply, id)),
+            .filter_map(|ticket| match self.requests.remove(ticket) {
+                Some(OpenRequest::Membership(reply, Some(id), _)) => Some((reply, id)),
                 _ => None,
             })
             .collect()
     }
 }
 
-/// The reply to a request that was not processed; `uncertain` if it may still take effect.
+/// The reply to a request that was declined; `uncertain` if it may still take effect.
 #[must_use]
 pub fn declined(leader: Option<ReplicaId>, uncertain: bool, reason: &str) -> Kind {
     Kind::Declined(Declined {
