--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,12 +1,10 @@
-//! A control replica: the catalogue and the at-most-once ledger, replicated.
+//! A control replica, which replicates the catalogue and the at-most-once ledger.
 //!
-//! One task owns the replicated log and the applied state ([`driver`]), one
-//! thread the data folder ([`writer`]). Other replicas are reached through
-//! bounded queues ([`peers`]); directories, gateways and operators through
-//! [`control`]. How a group comes to be on its very first start stands in
-//! [`founding`].
+//! The [`driver`] task owns the replicated log and the [`state_machine`]; the [`writer`]
+//! thread owns the data folder. Messages to other replicas go through bounded queues
+//! ([`peers`]). [`control`] serves directories, gateways and operators. [`founding`]
+//! bootstraps a new group, and [`joining`] adds replicas to an existing one.
 
-pub mod asker;
 pub mod control;
 pub mod convert;
 pub mod driver;
@@ -16,21 +14,22 @@
 pub mod handle;
 pub mod input;
 pub mod joining;
+pub mod leader_client;
 pub mod link;
-pub mod machine;
+pub mod local_client;
+pub mod partition;
 pub mod peers;
 pub mod replica;
 pub mod server;
 pub mod settings;
-pub mod switch;
-pub mod table;
+pub mod state_machine;
 pub mod tickets;
 pub mod writer;
 
 pub use error::ControlError;
 pub use handle::Control;
+pub use local_client::LocalClient;
 pub use server::Bound;
 pub use server::bind;
 pub use server::start;
 pub use settings::Settings;
-pub use table::TableDesk;
--- a/crates/hub/src/server.rs
+++ b/crates/hub/src/server.rs
@@ -178,7 +178,7 @@
     /// After a full outage, entry processes without a table receive this one at once instead of
     /// after the election.
     fn is_recovered(&self) -> bool {
-        !self.state.tables.is_led() && self.state.tables.applied().version > 0
+        !self.state.tables.has_seen_leader() && self.state.tables.applied_table().version > 0
     }
 
     fn record_watch(&self, request: &Watch) {
@@ -208,7 +208,7 @@
         let update = self.wait_for_changes(&request).await;
         let now = self.state.clock.now();
         self.state.lock().entries.watch_answered(now, &request);
-        let table = self.state.tables.applied().version;
+        let table = self.state.tables.applied_table().version;
         let evacuations = self.state.tables.evacuated();
         let evacuations =
             Some(evacuations).filter(|domains| domains.revision() > request.evacuations);
@@ -255,7 +255,7 @@
     }
 
     async fn fetch(self, _: Context, request: Fetch) -> Table {
-        let table = self.state.tables.applied();
+        let table = self.state.tables.applied_table();
         let newer = table.version > request.have;
         Table {
             version: table.version,
--- a/crates/hub/src/state.rs
+++ b/crates/hub/src/state.rs
@@ -9,7 +9,7 @@
 
 use base::prelude::*;
 use bytes::Bytes;
-use control::TableDesk;
+use control::LocalClient;
 use quarantine::Revision;
 use quarantine::Tracker;
 use registry::ApplyOutcome;
@@ -57,7 +57,7 @@
     /// The clock of the process.
     pub clock: Clock,
     /// Access to the replicated log.
-    pub tables: TableDesk,
+    pub tables: LocalClient,
     /// The logger.
     pub log: Logger,
     /// Publishes the cursor of the registry.
@@ -72,7 +72,7 @@
 impl State {
     /// Creates the state of a hub that has just started.
     #[must_use]
-    pub fn new(settings: Settings, tables: TableDesk, log: Logger) -> Arc<Self> {
+    pub fn new(settings: Settings, tables: LocalClient, log: Logger) -> Arc<Self> {
         Arc::new(Self {
             settings,
             epoch: rand::random::<u64>().max(1),
