--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -25,9 +25,9 @@
 use tokio::time::Instant;
 use tokio::time::timeout_at;
 
-use crate::ask::Ask;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
+use crate::request_head::Ask;
 
 type BoxError = Box<dyn std::error::Error + Send + std::marker::Sync>;
 
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -12,7 +12,6 @@
 use http::Method;
 use tokio::sync::oneshot;
 
-use crate::ask::Ask;
 use crate::body::Payload;
 use crate::call::driver::Driver;
 use crate::core::Core;
@@ -20,6 +19,7 @@
 use crate::queue::Slot;
 use crate::refusal::Refusal;
 use crate::relay::Relayed;
+use crate::request_head::Ask;
 
 mod answers;
 mod driver;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The decisions are state machines of the crates `route`, `attempt`, `admit`
 //! and `measure`; this crate is their adapter to sockets and time. A request
-//! goes through [`serve`], [`ask`], [`body`], for class once [`keyed`], and
+//! goes through [`serve`], [`request_head`], [`body`], for class once [`keyed`], and
 //! [`call`]; what is known of catalogue and instances comes through [`sync`]
 //! into one immutable [`view`].
 
@@ -20,7 +20,6 @@
 use tokio::sync::watch;
 use wire::directory::HostPhase;
 
-pub mod ask;
 pub mod body;
 pub mod call;
 pub mod claims;
@@ -36,6 +35,7 @@
 pub mod queue;
 pub mod refusal;
 pub mod relay;
+pub mod request_head;
 pub mod rounds;
 pub mod rpc;
 pub mod serve;
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -29,8 +29,6 @@
 use tokio_util::sync::CancellationToken;
 use uuid::Uuid;
 
-use crate::ask;
-use crate::ask::Ask;
 use crate::body;
 use crate::body::Keep;
 use crate::call;
@@ -42,6 +40,8 @@
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
 use crate::relay::Relayed;
+use crate::request_head;
+use crate::request_head::Ask;
 
 /// When to come back where nothing better is known.
 pub const RETRY: Duration = Duration::from_secs(1);
@@ -143,7 +143,7 @@
         match self.call(&id, request).await {
             Ok(relayed) => relay(relayed, response),
             Err(refusal) => {
-                let service = ask::service_name(request.headers()).ok();
+                let service = request_head::service_name(request.headers()).ok();
                 self.refuse(&id, service.as_ref(), refusal, response);
             }
         }
--- a/crates/gateway/tests/test_keyed.rs
+++ b/crates/gateway/tests/test_keyed.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use gateway::ask::Ask;
 use gateway::body::Payload;
 use gateway::call;
 use gateway::refusal::Reason;
+use gateway::request_head::Ask;
 use http::HeaderMap;
 use http::Method;
 use reqwest::RequestBuilder;
