--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -12,10 +12,10 @@
 use http::Method;
 use tokio::sync::oneshot;
 
+use crate::balancer::Desk;
 use crate::body::Payload;
 use crate::call::driver::Driver;
 use crate::core::Core;
-use crate::desk::Desk;
 use crate::queue::Slot;
 use crate::refusal::Refusal;
 use crate::relay::Relayed;
--- a/crates/gateway/src/call/driver.rs
+++ b/crates/gateway/src/call/driver.rs
@@ -23,6 +23,7 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep_until;
 
+use crate::balancer::Desk;
 use crate::call::Request;
 use crate::call::Result;
 use crate::call::flow::Arrived;
@@ -36,7 +37,6 @@
 use crate::call::terms;
 use crate::core::Core;
 use crate::counters::add;
-use crate::desk::Desk;
 use crate::headers;
 use crate::headers::Told;
 use crate::lanes::Lane;
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -10,10 +10,10 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
+use crate::balancer::Desks;
 use crate::body::Memory;
 use crate::claims::Claims;
 use crate::counters::Counters;
-use crate::desk::Desks;
 use crate::flying::Flying;
 use crate::lanes::Lanes;
 use crate::probes::Prober;
--- a/crates/gateway/src/keyed.rs
+++ b/crates/gateway/src/keyed.rs
@@ -31,11 +31,11 @@
 use xxhash_rust::xxh3::Xxh3;
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::balancer::Desk;
 use crate::call;
 use crate::call::Request;
 use crate::core::Core;
 use crate::counters::add;
-use crate::desk::Desk;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
 use crate::relay::Broken;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -20,12 +20,12 @@
 use tokio::sync::watch;
 use wire::directory::HostPhase;
 
+pub mod balancer;
 pub mod body;
 pub mod call;
 pub mod claims;
 pub mod core;
 pub mod counters;
-pub mod desk;
 pub mod door;
 pub mod flying;
 pub mod headers;
--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -24,10 +24,10 @@
 use tokio::time::sleep_until;
 use tokio::time::timeout;
 
+use crate::balancer::Desk;
 use crate::core::Core;
 use crate::core::Phase;
 use crate::counters::add;
-use crate::desk::Desk;
 use crate::lanes::Outgoing;
 use crate::rounds::Round;
 use crate::rounds::Rounds;
--- a/crates/gateway/src/track.rs
+++ b/crates/gateway/src/track.rs
@@ -12,7 +12,7 @@
 use route::Ticket;
 use tokio::sync::OwnedSemaphorePermit;
 
-use crate::desk::Desk;
+use crate::balancer::Desk;
 
 /// One attempt in flight; its drop is its end.
 #[derive(Debug)]
