--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -20,13 +20,13 @@
 use tokio::sync::watch;
 use wire::directory::HostPhase;
 
+pub mod acceptor;
 pub mod balancer;
 pub mod body;
 pub mod call;
 pub mod claims;
 pub mod core;
 pub mod counters;
-pub mod door;
 pub mod flying;
 pub mod headers;
 pub mod keyed;
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -29,12 +29,12 @@
 use tokio_util::sync::CancellationToken;
 use uuid::Uuid;
 
+use crate::acceptor::Door;
 use crate::body;
 use crate::body::Keep;
 use crate::call;
 use crate::core::Core;
 use crate::core::Phase;
-use crate::door::Door;
 use crate::headers;
 use crate::keyed;
 use crate::refusal::Reason;
