--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -14,7 +14,7 @@
 use crate::body::Memory;
 use crate::claims::Claims;
 use crate::counters::Counters;
-use crate::flying::Flying;
+use crate::in_flight::Flying;
 use crate::lanes::Lanes;
 use crate::probes::Prober;
 use crate::queue::Queue;
