--- a/crates/gateway/src/call/answers.rs
+++ b/crates/gateway/src/call/answers.rs
@@ -28,7 +28,7 @@
 use crate::call::judge::kind_of_answer;
 use crate::call::judge::range_begin;
 use crate::call::judge::reason_of;
-use crate::lanes::LaneError;
+use crate::instance_clients::LaneError;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
 use crate::relay::Answer;
--- a/crates/gateway/src/call/flow.rs
+++ b/crates/gateway/src/call/flow.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 
 use crate::call::Result;
-use crate::lanes::LaneError;
+use crate::instance_clients::LaneError;
 use crate::relay::Answer;
 use crate::relay::Broken;
 use crate::relay::Pieces;
--- a/crates/gateway/src/call/judge.rs
+++ b/crates/gateway/src/call/judge.rs
@@ -5,7 +5,7 @@
 use http::header::CONTENT_RANGE;
 use route::Kind;
 
-use crate::lanes::LaneError;
+use crate::instance_clients::LaneError;
 use crate::refusal::Reason;
 use crate::relay::Answer;
 
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -15,7 +15,7 @@
 use crate::claims::Claims;
 use crate::counters::Counters;
 use crate::in_flight::Flying;
-use crate::lanes::Lanes;
+use crate::instance_clients::Lanes;
 use crate::probes::Prober;
 use crate::queue::Queue;
 use crate::settings::Settings;
--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -28,7 +28,7 @@
 use crate::core::Core;
 use crate::core::Phase;
 use crate::counters::add;
-use crate::lanes::Outgoing;
+use crate::instance_clients::Outgoing;
 use crate::rounds::Round;
 use crate::rounds::Rounds;
 use crate::track::read_report;
