--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -12,10 +12,10 @@
 
 use crate::balancer::Desks;
 use crate::body::Memory;
-use crate::claims::Claims;
 use crate::counters::Counters;
 use crate::in_flight::Flying;
 use crate::instance_clients::Lanes;
+use crate::ledger_client::Claims;
 use crate::probes::Prober;
 use crate::queue::Queue;
 use crate::settings::Settings;
