--- a/crates/gateway/src/call/driver.rs
+++ b/crates/gateway/src/call/driver.rs
@@ -23,6 +23,7 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep_until;
 
+use crate::attempt_guard::Track;
 use crate::balancer::Desk;
 use crate::call::Request;
 use crate::call::Result;
@@ -43,7 +44,6 @@
 use crate::instance_clients::Outgoing;
 use crate::refusal::Reason;
 use crate::relay::Answer;
-use crate::track::Track;
 
 pub(super) struct Driver {
     pub(super) core: Arc<Core>,
--- a/crates/gateway/src/call/flow.rs
+++ b/crates/gateway/src/call/flow.rs
@@ -10,12 +10,12 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
+use crate::attempt_guard::Track;
 use crate::call::Result;
 use crate::instance_clients::LaneError;
 use crate::relay::Answer;
 use crate::relay::Broken;
 use crate::relay::Pieces;
-use crate::track::Track;
 
 /// An attempt's number with the head of its answer, or why there is none.
 pub(super) type Head = (Number, std::result::Result<Answer, LaneError>);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -21,6 +21,7 @@
 use wire::directory::HostPhase;
 
 pub mod acceptor;
+pub mod attempt_guard;
 pub mod balancer;
 pub mod body;
 pub mod call;
@@ -42,7 +43,6 @@
 pub mod settings;
 pub mod stop;
 pub mod sync;
-pub mod track;
 pub mod view;
 
 use crate::core::Core;
--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -24,6 +24,7 @@
 use tokio::time::sleep_until;
 use tokio::time::timeout;
 
+use crate::attempt_guard::read_report;
 use crate::balancer::Desk;
 use crate::core::Core;
 use crate::core::Phase;
@@ -31,7 +32,6 @@
 use crate::instance_clients::Outgoing;
 use crate::rounds::Round;
 use crate::rounds::Rounds;
-use crate::track::read_report;
 use crate::view::View;
 
 /// Where an upstream gives its load.
