--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -30,8 +30,8 @@
 use crate::core::Phase;
 use crate::counters::add;
 use crate::instance_clients::Outgoing;
-use crate::rounds::Round;
-use crate::rounds::Rounds;
+use crate::probe_schedule::Round;
+use crate::probe_schedule::Rounds;
 use crate::view::View;
 
 /// Where an upstream gives its load.
--- a/crates/gateway/tests/test_rounds.rs
+++ b/crates/gateway/tests/test_rounds.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use gateway::rounds::LOOK_PAUSE;
-use gateway::rounds::Rounds;
-use gateway::rounds::WORD_TIME;
+use gateway::probe_schedule::LOOK_PAUSE;
+use gateway::probe_schedule::Rounds;
+use gateway::probe_schedule::WORD_TIME;
 use gateway::view::View;
 use wire::catalogue::Catalogue;
 use wire::catalogue::Class;
