--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -21,10 +21,10 @@
 use crate::relay::Relayed;
 use crate::request_head::Ask;
 
-mod answers;
 mod driver;
 mod flow;
 mod judge;
+mod responses;
 
 /// What the caller of a call gets.
 pub type Result = std::result::Result<Relayed, Refusal>;
