--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -21,9 +21,9 @@
 use crate::relay::Relayed;
 use crate::request_head::Ask;
 
+mod classify;
 mod driver;
 mod flow;
-mod judge;
 mod responses;
 
 /// What the caller of a call gets.
