--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -23,8 +23,8 @@
 
 mod classify;
 mod driver;
-mod flow;
 mod responses;
+mod state;
 
 /// What the caller of a call gets.
 pub type Result = std::result::Result<Relayed, Refusal>;
