--- a/crates/gateway/examples/idle.rs
+++ b/crates/gateway/examples/idle.rs
@@ -1,7 +1,7 @@
-//! What a gateway costs that knows many services and has no calls.
+//! Measures the CPU time of a gateway with many services and no calls.
 //!
-//! `idle SERVICES INSTANCES PROBE_MILLIS GATEWAYS SECONDS` prints the processor
-//! time that the gateway's own threads used, and the probes that came.
+//! `idle SERVICES INSTANCES PROBE_MILLIS GATEWAYS SECONDS` prints the CPU time of the
+//! gateway's threads and the number of probes received.
 
 #[path = "../tests/fakes/mod.rs"]
 mod fakes;
@@ -28,33 +28,33 @@
     let [services, instances, millis, gateways, seconds] = arguments[..] else {
         panic!("idle SERVICES INSTANCES PROBE_MILLIS GATEWAYS SECONDS");
     };
-    let others = Builder::new_multi_thread()
+    let fakes_runtime = Builder::new_multi_thread()
         .enable_all()
         .build()
         .expect("threads");
-    let (directory, upstream) = others.block_on(async {
+    let (directory, upstream) = fakes_runtime.block_on(async {
         let upstream = FakeUpstream::start().await;
         let state = state(services, instances, millis, gateways, &upstream);
         (FakeDirectory::serve(state).await, upstream)
     });
-    let own = Builder::new_multi_thread()
+    let gateway_runtime = Builder::new_multi_thread()
         .thread_name(THREADS)
         .enable_all()
         .build()
         .expect("threads");
     let mut settings = fakes::settings(&[directory.address], &[]);
     settings.lease.poll = Duration::from_millis(500);
-    let gateway = own
-        .block_on(own.spawn(fakes::ready(settings)))
+    let gateway = gateway_runtime
+        .block_on(gateway_runtime.spawn(fakes::ready(settings)))
         .expect("a gateway");
     std::thread::sleep(Duration::from_secs(8));
-    let (used, probes) = (used(), upstream.probes().len());
+    let (cpu_time, probes) = (cpu_time(), upstream.probes().len());
     std::thread::sleep(Duration::from_secs(seconds));
-    let spent = self::used() - used;
-    let came = upstream.probes().len() - probes;
+    let spent = self::cpu_time() - cpu_time;
+    let received = upstream.probes().len() - probes;
     println!(
         "services={services} instances={instances} probe_millis={millis} gateways={gateways} \
-         cpu_us_s={} probes={came} seconds={seconds}",
+         cpu_us_s={} probes={received} seconds={seconds}",
         spent / 1_000 / seconds,
     );
     drop(gateway);
@@ -68,11 +68,11 @@
     upstream: &FakeUpstream,
 ) -> State {
     let mut catalogue = fakes::directory::catalogue(1);
-    let like = catalogue.entries[0].clone();
+    let template = catalogue.entries[0].clone();
     let name = |number: u64| format!("service-{}", number % services);
     catalogue.entries = (0..services)
         .map(|number| {
-            let mut entry = like.clone();
+            let mut entry = template.clone();
             entry.service = name(number);
             let limits = entry.limits.as_mut().expect("limits");
             limits.probe_millis = u32::try_from(millis).expect("few");
@@ -80,21 +80,21 @@
         })
         .collect();
     catalogue.gateways = (1..=gateways).map(|g| format!("host-{g}")).collect();
-    let row = |number: u64| {
+    let instance_of = |number: u64| {
         let id = format!("i-{number}");
         fakes::directory::instance(&name(number), &id, upstream.address, Phase::Ready)
     };
     State {
         catalogue,
         confirmed: true,
-        instances: (0..instances).map(row).collect(),
+        instances: (0..instances).map(instance_of).collect(),
         cursor: 1,
-        heard: Vec::new(),
+        received: Vec::new(),
     }
 }
 
-/// Nanoseconds that the gateway's threads have run.
-fn used() -> u64 {
+/// CPU time of the gateway's threads in nanoseconds.
+fn cpu_time() -> u64 {
     let tasks = fs::read_dir("/proc/self/task").expect("a task list");
     let times = tasks.filter_map(|task| {
         let path = task.ok()?.path();
--- a/crates/gateway/src/acceptor.rs
+++ b/crates/gateway/src/acceptor.rs
@@ -1,8 +1,8 @@
-//! The listener with a way to close it while its connections go on.
+//! Acceptor whose listener can be closed while its connections stay open.
 //!
-//! The server library holds its listener until the last connection ends, so
-//! that callers would connect and wait for nobody. The door drops the listener
-//! first: they are refused at once and go elsewhere.
+//! The server library keeps its listener open until the last connection ends, so
+//! new callers would connect and never be served. Dropping the listener first
+//! makes their connections fail at once, so that they use another gateway.
 
 use std::future::pending;
 use std::io;
@@ -14,16 +14,16 @@
 use salvo::fuse::ArcFusePolicy;
 use tokio_util::sync::CancellationToken;
 
-/// A listener that can be closed.
-pub struct Door {
+/// TCP acceptor that can be closed.
+pub struct ClosableAcceptor {
     inner: Option<TcpAcceptor>,
     holdings: Vec<Holding>,
     closing: CancellationToken,
     closed: CancellationToken,
 }
 
-impl Door {
-    /// An open door that closes after `closing`.
+impl ClosableAcceptor {
+    /// Wraps `inner`, which is dropped once `closing` is cancelled.
     #[must_use]
     pub fn new(inner: TcpAcceptor, closing: CancellationToken) -> Self {
         Self {
@@ -34,14 +34,14 @@
         }
     }
 
-    /// Cancelled once the listener is closed.
+    /// Token that is cancelled once the listener is closed.
     #[must_use]
     pub fn closed(&self) -> CancellationToken {
         self.closed.clone()
     }
 }
 
-impl Acceptor for Door {
+impl Acceptor for ClosableAcceptor {
     type Coupler = <TcpAcceptor as Acceptor>::Coupler;
     type Stream = <TcpAcceptor as Acceptor>::Stream;
 
--- a/crates/gateway/src/attempt_guard.rs
+++ b/crates/gateway/src/attempt_guard.rs
@@ -1,4 +1,4 @@
-//! Follows one attempt and reports its end to the chooser, however it ends.
+//! Reports the outcome of an attempt to the chooser, also when the attempt is cancelled.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,34 +12,34 @@
 use route::Ticket;
 use tokio::sync::OwnedSemaphorePermit;
 
-use crate::balancer::Desk;
+use crate::balancer::Balancer;
 
-/// One attempt in flight; its drop is its end.
+/// An attempt in flight. Dropping the guard ends the attempt and reports its outcome.
 #[derive(Debug)]
-pub struct Track {
-    desk: Arc<Desk>,
+pub struct AttemptGuard {
+    balancer: Arc<Balancer>,
     clock: Clock,
     ticket: Option<Ticket>,
-    began: Moment,
+    started_at: Moment,
     latency: Option<Duration>,
     report: Option<Report>,
     kind: Kind,
     _connection: OwnedSemaphorePermit,
 }
 
-impl Track {
-    /// Follows the attempt of `ticket`, which holds `connection`.
+impl AttemptGuard {
+    /// Creates the guard of the attempt `ticket`, which uses `connection`.
     #[must_use]
     pub fn new(
-        desk: Arc<Desk>,
+        balancer: Arc<Balancer>,
         clock: Clock,
         ticket: Ticket,
         connection: OwnedSemaphorePermit,
     ) -> Self {
         Self {
-            desk,
+            balancer,
             clock,
-            began: ticket.began(),
+            started_at: ticket.began(),
             ticket: Some(ticket),
             latency: None,
             report: None,
@@ -48,19 +48,19 @@
         }
     }
 
-    /// Notes the answer's head: its time and the load report on it.
-    pub fn head(&mut self, headers: &HeaderMap) {
-        self.latency = Some(self.clock.now().since(self.began));
-        self.report = headers.get(header::LOAD).and_then(read_report);
+    /// Records the latency and the load report of the response's head.
+    pub fn record_head(&mut self, headers: &HeaderMap) {
+        self.latency = Some(self.clock.now().since(self.started_at));
+        self.report = headers.get(header::LOAD).and_then(parse_load);
     }
 
-    /// Notes how the attempt goes, until a later note.
-    pub fn note(&mut self, kind: Kind) {
+    /// Sets the outcome to report when the guard is dropped; the last call wins.
+    pub fn set_kind(&mut self, kind: Kind) {
         self.kind = kind;
     }
 }
 
-impl Drop for Track {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         let Some(ticket) = self.ticket.take() else {
             return;
@@ -68,16 +68,16 @@
         let now = self.clock.now();
         let outcome = Outcome {
             kind: self.kind,
-            latency: self.latency.unwrap_or_else(|| now.since(self.began)),
+            latency: self.latency.unwrap_or_else(|| now.since(self.started_at)),
             report: self.report,
         };
-        self.desk.state().chooser.finished(now, ticket, outcome);
+        self.balancer.state().chooser.finished(now, ticket, outcome);
     }
 }
 
-/// Reads `in-flight/slots`; anything else is no report.
+/// Parses a load report `in-flight/slots`; returns `None` for any other text.
 #[must_use]
-pub fn read_report(value: &http::HeaderValue) -> Option<Report> {
+pub fn parse_load(value: &http::HeaderValue) -> Option<Report> {
     let (in_flight, slots) = value.to_str().ok()?.split_once('/')?;
     let report = Report {
         in_flight: in_flight.parse().ok()?,
--- a/crates/gateway/src/balancer.rs
+++ b/crates/gateway/src/balancer.rs
@@ -1,4 +1,4 @@
-//! What the calls of one service share: the chooser and the retry budget.
+//! State shared by the calls of one service: the chooser and the retry budget.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,28 +14,28 @@
 use wire::directory::Phase;
 
 use crate::view::Service;
-use crate::view::Upstream;
+use crate::view::UpstreamInstance;
 use crate::view::View;
 
-/// The machines of one service, behind one lock held for a decision at a time.
+/// Balancer of one service. Its lock is held for one decision at a time.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Balancer {
     state: Mutex<State>,
 }
 
-/// The machines themselves.
+/// State of a balancer.
 #[derive(Debug)]
 pub struct State {
-    /// Chooses instances.
+    /// Chooses an instance for each attempt.
     pub chooser: Chooser,
-    /// Retry budget and observed latency.
+    /// Retry budget and observed latencies.
     pub attempts: attempt::Service,
-    /// Randomness of backoffs.
+    /// Random number generator for backoff jitter.
     pub rng: SmallRng,
-    table: Vec<route::Instance>,
+    instances: Vec<route::Instance>,
 }
 
-impl Desk {
+impl Balancer {
     fn new(service: &Service, now: Moment, seed: u64) -> Self {
         let share = attempt::Share::percent(service.limits.retry_percent);
         Self {
@@ -43,35 +43,35 @@
                 chooser: Chooser::new(route::Policy::default(), route::Settings::default(), seed),
                 attempts: attempt::Service::new(share, now),
                 rng: SmallRng::seed_from_u64(seed),
-                table: Vec::new(),
+                instances: Vec::new(),
             }),
         }
     }
 
-    /// The machines, for one decision.
+    /// Locks the state for one decision.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn update(&self, now: Moment, service: &Service, rows: &[Arc<Upstream>]) {
+    fn update(&self, now: Moment, service: &Service, upstreams: &[Arc<UpstreamInstance>]) {
         let mut state = self.state();
         let share = attempt::Share::percent(service.limits.retry_percent);
         state.attempts.budget.set_share(share, now);
-        let table: Vec<route::Instance> = rows.iter().map(|row| instance_of(row)).collect();
-        if table != state.table {
-            state.chooser.update(now, &table);
-            state.table = table;
+        let instances: Vec<route::Instance> = upstreams.iter().map(|u| instance_of(u)).collect();
+        if instances != state.instances {
+            state.chooser.update(now, &instances);
+            state.instances = instances;
         }
     }
 }
 
-fn instance_of(row: &Upstream) -> route::Instance {
+fn instance_of(upstream: &UpstreamInstance) -> route::Instance {
     route::Instance {
-        id: row.id.clone(),
-        incarnation: row.incarnation,
-        domain: row.domain.clone(),
-        slots: row.slots,
-        phase: match row.phase {
+        id: upstream.id.clone(),
+        incarnation: upstream.incarnation,
+        domain: upstream.domain.clone(),
+        slots: upstream.slots,
+        phase: match upstream.phase {
             Phase::Ready => route::Phase::Ready,
             Phase::Draining => route::Phase::Draining,
             Phase::Gone => route::Phase::Gone,
@@ -80,27 +80,28 @@
     }
 }
 
-/// The desks of all services of the catalogue.
+/// The balancers of all services in the catalogue.
 #[derive(Debug, Default)]
-pub struct Desks(RwLock<HashMap<ServiceName, Arc<Desk>>>);
+pub struct Balancers(RwLock<HashMap<ServiceName, Arc<Balancer>>>);
 
-impl Desks {
-    /// The desk of one service, `None` when the catalogue lacks it.
+impl Balancers {
+    /// The balancer of a service, or `None` if the service isn't in the catalogue.
     #[must_use]
-    pub fn get(&self, service: &ServiceName) -> Option<Arc<Desk>> {
-        let desks = self.0.read().unwrap_or_else(PoisonError::into_inner);
-        desks.get(service).cloned()
+    pub fn get(&self, service: &ServiceName) -> Option<Arc<Balancer>> {
+        let balancers = self.0.read().unwrap_or_else(PoisonError::into_inner);
+        balancers.get(service).cloned()
     }
 
-    /// Takes the view's services and instances over; what was learnt stays.
+    /// Updates services and instances from the view. Measurements of instances
+    /// that stay are retained.
     pub fn update(&self, now: Moment, view: &View) {
-        let mut desks = self.0.write().unwrap_or_else(PoisonError::into_inner);
-        desks.retain(|name, _| view.service(name.as_str()).is_some());
+        let mut balancers = self.0.write().unwrap_or_else(PoisonError::into_inner);
+        balancers.retain(|name, _| view.service(name.as_str()).is_some());
         for service in view.services() {
-            let desk = desks
+            let balancer = balancers
                 .entry(service.name.clone())
-                .or_insert_with(|| Arc::new(Desk::new(service, now, rand::random())));
-            desk.update(now, service, view.instances(&service.name));
+                .or_insert_with(|| Arc::new(Balancer::new(service, now, rand::random())));
+            balancer.update(now, service, view.instances(&service.name));
         }
     }
 }
--- a/crates/gateway/src/bin/rwr-gateway.rs
+++ b/crates/gateway/src/bin/rwr-gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway's daemon.
+//! Daemon of the gateway.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
 impl Daemon for GatewayDaemon {
     const NAME: &'static str = "rwr-gateway";
     const VERSION: &'static str = env!("CARGO_PKG_VERSION");
-    const SUMMARY: &'static str = "Serves callers' requests by way of announced upstreams.";
+    const SUMMARY: &'static str = "Forwards callers' requests to announced upstream instances.";
     type Settings = Settings;
     type Error = StartError;
 
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,8 +1,8 @@
-//! Takes a request's body in: kept whole for a retry where it is small or must
-//! not be lost, else streamed through.
+//! Receives request bodies. A body that is small or belongs to a class that needs
+//! it is buffered, so that it can be sent again; other bodies are streamed.
 //!
-//! Invariant: bodies that are kept have reserved their bytes from one bound for
-//! the whole process, so that callers can't grow its memory.
+//! Invariant: buffered bodies reserve their size from a budget of the whole process,
+//! which bounds the memory that callers can occupy.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -27,181 +27,191 @@
 
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
-use crate::request_head::Ask;
+use crate::request_head::RequestHead;
 
 type BoxError = Box<dyn std::error::Error + Send + std::marker::Sync>;
 
-/// Bytes of one permit of the memory bound.
-const UNIT: u64 = 1024;
-/// When to come back after the memory bound was met.
-const MEMORY_RETRY: Duration = Duration::from_secs(1);
+/// Bytes per permit of the memory budget.
+const PERMIT_BYTES: u64 = 1024;
+/// Time after which a caller may retry when the memory budget is exhausted.
+const MEMORY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The memory that kept bodies may take together.
+/// Memory budget shared by all buffered bodies.
 #[derive(Clone, Debug)]
-pub struct Memory(Arc<Semaphore>);
+pub struct MemoryBudget(Arc<Semaphore>);
 
-impl Memory {
-    /// A bound of `bytes`.
+impl MemoryBudget {
+    /// Creates a budget of `bytes`.
     #[must_use]
     pub fn new(bytes: u64) -> Self {
-        let units = usize::try_from(bytes / UNIT).unwrap_or(Semaphore::MAX_PERMITS);
-        Self(Arc::new(Semaphore::new(units.min(Semaphore::MAX_PERMITS))))
+        let permits = usize::try_from(bytes / PERMIT_BYTES).unwrap_or(Semaphore::MAX_PERMITS);
+        Self(Arc::new(Semaphore::new(
+            permits.min(Semaphore::MAX_PERMITS),
+        )))
     }
 
-    /// Reserves `bytes` until the reservation is dropped.
+    /// Reserves `bytes` until the permit is dropped.
     ///
     /// # Errors
     ///
-    /// Fails when they aren't free now.
+    /// Returns a refusal if the budget has fewer bytes available.
     pub fn reserve(&self, bytes: u64) -> Result<OwnedSemaphorePermit, Refusal> {
-        let units = u32::try_from(bytes.div_ceil(UNIT)).unwrap_or(u32::MAX);
+        let permits = u32::try_from(bytes.div_ceil(PERMIT_BYTES)).unwrap_or(u32::MAX);
         self.0
             .clone()
-            .try_acquire_many_owned(units)
-            .map_err(|_| Refusal::busy(Reason::Memory, MEMORY_RETRY))
+            .try_acquire_many_owned(permits)
+            .map_err(|_| Refusal::unavailable(Reason::Memory, MEMORY_RETRY_AFTER))
     }
 }
 
-/// How much of a body is kept.
+/// Which bodies are buffered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Keep {
-    /// All of it, up to the entry's bound.
-    Whole,
-    /// All of it where it has at most this many bytes.
-    Small(u64),
+pub enum Buffering {
+    /// Every body, up to the size limit of the service.
+    Always,
+    /// Bodies of at most this many bytes.
+    UpTo(u64),
 }
 
-/// A request's body on its way to upstreams.
-pub enum Payload {
-    /// Kept whole; may be sent again.
-    Kept(Bytes, Option<OwnedSemaphorePermit>),
-    /// Can be sent once.
-    Once(Option<reqwest::Body>, Over),
+/// A request body to send to upstreams.
+pub enum RequestBody {
+    /// Buffered, so that it can be sent repeatedly.
+    Buffered(Bytes, Option<OwnedSemaphorePermit>),
+    /// Streamed, so that it can be sent only once.
+    Streamed(Option<reqwest::Body>, LimitFlag),
 }
 
-/// Set when a body that passes through went over its bound.
+/// Flag that is set when a streamed body exceeds the size limit.
 #[derive(Clone, Debug, Default)]
-pub struct Over(Arc<AtomicBool>);
+pub struct LimitFlag(Arc<AtomicBool>);
 
-impl Over {
-    /// `body`, whose end over the bound is noted here.
+impl LimitFlag {
+    /// Wraps `body` so that the flag is set when the size limit is exceeded.
     fn watch<B>(&self, body: B) -> reqwest::Body
     where
         B: http_body::Body<Data = Bytes, Error = BoxError> + Send + Sync + 'static,
     {
-        let over = self.0.clone();
+        let exceeded = self.0.clone();
         reqwest::Body::wrap(body.map_err(move |err| {
             if err.is::<LengthLimitError>() {
-                over.store(true, Ordering::Relaxed);
+                exceeded.store(true, Ordering::Relaxed);
             }
             err
         }))
     }
 }
 
-impl Payload {
-    /// Whether it can be sent again.
+impl RequestBody {
+    /// Whether the body can be sent again.
     #[must_use]
-    pub fn is_kept(&self) -> bool {
-        matches!(self, Self::Kept(..))
+    pub fn is_buffered(&self) -> bool {
+        matches!(self, Self::Buffered(..))
     }
 
-    /// The bytes, where they are kept.
+    /// The bytes of a buffered body.
     #[must_use]
-    pub fn kept(&self) -> Option<&Bytes> {
+    pub fn buffered(&self) -> Option<&Bytes> {
         match self {
-            Self::Kept(bytes, _) => Some(bytes),
-            Self::Once(..) => None,
+            Self::Buffered(bytes, _) => Some(bytes),
+            Self::Streamed(..) => None,
         }
     }
 
-    /// Whether it went over the entry's bound while it passed through.
+    /// Whether a streamed body exceeded the size limit.
     #[must_use]
-    pub fn is_over(&self) -> bool {
-        matches!(self, Self::Once(_, over) if over.0.load(Ordering::Relaxed))
+    pub fn is_over_limit(&self) -> bool {
+        matches!(self, Self::Streamed(_, flag) if flag.0.load(Ordering::Relaxed))
     }
 
-    /// The body for one attempt; `None` when it was streamed away before.
+    /// The body for one attempt, or `None` if a streamed body was already sent.
     pub fn take(&mut self) -> Option<reqwest::Body> {
         match self {
-            Self::Kept(bytes, _) => Some(bytes.clone().into()),
-            Self::Once(body, _) => body.take(),
+            Self::Buffered(bytes, _) => Some(bytes.clone().into()),
+            Self::Streamed(body, _) => body.take(),
         }
     }
 }
 
-/// Takes `body` in until `until` at the latest.
+/// Receives `body` until `deadline`, and buffers it if `buffering` requires it.
 ///
 /// # Errors
 ///
-/// Fails with the caller's refusal: too large, broken off, too slow, or no memory.
-pub async fn take_in(
+/// Returns a refusal if the body is too large, truncated or too slow, or if the
+/// memory budget is exhausted.
+pub async fn receive_body(
     body: ReqBody,
-    ask: &Ask,
-    keep: Keep,
-    memory: &Memory,
-    until: Instant,
-) -> Result<Payload, Refusal> {
+    head: &RequestHead,
+    buffering: Buffering,
+    memory: &MemoryBudget,
+    deadline: Instant,
+) -> Result<RequestBody, Refusal> {
     if http_body::Body::is_end_stream(&body) {
-        return Ok(Payload::Kept(Bytes::new(), None));
+        return Ok(RequestBody::Buffered(Bytes::new(), None));
     }
-    let bound = ask.body_bound();
-    let kept = match keep {
-        Keep::Whole => bound,
-        Keep::Small(bytes) => bytes.min(bound),
+    let max_bytes = head.max_body_bytes();
+    let buffer_limit = match buffering {
+        Buffering::Always => max_bytes,
+        Buffering::UpTo(bytes) => bytes.min(max_bytes),
     };
-    if keep != Keep::Whole && ask.length.is_some_and(|length| length > kept) {
-        let limited = Limited::new(body, usize::try_from(bound).unwrap_or(usize::MAX));
-        let over = Over::default();
-        return Ok(Payload::Once(Some(over.watch(limited)), over));
+    if buffering != Buffering::Always && head.length.is_some_and(|length| length > buffer_limit) {
+        let limited = Limited::new(body, usize::try_from(max_bytes).unwrap_or(usize::MAX));
+        let limit_flag = LimitFlag::default();
+        return Ok(RequestBody::Streamed(
+            Some(limit_flag.watch(limited)),
+            limit_flag,
+        ));
     }
-    let permit = memory.reserve(ask.length.unwrap_or(kept))?;
-    let mut intake = Intake {
+    let permit = memory.reserve(head.length.unwrap_or(buffer_limit))?;
+    let mut reader = BodyReader {
         body,
         bytes: BytesMut::new(),
     };
-    let whole = timeout_at(until, intake.fill(kept))
+    let is_complete = timeout_at(deadline, reader.fill(buffer_limit))
         .await
         .map_err(|_| Refusal::not_run(StatusCode::REQUEST_TIMEOUT, Reason::BadBody))??;
-    if whole {
-        return Ok(Payload::Kept(intake.bytes.freeze(), Some(permit)));
+    if is_complete {
+        return Ok(RequestBody::Buffered(reader.bytes.freeze(), Some(permit)));
     }
-    if kept == bound {
+    if buffer_limit == max_bytes {
         return Err(too_large());
     }
-    let over = Over::default();
-    Ok(Payload::Once(Some(intake.chained(bound, &over)), over))
+    let limit_flag = LimitFlag::default();
+    Ok(RequestBody::Streamed(
+        Some(reader.into_stream(max_bytes, &limit_flag)),
+        limit_flag,
+    ))
 }
 
-struct Intake {
+struct BodyReader {
     body: ReqBody,
     bytes: BytesMut,
 }
 
-impl Intake {
-    /// Reads on until the end, or over `most` bytes; says whether it was the end.
-    async fn fill(&mut self, most: u64) -> Result<bool, Refusal> {
+impl BodyReader {
+    /// Reads until the end or until more than `max_bytes` were read; returns whether the
+    /// end was reached.
+    async fn fill(&mut self, max_bytes: u64) -> Result<bool, Refusal> {
         while let Some(frame) = self.body.frame().await {
-            let frame = frame.map_err(|_| broken())?;
+            let frame = frame.map_err(|_| truncated())?;
             let Ok(data) = frame.into_data() else {
                 continue;
             };
             self.bytes.extend_from_slice(&data);
-            if self.bytes.len() as u64 > most {
+            if self.bytes.len() as u64 > max_bytes {
                 return Ok(false);
             }
         }
         Ok(true)
     }
 
-    /// What was read, with the rest after it.
-    fn chained(self, bound: u64, over: &Over) -> reqwest::Body {
-        let begun = self.bytes.freeze();
-        let left = bound.saturating_sub(begun.len() as u64);
-        let rest = Limited::new(self.body, usize::try_from(left).unwrap_or(usize::MAX));
-        let first = stream::once(async move { Ok(http_body::Frame::data(begun)) });
+    /// Streams the bytes read so far followed by the rest of the body.
+    fn into_stream(self, max_bytes: u64, limit_flag: &LimitFlag) -> reqwest::Body {
+        let prefix = self.bytes.freeze();
+        let remaining = max_bytes.saturating_sub(prefix.len() as u64);
+        let rest = Limited::new(self.body, usize::try_from(remaining).unwrap_or(usize::MAX));
+        let first = stream::once(async move { Ok(http_body::Frame::data(prefix)) });
         let frames = first.chain(BodyStream::new(rest));
-        over.watch(StreamBody::new(frames))
+        limit_flag.watch(StreamBody::new(frames))
     }
 }
 
@@ -209,6 +219,6 @@
     Refusal::not_run(StatusCode::PAYLOAD_TOO_LARGE, Reason::BodyTooLarge)
 }
 
-fn broken() -> Refusal {
-    Refusal::bad(Reason::BadBody)
+fn truncated() -> Refusal {
+    Refusal::bad_request(Reason::BadBody)
 }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,8 +1,8 @@
-//! Drives one call: feeds the attempts' machine with what happens and does
-//! what it says.
+//! Runs one call: reports events to the state machine of the crate `attempt` and
+//! carries out its actions.
 //!
-//! A call is a task of its own, so that its caller may leave without cutting a
-//! request that must not be cut; whether it is cut, the machine decides.
+//! Each call runs in a task of its own, so that it can continue after its caller has
+//! disconnected. The state machine decides whether it does.
 
 use std::sync::Arc;
 
@@ -12,65 +12,70 @@
 use http::Method;
 use tokio::sync::oneshot;
 
-use crate::balancer::Desk;
-use crate::body::Payload;
+use crate::balancer::Balancer;
+use crate::body::RequestBody;
 use crate::call::driver::Driver;
 use crate::core::Core;
-use crate::queue::Slot;
+use crate::queue::AdmissionPermit;
 use crate::refusal::Refusal;
-use crate::relay::Relayed;
-use crate::request_head::Ask;
+use crate::relay::RelayedResponse;
+use crate::request_head::RequestHead;
 
 mod classify;
 mod driver;
 mod responses;
 mod state;
 
-/// What the caller of a call gets.
-pub type Result = std::result::Result<Relayed, Refusal>;
+/// Result of a call.
+pub type Result = std::result::Result<RelayedResponse, Refusal>;
 
-/// A request that was admitted.
+/// An admitted request.
 pub struct Request {
-    /// What it asks for.
-    pub ask: Ask,
-    /// Its method.
+    /// Validated head.
+    pub head: RequestHead,
+    /// Method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub target: Arc<str>,
-    /// Its end-to-end headers.
+    /// End-to-end headers.
     pub headers: HeaderMap,
-    /// Its body.
-    pub payload: Payload,
-    /// After this moment no attempt may begin: a claim's hold.
-    pub hold: Option<Moment>,
-    /// Its place among the calls that run.
-    pub slot: Option<Slot>,
+    /// Body.
+    pub body: RequestBody,
+    /// Expiry of the ledger claim, from which on no attempt may start.
+    pub claim_expires_at: Option<Moment>,
+    /// Admission, released when dropped.
+    pub permit: Option<AdmissionPermit>,
 }
 
-/// Starts the call; its answer comes by the receiver.
+/// Starts a call in a task of its own; the receiver gets the result.
 ///
-/// Dropping the receiver, or the body of the answer, is the caller's leaving.
+/// Dropping the receiver, or the body of the response, signals that the caller has
+/// disconnected.
 #[must_use]
-pub fn start(core: Arc<Core>, desk: Arc<Desk>, request: Request) -> oneshot::Receiver<Result> {
+pub fn start(
+    core: Arc<Core>,
+    balancer: Arc<Balancer>,
+    request: Request,
+) -> oneshot::Receiver<Result> {
     let (send, receive) = oneshot::channel();
-    let flight = core.flying.begin();
+    let in_flight_guard = core.in_flight.begin();
     tokio::spawn(async move {
-        let _flight = flight;
-        Driver::new(core, desk, request, send).run().await;
+        let _in_flight_guard = in_flight_guard;
+        Driver::new(core, balancer, request, send).run().await;
     });
     receive
 }
 
 fn terms(request: &Request) -> Terms {
-    let class = request.ask.service.class;
+    let class = request.head.service.class;
     Terms {
-        // A body that can be sent once only is as one of class once to the machine.
-        class: if request.payload.is_kept() {
+        // A streamed body can't be sent again, so its request is treated as class once.
+        class: if request.body.is_buffered() {
             class
         } else {
             Class::Once
         },
-        deadline: request.ask.deadline,
-        depth: request.ask.depth,
+        deadline: request.head.deadline,
+        depth: request.head.depth,
     }
 }
--- a/crates/gateway/src/call/classify.rs
+++ b/crates/gateway/src/call/classify.rs
@@ -1,34 +1,34 @@
-//! What failures and answers mean to the machines.
+//! Maps errors and responses to the types of the crates `attempt` and `route`.
 
 use attempt::Ending;
 use http::HeaderMap;
 use http::header::CONTENT_RANGE;
 use route::Kind;
 
-use crate::instance_clients::LaneError;
+use crate::instance_clients::SendError;
 use crate::refusal::Reason;
-use crate::relay::Answer;
+use crate::relay::UpstreamResponse;
 
-pub(super) fn kind_of(err: &LaneError) -> Kind {
+pub(super) fn kind_of(err: &SendError) -> Kind {
     match err {
-        LaneError::Connect(_) => Kind::ConnectFailed,
-        LaneError::NoAnswer(_) => Kind::Error,
-        LaneError::Busy | LaneError::Target => Kind::Cancelled,
+        SendError::Connect(_) => Kind::ConnectFailed,
+        SendError::NoAnswer(_) => Kind::Error,
+        SendError::Busy | SendError::Target => Kind::Cancelled,
     }
 }
 
-pub(super) fn ending_of(err: &LaneError) -> Ending {
+pub(super) fn ending_of(err: &SendError) -> Ending {
     match err {
-        LaneError::Connect(_) => Ending::ConnectFailed,
-        LaneError::NoAnswer(_) => Ending::NoAnswer,
-        LaneError::Busy | LaneError::Target => Ending::NotSent,
+        SendError::Connect(_) => Ending::ConnectFailed,
+        SendError::NoAnswer(_) => Ending::NoAnswer,
+        SendError::Busy | SendError::Target => Ending::NotSent,
     }
 }
 
-pub(super) fn kind_of_answer(answer: &Answer) -> Kind {
-    if answer.is_shed() {
+pub(super) fn kind_of_response(response: &UpstreamResponse) -> Kind {
+    if response.is_shed() {
         Kind::Shed
-    } else if answer.status.is_server_error() {
+    } else if response.status.is_server_error() {
         Kind::Error
     } else {
         Kind::Ok
@@ -47,9 +47,9 @@
     }
 }
 
-/// First byte of `Content-Range: bytes A-B/C`.
-pub(super) fn range_begin(headers: &HeaderMap) -> Option<u64> {
+/// Position `A` of `Content-Range: bytes A-B/C`.
+pub(super) fn range_start(headers: &HeaderMap) -> Option<u64> {
     let text = headers.get(CONTENT_RANGE)?.to_str().ok()?;
-    let (begin, _) = text.strip_prefix("bytes ")?.split_once('-')?;
-    begin.parse().ok()
+    let (start, _) = text.strip_prefix("bytes ")?.split_once('-')?;
+    start.parse().ok()
 }
--- a/crates/gateway/src/call/driver.rs
+++ b/crates/gateway/src/call/driver.rs
@@ -1,4 +1,4 @@
-//! The task of one call: waits, steps the machine, begins attempts.
+//! Task of one call: waits for events, steps the state machine and starts attempts.
 
 use std::fmt;
 use std::sync::Arc;
@@ -23,131 +23,131 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep_until;
 
-use crate::attempt_guard::Track;
-use crate::balancer::Desk;
+use crate::attempt_guard::AttemptGuard;
+use crate::balancer::Balancer;
 use crate::call::Request;
 use crate::call::Result;
-use crate::call::state::Arrived;
-use crate::call::state::Outlet;
-use crate::call::state::Pumped;
-use crate::call::state::Waiting;
-use crate::call::state::Woken;
-use crate::call::state::left;
-use crate::call::state::next_head;
-use crate::call::state::pump;
+use crate::call::state::AnsweredAttempt;
+use crate::call::state::CallEvent;
+use crate::call::state::CallerChannel;
+use crate::call::state::PendingAttempt;
+use crate::call::state::RelayingAttempt;
+use crate::call::state::caller_disconnected;
+use crate::call::state::next_response;
+use crate::call::state::relay_step;
 use crate::call::terms;
 use crate::core::Core;
 use crate::counters::add;
 use crate::headers;
-use crate::headers::Told;
-use crate::instance_clients::Lane;
-use crate::instance_clients::Outgoing;
+use crate::headers::AttemptHeaders;
+use crate::instance_clients::InstanceClient;
+use crate::instance_clients::UpstreamRequest;
 use crate::refusal::Reason;
-use crate::relay::Answer;
+use crate::relay::UpstreamResponse;
 
 pub(super) struct Driver {
     pub(super) core: Arc<Core>,
-    pub(super) desk: Arc<Desk>,
+    pub(super) balancer: Arc<Balancer>,
     pub(super) log: Logger,
     pub(super) request: Request,
     pub(super) call: attempt::Call,
-    pub(super) outlet: Outlet,
-    pub(super) waiting: Vec<Waiting>,
-    pub(super) arrived: Vec<Arrived>,
-    pub(super) pumped: Option<Pumped>,
+    pub(super) caller: CallerChannel,
+    pub(super) pending: Vec<PendingAttempt>,
+    pub(super) answered: Vec<AnsweredAttempt>,
+    pub(super) relaying: Option<RelayingAttempt>,
     pub(super) tried: Vec<Pick>,
-    // A piece that waits for room on the way to the caller.
-    pub(super) piece: Option<Bytes>,
-    // Bytes of the body taken from upstreams.
-    pub(super) taken: u64,
+    // A chunk that waits for capacity in the channel to the caller.
+    pub(super) chunk: Option<Bytes>,
+    // Bytes of the response body received from upstreams.
+    pub(super) received_bytes: u64,
     pub(super) etag: Option<HeaderValue>,
-    // Why an attempt did not begin, where the machine's own reason is less exact.
-    pub(super) hindrance: Option<Reason>,
+    // Why an attempt was not started, where the state machine's reason is less specific.
+    pub(super) start_failure: Option<Reason>,
 }
 
 impl Driver {
     pub(super) fn new(
         core: Arc<Core>,
-        desk: Arc<Desk>,
+        balancer: Arc<Balancer>,
         request: Request,
         send: oneshot::Sender<Result>,
     ) -> Self {
         let log = core.log.new(slog::o!(
-            "request" => request.ask.id.clone(),
-            "service" => request.ask.service.name.to_string(),
+            "request" => request.head.id.clone(),
+            "service" => request.head.service.name.to_string(),
         ));
         let call = attempt::Call::new(terms(&request));
         Self {
             core,
-            desk,
+            balancer,
             log,
             request,
             call,
-            outlet: Outlet::Fresh(send),
-            waiting: Vec::with_capacity(1),
-            arrived: Vec::new(),
-            pumped: None,
+            caller: CallerChannel::Head(send),
+            pending: Vec::with_capacity(1),
+            answered: Vec::new(),
+            relaying: None,
             tried: Vec::new(),
-            piece: None,
-            taken: 0,
+            chunk: None,
+            received_bytes: 0,
             etag: None,
-            hindrance: None,
+            start_failure: None,
         }
     }
 
     pub(super) async fn run(mut self) {
-        let began = self.core.clock.now();
-        let pressed = self.core.queue.is_pressed(&self.request.ask.service.name);
+        let started_at = self.core.clock.now();
+        let pressed = self.core.queue.is_pressed(&self.request.head.service.name);
         let actions = {
-            let mut state = self.desk.state();
+            let mut state = self.balancer.state();
             state.attempts.pressed = pressed;
-            self.call.start(&mut state.attempts, began)
+            self.call.start(&mut state.attempts, started_at)
         };
         self.perform(actions, None);
         while !self.call.is_finished() {
-            let woken = self.wake().await;
-            self.take(woken);
+            let event = self.next_event().await;
+            self.handle(event);
         }
-        let span = self.core.clock.now().since(began);
+        let elapsed = self.core.clock.now().since(started_at);
         let counters = &self.core.counters;
         add(&counters.calls, 1);
-        add(&counters.call_micros, micros(span));
+        add(&counters.call_micros, micros(elapsed));
         add(&counters.attempts, self.call.attempts().into());
         info!(self.log, "call";
             "attempts" => self.call.attempts(),
-            "bytes" => self.taken,
-            "us" => micros(span),
+            "bytes" => self.received_bytes,
+            "us" => micros(elapsed),
         );
     }
 
-    pub(super) async fn wake(&mut self) -> Woken {
-        let wake = self.call.wake().unwrap_or(self.request.ask.deadline);
+    pub(super) async fn next_event(&mut self) -> CallEvent {
+        let wake = self.call.wake().unwrap_or(self.request.head.deadline);
         let wake = self.core.clock.instant(wake);
-        let (fresh, open) = match &mut self.outlet {
-            Outlet::Fresh(send) => (Some(send), None),
-            Outlet::Open(send) => (None, Some(&*send)),
-            Outlet::Shut => (None, None),
+        let (head_sender, body_sender) = match &mut self.caller {
+            CallerChannel::Head(send) => (Some(send), None),
+            CallerChannel::Body(send) => (None, Some(&*send)),
+            CallerChannel::Closed => (None, None),
         };
         tokio::select! {
             biased;
-            head = next_head(&mut self.waiting) => Woken::Head(head),
-            woken = pump(&mut self.pumped, &mut self.piece, open) => woken,
-            () = sleep_until(wake) => Woken::Tick,
-            () = left(fresh, open) => Woken::Left,
+            head = next_response(&mut self.pending) => CallEvent::ResponseHead(head),
+            event = relay_step(&mut self.relaying, &mut self.chunk, body_sender) => event,
+            () = sleep_until(wake) => CallEvent::Tick,
+            () = caller_disconnected(head_sender, body_sender) => CallEvent::CallerDisconnected,
         }
     }
 
-    pub(super) fn take(&mut self, woken: Woken) {
-        match woken {
-            Woken::Head((number, result)) => self.head(number, result),
-            Woken::Piece(Some(Ok(bytes))) => self.piece(bytes),
-            Woken::Piece(Some(Err(_))) => self.short(),
-            Woken::Piece(None) => self.whole(),
-            Woken::Sent => {}
-            Woken::Tick => self.step(Event::Tick),
-            Woken::Left => {
-                self.outlet = Outlet::Shut;
-                self.piece = None;
+    pub(super) fn handle(&mut self, event: CallEvent) {
+        match event {
+            CallEvent::ResponseHead((number, result)) => self.on_response_head(number, result),
+            CallEvent::Chunk(Some(Ok(bytes))) => self.on_chunk(bytes),
+            CallEvent::Chunk(Some(Err(_))) => self.on_truncated(),
+            CallEvent::Chunk(None) => self.on_complete(),
+            CallEvent::ChunkSent => {}
+            CallEvent::Tick => self.step(Event::Tick),
+            CallEvent::CallerDisconnected => {
+                self.caller = CallerChannel::Closed;
+                self.chunk = None;
                 self.step(Event::Left);
                 info!(self.log, "caller left"; "ended" => self.call.is_finished());
             }
@@ -157,7 +157,7 @@
     pub(super) fn step(&mut self, event: Event) {
         let now = self.core.clock.now();
         let actions = {
-            let mut state = self.desk.state();
+            let mut state = self.balancer.state();
             let state = &mut *state;
             self.call
                 .step(event, &mut state.attempts, &mut state.rng, now)
@@ -168,31 +168,31 @@
     pub(super) fn perform(&mut self, actions: Actions, cause: Option<Event>) {
         for action in actions {
             match action {
-                Action::Start(start) => self.begin(start),
-                Action::Cancel(number) => self.cancel(number, cause),
+                Action::Start(start) => self.start_attempt(start),
+                Action::Cancel(number) => self.cancel_attempt(number, cause),
                 Action::Relay { number, marked } => self.relay(number, marked),
                 Action::Fail(failure) => self.fail(failure),
-                Action::Break(failure) => self.cut(failure),
+                Action::Break(failure) => self.abort_response(failure),
             }
         }
     }
 
-    pub(super) fn begin(&mut self, start: Start) {
+    pub(super) fn start_attempt(&mut self, start: Start) {
         match self.prepare(start) {
-            Ok((lane, track, out)) => {
-                let method = out.method.clone();
+            Ok((client, guard, outgoing)) => {
+                let method = outgoing.method.clone();
                 let head = Box::pin(async move {
-                    let response = lane.send(out).await?;
-                    Ok(Answer::new(response, &method))
+                    let response = client.send(outgoing).await?;
+                    Ok(UpstreamResponse::new(response, &method))
                 });
-                self.waiting.push(Waiting {
+                self.pending.push(PendingAttempt {
                     number: start.number,
-                    track,
+                    guard,
                     head,
                 });
             }
             Err(reason) => {
-                self.hindrance.get_or_insert(reason);
+                self.start_failure.get_or_insert(reason);
                 self.step(Event::Ended(start.number, Ending::NoUpstream));
             }
         }
@@ -201,39 +201,40 @@
     pub(super) fn prepare(
         &mut self,
         start: Start,
-    ) -> std::result::Result<(Arc<Lane>, Track, Outgoing), Reason> {
+    ) -> std::result::Result<(Arc<InstanceClient>, AttemptGuard, UpstreamRequest), Reason> {
         let now = self.core.clock.now();
-        if self.request.hold.is_some_and(|hold| now >= hold) {
+        if self.request.claim_expires_at.is_some_and(|at| now >= at) {
             return Err(Reason::Hold);
         }
-        let (lane, track) = self.choose(start, now)?;
-        let headers = self.outgoing_headers(start);
-        // The last attempt took the only copy of the body with it.
-        let body = self.request.payload.take().ok_or(Reason::Connect)?;
-        let out = Outgoing {
+        let (client, guard) = self.choose_instance(start, now)?;
+        let headers = self.attempt_headers(start);
+        // A streamed body was already sent by an earlier attempt.
+        let body = self.request.body.take().ok_or(Reason::Connect)?;
+        let outgoing = UpstreamRequest {
             method: self.request.method.clone(),
             target: self.request.target.clone(),
             headers,
             body,
         };
-        Ok((lane, track, out))
+        Ok((client, guard, outgoing))
     }
 
-    /// Chooses an instance with a free connection and logs the decision.
-    pub(super) fn choose(
+    /// Chooses an instance with a free connection, reserves the connection and logs the
+    /// decision.
+    pub(super) fn choose_instance(
         &mut self,
         start: Start,
         now: Moment,
-    ) -> std::result::Result<(Arc<Lane>, Track), Reason> {
-        let mut state = self.desk.state();
+    ) -> std::result::Result<(Arc<InstanceClient>, AttemptGuard), Reason> {
+        let mut state = self.balancer.state();
         let mut reason = Reason::NoUpstream;
         while let Some(choice) = state.chooser.choose(now, &self.tried) {
-            let again = self.tried.contains(&choice.pick);
+            let was_tried = self.tried.contains(&choice.pick);
             let ticket = state.chooser.started(now, choice.pick);
             let id = state.chooser.id(choice.pick).cloned();
-            let Some((lane, connection)) = self.connection(id.as_ref()) else {
+            let Some((client, connection)) = self.reserve_connection(id.as_ref()) else {
                 state.chooser.finished(now, ticket, NOT_SENT);
-                if again {
+                if was_tried {
                     break;
                 }
                 reason = Reason::Connections;
@@ -243,29 +244,33 @@
             drop(state);
             self.tried.push(choice.pick);
             log_choice(&self.log, start, id.as_ref(), &choice);
-            let track = Track::new(self.desk.clone(), self.core.clock, ticket, connection);
-            return Ok((lane, track));
+            let guard =
+                AttemptGuard::new(self.balancer.clone(), self.core.clock, ticket, connection);
+            return Ok((client, guard));
         }
         Err(reason)
     }
 
-    pub(super) fn connection(
+    pub(super) fn reserve_connection(
         &self,
         id: Option<&InstanceId>,
-    ) -> Option<(Arc<Lane>, OwnedSemaphorePermit)> {
-        let lane = self.core.lanes.get(&self.request.ask.service.name, id?)?;
-        let connection = lane.reserve()?;
-        Some((lane, connection))
+    ) -> Option<(Arc<InstanceClient>, OwnedSemaphorePermit)> {
+        let client = self
+            .core
+            .clients
+            .get(&self.request.head.service.name, id?)?;
+        let connection = client.reserve()?;
+        Some((client, connection))
     }
 
-    pub(super) fn outgoing_headers(&self, start: Start) -> HeaderMap {
+    pub(super) fn attempt_headers(&self, start: Start) -> HeaderMap {
         let mut headers = self.request.headers.clone();
-        headers::tell(
+        headers::set_attempt_headers(
             &mut headers,
-            Told {
-                id: &self.request.ask.id,
+            AttemptHeaders {
+                id: &self.request.head.id,
                 attempt: start.number.into(),
-                left: start.told,
+                remaining: start.told,
                 depth: start.depth,
             },
         );
@@ -280,14 +285,14 @@
     }
 }
 
-/// The end of an attempt that found no free connection.
+/// Outcome of an attempt that found no free connection.
 const NOT_SENT: route::Outcome = route::Outcome {
     kind: Kind::Cancelled,
     latency: Duration::ZERO,
     report: None,
 };
 
-/// The line of a routing decision: what was known, and how old that was.
+/// Logs a routing decision with the load data it was based on and the age of that data.
 fn log_choice(log: &Logger, start: Start, id: Option<&InstanceId>, choice: &route::Choice) {
     info!(log, "route";
         "attempt" => start.number,
@@ -300,7 +305,7 @@
     );
 }
 
-/// An age in microseconds, `-` where nothing is known.
+/// Displays an age in microseconds, or `-` if it is unknown.
 struct Age(Option<Duration>);
 
 impl fmt::Display for Age {
@@ -312,6 +317,6 @@
     }
 }
 
-fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/gateway/src/call/responses.rs
+++ b/crates/gateway/src/call/responses.rs
@@ -1,4 +1,4 @@
-//! What a call does with answers: takes, refuses, relays, gives up.
+//! Handling of responses: checks them, relays them, and fails calls.
 
 use std::time::Duration;
 
@@ -21,186 +21,197 @@
 
 use crate::call::classify::ending_of;
 use crate::call::classify::kind_of;
-use crate::call::classify::kind_of_answer;
-use crate::call::classify::range_begin;
+use crate::call::classify::kind_of_response;
+use crate::call::classify::range_start;
 use crate::call::classify::reason_of;
 use crate::call::driver::Driver;
-use crate::call::state::Arrived;
-use crate::call::state::Outlet;
-use crate::call::state::Pumped;
-use crate::instance_clients::LaneError;
+use crate::call::state::AnsweredAttempt;
+use crate::call::state::CallerChannel;
+use crate::call::state::RelayingAttempt;
+use crate::instance_clients::SendError;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
-use crate::relay::Answer;
-use crate::relay::Relayed;
+use crate::relay::RelayedResponse;
+use crate::relay::UpstreamResponse;
 
 impl Driver {
-    pub(super) fn head(&mut self, number: Number, result: std::result::Result<Answer, LaneError>) {
-        let Some(index) = self.waiting.iter().position(|w| w.number == number) else {
+    pub(super) fn on_response_head(
+        &mut self,
+        number: Number,
+        result: std::result::Result<UpstreamResponse, SendError>,
+    ) {
+        let Some(index) = self.pending.iter().position(|a| a.number == number) else {
             return;
         };
-        let mut track = self.waiting.swap_remove(index).track;
-        let answer = match result {
-            Ok(answer) => answer,
+        let mut guard = self.pending.swap_remove(index).guard;
+        let response = match result {
+            Ok(response) => response,
             Err(err) => {
-                track.note(kind_of(&err));
-                drop(track);
+                guard.set_kind(kind_of(&err));
+                drop(guard);
                 info!(self.log, "attempt failed"; "attempt" => number, "error" => %err);
                 self.step(Event::Ended(number, ending_of(&err)));
                 return;
             }
         };
-        track.head(&answer.headers);
-        if let Some(ending) = self.refused(&answer) {
-            track.note(Kind::Error);
-            drop(track);
+        guard.record_head(&response.headers);
+        if let Some(ending) = self.reject_response(&response) {
+            guard.set_kind(Kind::Error);
+            drop(guard);
             info!(self.log, "answer refused"; "attempt" => number, "ending" => <&str>::from(ending));
             self.step(Event::Ended(number, ending));
             return;
         }
-        track.note(kind_of_answer(&answer));
-        let head = self.machine_head(&answer);
+        guard.set_kind(kind_of_response(&response));
+        let head = self.response_head(&response);
         if head.shed {
-            self.core.queue.shed(&self.request.ask.service.name);
+            self.core.queue.shed(&self.request.head.service.name);
         }
-        self.arrived.push(Arrived {
+        self.answered.push(AnsweredAttempt {
             number,
-            track,
-            answer,
+            guard,
+            response,
         });
         self.step(Event::Head(number, head));
     }
 
-    /// An answer that can't be the whole answer to this request.
-    pub(super) fn refused(&self, answer: &Answer) -> Option<Ending> {
-        if answer.is_foreign(&self.request.ask.id) {
+    /// How the attempt ends if the response is unusable: it belongs to another request,
+    /// its end is undefined, or it doesn't resume the body where it broke off.
+    pub(super) fn reject_response(&self, response: &UpstreamResponse) -> Option<Ending> {
+        if response.is_mismatched(&self.request.head.id) {
             return Some(Ending::Mismatch);
         }
-        if !answer.framed {
+        if !response.framed {
             return Some(Ending::NoAnswer);
         }
-        let resumed = self.taken > 0 && answer.status == StatusCode::PARTIAL_CONTENT;
-        if resumed && range_begin(&answer.headers) != Some(self.taken) {
+        let resumed = self.received_bytes > 0 && response.status == StatusCode::PARTIAL_CONTENT;
+        if resumed && range_start(&response.headers) != Some(self.received_bytes) {
             return Some(Ending::Mismatch);
         }
         None
     }
 
-    pub(super) fn machine_head(&self, answer: &Answer) -> attempt::Head {
+    pub(super) fn response_head(&self, response: &UpstreamResponse) -> attempt::Head {
         attempt::Head {
-            status: answer.status.as_u16(),
-            shed: answer.is_shed(),
-            retried: answer.headers.contains_key(header::RETRIED),
-            resumable: self.is_resumable(answer),
+            status: response.status.as_u16(),
+            shed: response.is_shed(),
+            retried: response.headers.contains_key(header::RETRIED),
+            resumable: self.is_resumable(response),
         }
     }
 
-    /// The rest of a broken body can be asked for, and joins on to what went out.
-    pub(super) fn is_resumable(&self, answer: &Answer) -> bool {
-        let partial = self.request.headers.contains_key(RANGE);
-        let offered = answer
+    /// Whether a truncated body can be resumed by a range request.
+    pub(super) fn is_resumable(&self, response: &UpstreamResponse) -> bool {
+        let is_range_request = self.request.headers.contains_key(RANGE);
+        let accepts_ranges = response
             .headers
             .get(ACCEPT_RANGES)
             .is_some_and(|v| v == "bytes");
-        let strong = answer
+        let has_strong_etag = response
             .headers
             .get(ETAG)
             .is_some_and(|v| v.as_bytes().starts_with(b"\""));
-        let fits = answer.status == StatusCode::OK
-            || (answer.status == StatusCode::PARTIAL_CONTENT && self.taken > 0);
-        self.request.method == Method::GET && !partial && offered && strong && fits
+        let is_status_ok = response.status == StatusCode::OK
+            || (response.status == StatusCode::PARTIAL_CONTENT && self.received_bytes > 0);
+        self.request.method == Method::GET
+            && !is_range_request
+            && accepts_ranges
+            && has_strong_etag
+            && is_status_ok
     }
 
-    pub(super) fn cancel(&mut self, number: Number, cause: Option<Event>) {
-        // Time alone ends an attempt that gave no answer in time.
-        let late = matches!(cause, Some(Event::Tick));
-        if let Some(index) = self.waiting.iter().position(|w| w.number == number) {
-            let mut waiting = self.waiting.swap_remove(index);
-            if late {
-                waiting.track.note(Kind::Timeout);
+    pub(super) fn cancel_attempt(&mut self, number: Number, cause: Option<Event>) {
+        // An attempt that is cancelled by a timer counts as timed out.
+        let timed_out = matches!(cause, Some(Event::Tick));
+        if let Some(index) = self.pending.iter().position(|a| a.number == number) {
+            let mut pending = self.pending.swap_remove(index);
+            if timed_out {
+                pending.guard.set_kind(Kind::Timeout);
             }
         }
-        self.arrived.retain(|a| a.number != number);
-        if self.pumped.as_ref().is_some_and(|p| p.number == number) {
-            let pumped = self.pumped.take();
-            if let Some(mut pumped) = pumped.filter(|_| late && self.piece.is_none()) {
-                pumped.track.note(Kind::Timeout);
+        self.answered.retain(|a| a.number != number);
+        if self.relaying.as_ref().is_some_and(|a| a.number == number) {
+            let relaying = self.relaying.take();
+            if let Some(mut relaying) = relaying.filter(|_| timed_out && self.chunk.is_none()) {
+                relaying.guard.set_kind(Kind::Timeout);
             }
         }
     }
 
     pub(super) fn relay(&mut self, number: Number, marked: bool) {
-        let Some(index) = self.arrived.iter().position(|a| a.number == number) else {
+        let Some(index) = self.answered.iter().position(|a| a.number == number) else {
             return;
         };
-        let Arrived { track, answer, .. } = self.arrived.swap_remove(index);
-        self.etag = answer.headers.get(ETAG).cloned();
-        let outlet = std::mem::replace(&mut self.outlet, Outlet::Shut);
-        self.outlet = match outlet {
-            Outlet::Fresh(send) => {
-                let (pieces, mut relayed) = Relayed::begin(&answer);
+        let AnsweredAttempt {
+            guard, response, ..
+        } = self.answered.swap_remove(index);
+        self.etag = response.headers.get(ETAG).cloned();
+        let caller = std::mem::replace(&mut self.caller, CallerChannel::Closed);
+        self.caller = match caller {
+            CallerChannel::Head(send) => {
+                let (sender, mut relayed) = RelayedResponse::begin(&response);
                 if marked {
                     let mark = HeaderValue::from_static("1");
                     relayed.headers.insert(header::RETRIED, mark);
                 }
-                // A caller that has left meanwhile is noticed by the pieces' channel.
+                // If the caller has disconnected, the channel of the body shows it.
                 let _ = send.send(Ok(relayed));
-                Outlet::Open(pieces)
+                CallerChannel::Body(sender)
             }
             resumed => resumed,
         };
-        self.pumped = Some(Pumped {
+        self.relaying = Some(RelayingAttempt {
             number,
-            track,
-            pieces: answer.body,
+            guard,
+            chunks: response.body,
         });
     }
 
-    pub(super) fn piece(&mut self, bytes: Bytes) {
-        self.taken += bytes.len() as u64;
-        if matches!(self.outlet, Outlet::Open(_)) && !bytes.is_empty() {
-            self.piece = Some(bytes);
+    pub(super) fn on_chunk(&mut self, bytes: Bytes) {
+        self.received_bytes += bytes.len() as u64;
+        if matches!(self.caller, CallerChannel::Body(_)) && !bytes.is_empty() {
+            self.chunk = Some(bytes);
         }
     }
 
-    pub(super) fn short(&mut self) {
-        let Some(mut pumped) = self.pumped.take() else {
+    pub(super) fn on_truncated(&mut self) {
+        let Some(mut relaying) = self.relaying.take() else {
             return;
         };
-        pumped.track.note(Kind::Error);
-        let number = pumped.number;
-        drop(pumped);
-        info!(self.log, "answer short"; "attempt" => number, "bytes" => self.taken);
-        self.step(Event::Ended(number, Ending::ShortBody(self.taken)));
+        relaying.guard.set_kind(Kind::Error);
+        let number = relaying.number;
+        drop(relaying);
+        info!(self.log, "answer short"; "attempt" => number, "bytes" => self.received_bytes);
+        self.step(Event::Ended(number, Ending::ShortBody(self.received_bytes)));
     }
 
-    pub(super) fn whole(&mut self) {
-        let Some(pumped) = self.pumped.take() else {
+    pub(super) fn on_complete(&mut self) {
+        let Some(relaying) = self.relaying.take() else {
             return;
         };
-        let number = pumped.number;
-        drop(pumped);
-        if let Outlet::Open(send) = &self.outlet {
-            // The empty piece is the mark of a whole body; room was made before.
+        let number = relaying.number;
+        drop(relaying);
+        if let CallerChannel::Body(send) = &self.caller {
+            // The empty chunk marks a complete body; `relay_step` released capacity for it.
             let _ = send.try_send(Ok(Bytes::new()));
         }
-        self.note(Finish::Answered);
+        self.set_finish(Finish::Answered);
         self.step(Event::Whole(number));
     }
 
-    pub(super) fn note(&mut self, finish: Finish) {
-        if let Some(slot) = &mut self.request.slot {
-            slot.note(finish);
+    pub(super) fn set_finish(&mut self, finish: Finish) {
+        if let Some(permit) = &mut self.request.permit {
+            permit.set_finish(finish);
         }
     }
 
     pub(super) fn fail(&mut self, failure: Failure) {
         let mut reason = reason_of(failure.reason);
-        if let (Reason::NoUpstream, Some(hindrance)) = (reason, self.hindrance) {
-            reason = hindrance;
+        if let (Reason::NoUpstream, Some(start_failure)) = (reason, self.start_failure) {
+            reason = start_failure;
         }
         let mut status = StatusCode::from_u16(failure.status()).unwrap_or(StatusCode::BAD_GATEWAY);
-        if self.request.payload.is_over() {
+        if self.request.body.is_over_limit() {
             status = StatusCode::PAYLOAD_TOO_LARGE;
             reason = Reason::BodyTooLarge;
         }
@@ -208,10 +219,10 @@
             status,
             outcome: failure.outcome,
             reason,
-            retry: (failure.outcome == Outcome::NotRun).then(|| self.retry_after()),
-            marked: true,
+            retry_after: (failure.outcome == Outcome::NotRun).then(|| self.retry_after()),
+            retried: true,
         };
-        self.note(if reason == Reason::Shed {
+        self.set_finish(if reason == Reason::Shed {
             Finish::Shed
         } else {
             Finish::Failed
@@ -220,19 +231,21 @@
             "outcome" => <&str>::from(refusal.outcome),
             "reason" => <&str>::from(refusal.reason),
         );
-        if let Outlet::Fresh(send) = std::mem::replace(&mut self.outlet, Outlet::Shut) {
+        if let CallerChannel::Head(send) =
+            std::mem::replace(&mut self.caller, CallerChannel::Closed)
+        {
             let _ = send.send(Err(refusal));
         }
     }
 
     pub(super) fn retry_after(&self) -> Duration {
-        self.core.queue.retry_after(&self.request.ask.service.name)
+        self.core.queue.retry_after(&self.request.head.service.name)
     }
 
-    pub(super) fn cut(&mut self, failure: Failure) {
-        self.note(Finish::Failed);
+    pub(super) fn abort_response(&mut self, failure: Failure) {
+        self.set_finish(Finish::Failed);
         info!(self.log, "call broken"; "reason" => <&str>::from(failure.reason));
-        // Closing the channel without its end mark is the visible failure.
-        self.outlet = Outlet::Shut;
+        // Without the end mark the caller sees a truncated response.
+        self.caller = CallerChannel::Closed;
     }
 }
--- a/crates/gateway/src/call/state.rs
+++ b/crates/gateway/src/call/state.rs
@@ -1,4 +1,4 @@
-//! What flows through a call: attempts that run, the body, the way to the caller.
+//! State of a call: its attempts and the channels to its caller.
 
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -10,73 +10,77 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-use crate::attempt_guard::Track;
+use crate::attempt_guard::AttemptGuard;
 use crate::call::Result;
-use crate::instance_clients::LaneError;
-use crate::relay::Answer;
-use crate::relay::Broken;
-use crate::relay::Pieces;
+use crate::instance_clients::SendError;
+use crate::relay::BodyError;
+use crate::relay::ResponseChunks;
+use crate::relay::UpstreamResponse;
 
-/// An attempt's number with the head of its answer, or why there is none.
-pub(super) type Head = (Number, std::result::Result<Answer, LaneError>);
+/// Number of an attempt with the head of its response, or its error.
+pub(super) type AttemptResult = (Number, std::result::Result<UpstreamResponse, SendError>);
 
-/// An attempt that waits for the head of its answer.
-pub(super) struct Waiting {
+/// An attempt that waits for the head of its response.
+pub(super) struct PendingAttempt {
     pub(super) number: Number,
-    pub(super) track: Track,
-    pub(super) head: Pin<Box<dyn Future<Output = std::result::Result<Answer, LaneError>> + Send>>,
+    pub(super) guard: AttemptGuard,
+    pub(super) head:
+        Pin<Box<dyn Future<Output = std::result::Result<UpstreamResponse, SendError>> + Send>>,
 }
 
-/// An attempt whose head came, until the machine says what to do with it.
-pub(super) struct Arrived {
+/// An attempt whose response head was received, until the state machine decides on it.
+pub(super) struct AnsweredAttempt {
     pub(super) number: Number,
-    pub(super) track: Track,
-    pub(super) answer: Answer,
+    pub(super) guard: AttemptGuard,
+    pub(super) response: UpstreamResponse,
 }
 
-/// The attempt whose body goes to the caller.
-pub(super) struct Pumped {
+/// The attempt whose response body is sent to the caller.
+pub(super) struct RelayingAttempt {
     pub(super) number: Number,
-    pub(super) track: Track,
-    pub(super) pieces: Pieces,
+    pub(super) guard: AttemptGuard,
+    pub(super) chunks: ResponseChunks,
 }
 
-/// The way to the caller.
-pub(super) enum Outlet {
-    /// No head went out.
-    Fresh(oneshot::Sender<Result>),
-    /// The body goes out.
-    Open(PieceSender),
-    /// Nobody listens, or all was said.
-    Shut,
+/// Channel to the caller.
+pub(super) enum CallerChannel {
+    /// The head of the response wasn't sent yet.
+    Head(oneshot::Sender<Result>),
+    /// The head was sent; the body is being sent.
+    Body(ChunkSender),
+    /// The caller has disconnected, or the response is complete or was aborted.
+    Closed,
 }
 
-/// Sends the pieces of a body to the caller.
-pub(super) type PieceSender = mpsc::Sender<std::result::Result<Bytes, Broken>>;
+/// Sends the chunks of a response body to the caller.
+pub(super) type ChunkSender = mpsc::Sender<std::result::Result<Bytes, BodyError>>;
 
-/// Waits until the caller has left.
-pub(super) async fn left(fresh: Option<&mut oneshot::Sender<Result>>, open: Option<&PieceSender>) {
-    match (fresh, open) {
+/// Waits until the caller has disconnected.
+pub(super) async fn caller_disconnected(
+    head_sender: Option<&mut oneshot::Sender<Result>>,
+    body_sender: Option<&ChunkSender>,
+) {
+    match (head_sender, body_sender) {
         (Some(send), _) => send.closed().await,
         (None, Some(send)) => send.closed().await,
         (None, None) => std::future::pending().await,
     }
 }
 
-/// What woke the driver.
-pub(super) enum Woken {
-    Head(Head),
-    Piece(Option<std::result::Result<Bytes, reqwest::Error>>),
-    Sent,
+/// An event that the driver handles.
+pub(super) enum CallEvent {
+    ResponseHead(AttemptResult),
+    Chunk(Option<std::result::Result<Bytes, reqwest::Error>>),
+    ChunkSent,
     Tick,
-    Left,
+    CallerDisconnected,
 }
 
-pub(super) async fn next_head(waiting: &mut [Waiting]) -> Head {
+pub(super) async fn next_response(pending: &mut [PendingAttempt]) -> AttemptResult {
     poll_fn(|cx| {
-        for one in waiting.iter_mut() {
-            if let Poll::Ready(result) = one.head.as_mut().poll(cx) {
-                return Poll::Ready((one.number, result));
+        for attempt in pending.iter_mut() {
+            if let Poll::Ready(result) = attempt.head.as_mut().poll(cx) {
+                return Poll::Ready((attempt.number, result));
             }
         }
         Poll::Pending
@@ -84,25 +88,25 @@
     .await
 }
 
-/// Moves the body on by one step: sends the piece that waits, or takes the next.
-pub(super) async fn pump(
-    pumped: &mut Option<Pumped>,
-    piece: &mut Option<Bytes>,
-    open: Option<&PieceSender>,
-) -> Woken {
-    let Some(pumped) = pumped else {
+/// Relays the body by one step: sends the buffered chunk or receives the next one.
+pub(super) async fn relay_step(
+    relaying: &mut Option<RelayingAttempt>,
+    chunk: &mut Option<Bytes>,
+    body_sender: Option<&ChunkSender>,
+) -> CallEvent {
+    let Some(relaying) = relaying else {
         return std::future::pending().await;
     };
-    let Some(send) = open else {
-        return Woken::Piece(pumped.pieces.next().await);
+    let Some(send) = body_sender else {
+        return CallEvent::Chunk(relaying.chunks.next().await);
     };
-    // Room comes first, so that a slow caller holds the upstream back.
-    let Ok(room) = send.reserve().await else {
+    // Capacity is reserved before reading, so that a slow caller slows down the upstream.
+    let Ok(permit) = send.reserve().await else {
         return std::future::pending().await;
     };
-    if let Some(bytes) = piece.take() {
-        room.send(Ok(bytes));
-        return Woken::Sent;
+    if let Some(bytes) = chunk.take() {
+        permit.send(Ok(bytes));
+        return CallEvent::ChunkSent;
     }
-    Woken::Piece(pumped.pieces.next().await)
+    CallEvent::Chunk(relaying.chunks.next().await)
 }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -1,4 +1,4 @@
-//! What all tasks of one gateway share.
+//! State shared by all tasks of one gateway.
 
 use std::sync::Arc;
 use std::sync::PoisonError;
@@ -10,62 +10,62 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::balancer::Desks;
-use crate::body::Memory;
+use crate::balancer::Balancers;
+use crate::body::MemoryBudget;
 use crate::counters::Counters;
-use crate::in_flight::Flying;
-use crate::instance_clients::Lanes;
-use crate::ledger_client::Claims;
+use crate::in_flight::InFlightRequests;
+use crate::instance_clients::InstanceClients;
+use crate::ledger_client::LedgerClient;
 use crate::probes::Prober;
 use crate::queue::Queue;
 use crate::settings::Settings;
 use crate::view::View;
 
-/// How far a graceful stop has come.
+/// Stage of a graceful stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Serves.
+    /// Serves requests; no stop was requested.
     Serving,
-    /// Serves on, while directories stop naming the host.
+    /// Still serves requests, while directories remove the host from routing.
     Stopping,
-    /// Takes no new connection and no new request.
+    /// Accepts neither connections nor requests.
     Closing,
 }
 
-/// The state of one gateway.
+/// Shared state of one gateway.
 pub struct Core {
-    /// As they were read.
+    /// Settings as read at the start.
     pub settings: Settings,
-    /// Where decisions are logged.
+    /// Log for decisions and events.
     pub log: Logger,
-    /// Where counters go.
+    /// Client that sends the metrics.
     pub metrics: StatsdClient,
-    /// Sums for the metrics.
+    /// Counters that the metrics client sends.
     pub counters: Counters,
-    /// The process's clock.
+    /// Monotonic clock of the process.
     pub clock: Clock,
-    /// The machines of each service.
-    pub desks: Desks,
-    /// Connections to instances.
-    pub lanes: Lanes,
-    /// Admission.
+    /// Balancers by service.
+    pub balancers: Balancers,
+    /// HTTP clients by instance.
+    pub clients: InstanceClients,
+    /// Admission control.
     pub queue: Arc<Queue>,
-    /// The measuring budget.
+    /// Probe budget.
     pub prober: Prober,
-    /// Memory of kept bodies.
-    pub memory: Memory,
-    /// The ledger.
-    pub claims: Claims,
-    /// Requests in flight.
-    pub flying: Flying,
-    /// How far the stop has come.
+    /// Memory budget of buffered request bodies.
+    pub memory: MemoryBudget,
+    /// Client of the ledger.
+    pub ledger: LedgerClient,
+    /// Counter of requests in flight.
+    pub in_flight: InFlightRequests,
+    /// Stage of a graceful stop.
     pub phase: watch::Sender<Phase>,
-    ended: CancellationToken,
+    shutdown: CancellationToken,
     view: RwLock<Arc<View>>,
 }
 
 impl Core {
-    /// The state of a gateway that knows nothing yet, and so is fenced.
+    /// Creates the state with an empty view, so that the gateway is fenced.
     #[must_use]
     pub fn new(settings: Settings, log: Logger, metrics: StatsdClient) -> Self {
         let clock = Clock::start();
@@ -76,66 +76,66 @@
         Self {
             queue: Arc::new(Queue::new(limits, clock)),
             prober: Prober::new(settings.host.clone(), settings.lease.length, clock),
-            memory: Memory::new(settings.bounds.memory.0),
-            claims: Claims::new(&settings.control),
+            memory: MemoryBudget::new(settings.bounds.memory.0),
+            ledger: LedgerClient::new(&settings.control),
             settings,
             log,
             metrics,
             counters: Counters::default(),
             clock,
-            desks: Desks::default(),
-            lanes: Lanes::default(),
-            flying: Flying::default(),
+            balancers: Balancers::default(),
+            clients: InstanceClients::default(),
+            in_flight: InFlightRequests::default(),
             phase: watch::Sender::new(Phase::Serving),
-            ended: CancellationToken::new(),
+            shutdown: CancellationToken::new(),
             view: RwLock::default(),
         }
     }
 
-    /// Runs `task` until the gateway has stopped.
+    /// Spawns `task`, which is cancelled by [`Core::shut_down`].
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
-        let ended = self.ended.clone();
-        tokio::spawn(ended.run_until_cancelled_owned(task));
+        let shutdown = self.shutdown.clone();
+        tokio::spawn(shutdown.run_until_cancelled_owned(task));
     }
 
-    /// Fires when all tasks of [`Core::spawn`] are ended.
+    /// Token that [`Core::shut_down`] cancels.
     #[must_use]
-    pub fn ended(&self) -> &CancellationToken {
-        &self.ended
+    pub fn shutdown_token(&self) -> &CancellationToken {
+        &self.shutdown
     }
 
-    /// Ends all tasks of [`Core::spawn`], and frees the ports that they hold.
-    pub fn end(&self) {
-        self.ended.cancel();
+    /// Cancels all tasks of [`Core::spawn`], which releases their ports.
+    pub fn shut_down(&self) {
+        self.shutdown.cancel();
     }
 
-    /// What is known now.
+    /// Current view of the catalogue and the instances.
     #[must_use]
     pub fn view(&self) -> Arc<View> {
         let view = self.view.read().unwrap_or_else(PoisonError::into_inner);
         view.clone()
     }
 
-    /// Replaces what is known; `changed` says that more than its age is new, so
-    /// that desks and connections take it over too.
+    /// Replaces the view. `changed` is false if only the confirmation is new; then
+    /// balancers, clients and admission aren't updated.
     ///
     /// # Errors
     ///
-    /// Fails when a client for an instance can't be made.
+    /// Returns an error if the HTTP client of an instance can't be created.
     pub fn set_view(&self, view: View, changed: bool) -> Result<(), reqwest::Error> {
         let before = self.view();
         if changed {
-            self.lanes.update(&view)?;
-            self.desks.update(self.clock.now(), &view);
+            self.clients.update(&view)?;
+            self.balancers.update(self.clock.now(), &view);
             self.queue.update(&before, &view);
         }
         self.prober.update(&before, &view, changed);
-        let mut kept = self.view.write().unwrap_or_else(PoisonError::into_inner);
-        *kept = Arc::new(view);
+        let mut current = self.view.write().unwrap_or_else(PoisonError::into_inner);
+        *current = Arc::new(view);
         Ok(())
     }
 
-    /// Whether the gateway must refuse new work.
+    /// Whether the gateway must refuse new requests.
     #[must_use]
     pub fn is_fenced(&self) -> bool {
         self.view()
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -1,7 +1,6 @@
-//! Counts what happens and sends the sums once a second.
+//! Counts events and sends the sums as metrics once a second.
 //!
-//! A request costs a few atomic additions, with or without a sink; without one
-//! nothing else happens.
+//! Counting costs a few atomic additions per request. Without a sink nothing is sent.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -16,42 +15,42 @@
 use crate::core::Core;
 use crate::refusal::Reason;
 
-/// Calls that ended.
+/// Number of finished calls.
 pub const CALLS: &str = "gateway.calls";
-/// Microseconds that ended calls took together.
+/// Total duration of finished calls in microseconds.
 pub const CALL_MICROS: &str = "gateway.call_micros";
-/// Attempts at upstreams.
+/// Number of attempts.
 pub const ATTEMPTS: &str = "gateway.attempts";
-/// Requests refused or given up, tag `reason`.
+/// Number of refused or failed requests, with the tag `reason`.
 pub const REFUSED: &str = "gateway.refused";
-/// Probes sent.
+/// Number of probes sent.
 pub const PROBES: &str = "gateway.probes";
-/// Claims asked for.
+/// Number of claims requested.
 pub const CLAIMS: &str = "gateway.claims";
-/// Calls in flight.
+/// Number of calls in flight.
 pub const IN_FLIGHT: &str = "gateway.in_flight";
-/// Catalogue version in force.
+/// Current catalogue version.
 pub const VERSION: &str = "gateway.version";
-/// Milliseconds since the version was confirmed.
+/// Milliseconds since the catalogue version was confirmed.
 pub const CONFIRMED_AGE: &str = "gateway.confirmed_age";
-/// 1 while the gateway refuses new work for want of a confirmation, else 0.
+/// 1 while the gateway is fenced, else 0.
 pub const FENCED: &str = "gateway.fenced";
 
-/// How often sums are sent.
-pub const PERIOD: Duration = Duration::from_secs(1);
+/// Interval at which metrics are sent.
+pub const SEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Sums since the last sending.
+/// Sums since metrics were last sent.
 #[derive(Debug)]
 pub struct Counters {
-    /// Calls that ended.
+    /// Number of finished calls.
     pub calls: AtomicU64,
-    /// Microseconds that they took.
+    /// Total duration of finished calls in microseconds.
     pub call_micros: AtomicU64,
-    /// Attempts begun.
+    /// Number of attempts started.
     pub attempts: AtomicU64,
-    /// Probes sent.
+    /// Number of probes sent.
     pub probes: AtomicU64,
-    /// Claims asked for.
+    /// Number of claims requested.
     pub claims: AtomicU64,
     refused: [AtomicU64; Reason::COUNT],
 }
@@ -76,18 +75,18 @@
     }
 }
 
-/// Adds to a sum.
+/// Adds `count` to `sum`.
 pub fn add(sum: &AtomicU64, count: u64) {
     sum.fetch_add(count, Ordering::Relaxed);
 }
 
-/// Sends the sums for as long as the process lives; ends at once without a sink.
+/// Sends the metrics periodically; returns at once without a sink.
 pub async fn run(core: Arc<Core>) {
     if core.settings.telemetry.sink.is_none() {
         return;
     }
     loop {
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(SEND_INTERVAL).await;
         send(&core);
     }
 }
@@ -102,7 +101,7 @@
         (CLAIMS, &counters.claims),
     ];
     for (name, sum) in sums {
-        // Metrics may be lost; a failure has nowhere to go.
+        // Metrics are best effort, so errors are ignored.
         let _ = core.metrics.count(name, take(sum));
     }
     for reason in Reason::iter() {
@@ -116,7 +115,7 @@
     let age = view.confirmed_age(core.clock.now()).unwrap_or_default();
     let _ = core
         .metrics
-        .gauge(IN_FLIGHT, u64::from(core.flying.count()));
+        .gauge(IN_FLIGHT, u64::from(core.in_flight.count()));
     let _ = core.metrics.gauge(VERSION, view.version());
     let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
     let _ = core.metrics.gauge(CONFIRMED_AGE, age);
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers pass through the gateway, and which end at it.
+//! Filters the headers that are forwarded to upstreams and callers.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
 use http::header::TRANSFER_ENCODING;
 use http::header::UPGRADE;
 
-/// Hop-by-hop headers, which belong to one connection.
-const HOP: [HeaderName; 7] = [
+/// Hop-by-hop headers, which apply to a single connection.
+const HOP_BY_HOP: [HeaderName; 7] = [
     CONNECTION,
     PROXY_AUTHENTICATE,
     PROXY_AUTHORIZATION,
@@ -26,82 +26,85 @@
     TRANSFER_ENCODING,
     UPGRADE,
 ];
-/// Hop-by-hop too, though no standard lists them any more.
-const OLD_HOP: [&str; 2] = ["keep-alive", "proxy-connection"];
-/// Headers that only the system itself may set towards an upstream.
-const OWN_REQUEST: [&str; 4] = [
+/// Hop-by-hop headers that current standards no longer list.
+const LEGACY_HOP_BY_HOP: [&str; 2] = ["keep-alive", "proxy-connection"];
+/// Request headers that only the gateway may set.
+const RESERVED_REQUEST: [&str; 4] = [
     header::REQUEST_ID,
     header::ATTEMPT,
     header::DEADLINE,
     header::DEPTH,
 ];
-/// Headers that only the system itself may set towards a caller.
-const OWN_ANSWER: [&str; 4] = [
+/// Response headers that only the gateway may set.
+const RESERVED_RESPONSE: [&str; 4] = [
     header::OUTCOME,
     header::REASON,
     header::REQUEST_ID,
     header::RETRIED,
 ];
 
-/// What one attempt tells the upstream.
+/// Values of the headers that the gateway adds to an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Told<'a> {
-    /// The request's id.
+pub struct AttemptHeaders<'a> {
+    /// Request id.
     pub id: &'a str,
-    /// The attempt's number.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// What is left for the answer.
-    pub left: Duration,
-    /// Nesting of the call.
+    /// Time remaining until the deadline.
+    pub remaining: Duration,
+    /// Nesting depth of the call.
     pub depth: u8,
 }
 
-/// The end-to-end headers of a request.
+/// End-to-end headers of a request.
 #[must_use]
-pub fn of_request(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = end_to_end(headers);
-    kept.remove(HOST);
-    // The client sets it anew from the body that it sends.
-    kept.remove(CONTENT_LENGTH);
-    for name in OWN_REQUEST {
-        kept.remove(name);
+pub fn forwarded_request(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = end_to_end(headers);
+    forwarded.remove(HOST);
+    // The HTTP client derives it from the body that it sends.
+    forwarded.remove(CONTENT_LENGTH);
+    for name in RESERVED_REQUEST {
+        forwarded.remove(name);
     }
-    kept
+    forwarded
 }
 
-/// Adds what the attempt tells.
-pub fn tell(headers: &mut HeaderMap, told: Told<'_>) {
-    if let Ok(id) = HeaderValue::from_str(told.id) {
+/// Adds the headers of an attempt.
+pub fn set_attempt_headers(headers: &mut HeaderMap, attempt_headers: AttemptHeaders<'_>) {
+    if let Ok(id) = HeaderValue::from_str(attempt_headers.id) {
         headers.insert(header::REQUEST_ID, id);
     }
-    let left = u64::try_from(told.left.as_millis()).unwrap_or(u64::MAX);
-    headers.insert(header::ATTEMPT, HeaderValue::from(told.attempt));
-    headers.insert(header::DEADLINE, HeaderValue::from(left.max(1)));
-    headers.insert(header::DEPTH, HeaderValue::from(u16::from(told.depth)));
+    let remaining = u64::try_from(attempt_headers.remaining.as_millis()).unwrap_or(u64::MAX);
+    headers.insert(header::ATTEMPT, HeaderValue::from(attempt_headers.attempt));
+    headers.insert(header::DEADLINE, HeaderValue::from(remaining.max(1)));
+    headers.insert(
+        header::DEPTH,
+        HeaderValue::from(u16::from(attempt_headers.depth)),
+    );
 }
 
-/// The end-to-end headers of an upstream's answer.
+/// End-to-end headers of an upstream's response.
 #[must_use]
-pub fn of_answer(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = end_to_end(headers);
-    for name in OWN_ANSWER {
-        kept.remove(name);
+pub fn forwarded_response(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = end_to_end(headers);
+    for name in RESERVED_RESPONSE {
+        forwarded.remove(name);
     }
-    kept
+    forwarded
 }
 
 fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = headers.clone();
+    let mut forwarded = headers.clone();
     for name in named_by_connection(headers) {
-        kept.remove(name);
+        forwarded.remove(name);
     }
-    for name in HOP {
-        kept.remove(name);
+    for name in HOP_BY_HOP {
+        forwarded.remove(name);
     }
-    for name in OLD_HOP {
-        kept.remove(name);
+    for name in LEGACY_HOP_BY_HOP {
+        forwarded.remove(name);
     }
-    kept
+    forwarded
 }
 
 fn named_by_connection(headers: &HeaderMap) -> impl Iterator<Item = &str> {
--- a/crates/gateway/src/in_flight.rs
+++ b/crates/gateway/src/in_flight.rs
@@ -1,46 +1,46 @@
-//! Counts requests in flight and waits for their end.
+//! Counts requests in flight and waits until none is left.
 
 use std::sync::Arc;
 
 use tokio::sync::watch;
 
-/// The requests in flight at one gateway.
+/// Counter of the requests in flight at one gateway.
 #[derive(Clone, Debug)]
-pub struct Flying(Arc<watch::Sender<u32>>);
+pub struct InFlightRequests(Arc<watch::Sender<u32>>);
 
-/// One request in flight, until it is dropped.
+/// Counts one request as in flight until dropped.
 #[derive(Debug)]
-pub struct Flight(Arc<watch::Sender<u32>>);
+pub struct InFlightGuard(Arc<watch::Sender<u32>>);
 
-impl Default for Flying {
+impl Default for InFlightRequests {
     fn default() -> Self {
         Self(Arc::new(watch::Sender::new(0)))
     }
 }
 
-impl Flying {
-    /// Begins one.
+impl InFlightRequests {
+    /// Counts one more request until the guard is dropped.
     #[must_use]
-    pub fn begin(&self) -> Flight {
+    pub fn begin(&self) -> InFlightGuard {
         self.0.send_modify(|count| *count += 1);
-        Flight(self.0.clone())
+        InFlightGuard(self.0.clone())
     }
 
-    /// How many there are.
+    /// Current number of requests in flight.
     #[must_use]
     pub fn count(&self) -> u32 {
         *self.0.borrow()
     }
 
-    /// Waits until there is none.
-    pub async fn landed(&self) {
+    /// Waits until no request is in flight.
+    pub async fn wait_until_idle(&self) {
         let mut count = self.0.subscribe();
-        // The sender lives as long as `self`.
+        // `self` owns the sender, so the channel can't be closed here.
         let _ = count.wait_for(|count| *count == 0).await;
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.send_modify(|count| *count -= 1);
     }
--- a/crates/gateway/src/instance_clients.rs
+++ b/crates/gateway/src/instance_clients.rs
@@ -1,8 +1,8 @@
-//! Connections to instances: one client with its own bounded pool for each.
+//! HTTP clients for instances, each with its own bounded connection pool.
 //!
-//! An instance's connections are divided over the registered gateways. Of its
-//! share a gateway uses two thirds for requests in flight and keeps up to one
-//! third open and idle, so that both together never go over the share.
+//! The connection limit of an instance is divided among the registered gateways.
+//! A gateway uses two thirds of its share for requests in flight and up to one
+//! third for idle connections, so that it never exceeds the share.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,42 +20,42 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::sync::Semaphore;
 
-use crate::view::Upstream;
+use crate::view::UpstreamInstance;
 use crate::view::View;
 
-/// Longest wait for a connection; opening one takes about 1 ms.
-pub const CONNECT_TIME: Duration = Duration::from_millis(250);
-/// How long an idle connection is kept.
-const IDLE_TIME: Duration = Duration::from_mins(1);
+/// Timeout for opening a connection.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
 quick_error! {
-    /// Why an attempt got no answer.
+    /// Why a request got no response.
     #[derive(Debug)]
-    pub enum LaneError {
-        /// All connections of the share are in use; no byte left.
+    pub enum SendError {
+        /// All connections of the share are in use; nothing was sent.
         Busy {
-            display("every connection of the gateway's share is in use")
+            display("all connections of this gateway's share are in use")
         }
-        /// No connection; no byte left.
+        /// The connection failed; nothing was sent.
         Connect(err: reqwest::Error) {
             source(err)
-            display("no connection: {err}")
+            display("failed to connect to the instance: {err}")
         }
-        /// The request's target can't be sent; no byte left.
+        /// The request's target is invalid; nothing was sent.
         Target {
-            display("the target is no path")
+            display("request target is not a path")
         }
-        /// Bytes may have left.
+        /// The request may have been sent in part or whole.
         NoAnswer(err: reqwest::Error) {
             source(err)
-            display("no answer: {err}")
+            display("no response from the instance: {err}")
         }
     }
 }
 
-/// One instance's connections.
+/// HTTP client for one instance.
 #[derive(Debug)]
-pub struct Lane {
+pub struct InstanceClient {
     address: SocketAddr,
     share: u32,
     client: reqwest::Client,
@@ -63,22 +63,22 @@
     permits: Arc<Semaphore>,
 }
 
-/// What goes to the upstream.
-pub struct Outgoing {
-    /// The method.
+/// A request for an upstream instance.
+pub struct UpstreamRequest {
+    /// Method.
     pub method: Method,
     /// Path and query.
     pub target: Arc<str>,
     /// All headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body.
     pub body: reqwest::Body,
 }
 
-impl Lane {
-    fn new(upstream: &Upstream, share: u32) -> Result<Self, reqwest::Error> {
+impl InstanceClient {
+    fn new(upstream: &UpstreamInstance, share: u32) -> Result<Self, reqwest::Error> {
         let idle = (share / 3).max(1);
-        let busy = (share - share / 3).max(1);
+        let active = (share - share / 3).max(1);
         let client = reqwest::Client::builder()
             .http1_only()
             .no_proxy()
@@ -86,8 +86,8 @@
             .retry(reqwest::retry::never())
             .referer(false)
             .tcp_nodelay(true)
-            .connect_timeout(CONNECT_TIME)
-            .pool_idle_timeout(IDLE_TIME)
+            .connect_timeout(CONNECT_TIMEOUT)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .pool_max_idle_per_host(idle as usize)
             .build()?;
         let origin = Url::parse(&format!("http://{}/", upstream.address))
@@ -97,38 +97,41 @@
             share,
             client,
             origin,
-            permits: Arc::new(Semaphore::new(busy as usize)),
+            permits: Arc::new(Semaphore::new(active as usize)),
         })
     }
 
-    /// Takes the right to one connection, if one is free.
+    /// Reserves a connection, or returns `None` if all are in use.
     #[must_use]
     pub fn reserve(&self) -> Option<OwnedSemaphorePermit> {
         self.permits.clone().try_acquire_owned().ok()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
-    /// Dropping the future closes the connection, which tells the upstream.
+    /// Dropping the future closes the connection, by which the upstream notices the
+    /// cancellation.
     ///
     /// # Errors
     ///
-    /// Fails as the error says; only [`LaneError::NoAnswer`] may have been run.
-    pub async fn send(&self, out: Outgoing) -> Result<reqwest::Response, LaneError> {
-        let url = self.url(&out.target).ok_or(LaneError::Target)?;
-        let mut request = reqwest::Request::new(out.method, url);
-        *request.headers_mut() = out.headers;
-        *request.body_mut() = Some(out.body);
+    /// The instance may have run the request only if the error is
+    /// [`SendError::NoAnswer`].
+    pub async fn send(&self, outgoing: UpstreamRequest) -> Result<reqwest::Response, SendError> {
+        let url = self.url(&outgoing.target).ok_or(SendError::Target)?;
+        let mut request = reqwest::Request::new(outgoing.method, url);
+        *request.headers_mut() = outgoing.headers;
+        *request.body_mut() = Some(outgoing.body);
         self.client.execute(request).await.map_err(|err| {
             if err.is_connect() {
-                LaneError::Connect(err)
+                SendError::Connect(err)
             } else {
-                LaneError::NoAnswer(err)
+                SendError::NoAnswer(err)
             }
         })
     }
 
-    /// Path and query are set apart, so that `//host` in a path names no other host.
+    /// The path is set separately, so that a target such as `//host` can't change the
+    /// host of the URL.
     fn url(&self, target: &str) -> Option<Url> {
         let (path, query) = match target.split_once('?') {
             Some((path, query)) => (path, Some(query)),
@@ -150,46 +153,47 @@
     id: InstanceId,
 }
 
-/// The connections of all announced instances.
+/// HTTP clients of all announced instances.
 #[derive(Debug, Default)]
-pub struct Lanes(RwLock<HashMap<Key, Arc<Lane>>>);
+pub struct InstanceClients(RwLock<HashMap<Key, Arc<InstanceClient>>>);
 
-impl Lanes {
-    /// The connections of one instance, `None` after it has gone.
+impl InstanceClients {
+    /// The client of an instance, or `None` if the instance isn't announced.
     #[must_use]
-    pub fn get(&self, service: &ServiceName, id: &InstanceId) -> Option<Arc<Lane>> {
+    pub fn get(&self, service: &ServiceName, id: &InstanceId) -> Option<Arc<InstanceClient>> {
         let key = Key {
             service: service.clone(),
             id: id.clone(),
         };
-        let lanes = self.0.read().unwrap_or_else(PoisonError::into_inner);
-        lanes.get(&key).cloned()
+        let clients = self.0.read().unwrap_or_else(PoisonError::into_inner);
+        clients.get(&key).cloned()
     }
 
-    /// Takes the view's instances over; connections to those that stay are kept.
+    /// Updates the instances from the view. An instance whose address and share are
+    /// unchanged keeps its connections.
     ///
     /// # Errors
     ///
-    /// Fails when a client can't be made.
+    /// Returns an error if a client can't be created.
     pub fn update(&self, view: &View) -> Result<(), reqwest::Error> {
-        let mut lanes = self.0.write().unwrap_or_else(PoisonError::into_inner);
-        let mut next = HashMap::new();
+        let mut clients = self.0.write().unwrap_or_else(PoisonError::into_inner);
+        let mut updated = HashMap::new();
         for upstream in view.all_instances() {
             let key = Key {
                 service: upstream.service.clone(),
                 id: upstream.id.clone(),
             };
             let share = (upstream.connections / view.gateways()).max(1);
-            let kept = lanes
+            let existing = clients
                 .get(&key)
-                .filter(|lane| lane.address == upstream.address && lane.share == share);
-            let lane = match kept {
-                Some(lane) => lane.clone(),
-                None => Arc::new(Lane::new(upstream, share)?),
+                .filter(|client| client.address == upstream.address && client.share == share);
+            let client = match existing {
+                Some(client) => client.clone(),
+                None => Arc::new(InstanceClient::new(upstream, share)?),
             };
-            next.insert(key, lane);
+            updated.insert(key, client);
         }
-        *lanes = next;
+        *clients = updated;
         Ok(())
     }
 }
--- a/crates/gateway/src/keyed.rs
+++ b/crates/gateway/src/keyed.rs
@@ -1,9 +1,8 @@
-//! Non-idempotent requests with a key: a claim before any byte leaves, a
-//! settlement after.
+//! Requests of class once with an idempotency key: the key is claimed in the ledger
+//! before the request is sent, and settled with the result afterwards.
 //!
-//! Invariant: a run begins only under a claim that this gateway was granted and
-//! whose hold hasn't run out. What the ledger doesn't learn in time becomes
-//! unknown there by itself.
+//! Invariant: a run starts only while a claim granted to this gateway is valid. The
+//! ledger marks a claim that isn't settled before its expiry as unknown.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,205 +30,203 @@
 use xxhash_rust::xxh3::Xxh3;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::balancer::Desk;
+use crate::balancer::Balancer;
 use crate::call;
 use crate::call::Request;
 use crate::core::Core;
 use crate::counters::add;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
-use crate::relay::Broken;
-use crate::relay::PIECES;
-use crate::relay::Receiver;
-use crate::relay::Relayed;
+use crate::relay::BodyError;
+use crate::relay::CHUNK_BUFFER;
+use crate::relay::RelayedResponse;
+use crate::relay::ResponseBody;
 
-/// Added to what is left of the deadline for the claim's hold: time to settle.
-const HOLD_MARGIN: Duration = Duration::from_secs(5);
-/// Longest wait for a claim.
-const CLAIM_TIME: Duration = Duration::from_secs(1);
-/// How long an answer is held back for its settlement.
-const SETTLE_FIRST: Duration = Duration::from_millis(200);
-/// When to come back while the same key runs.
-const RUNNING_RETRY: Duration = Duration::from_secs(1);
+/// Time to settle a claim after the request's deadline.
+const SETTLE_MARGIN: Duration = Duration::from_secs(5);
+/// Maximum wait for a claim.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum time that a response is delayed until its settlement is recorded.
+const MAX_SETTLE_DELAY: Duration = Duration::from_millis(200);
+/// Default time after which a refused caller may retry.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Starts a keyed call as [`call::start`] does.
+/// Starts the call of a keyed request, like [`call::start`].
 #[must_use]
 pub fn start(
     core: Arc<Core>,
-    desk: Arc<Desk>,
+    balancer: Arc<Balancer>,
     request: Request,
 ) -> oneshot::Receiver<call::Result> {
     let (send, receive) = oneshot::channel();
-    let flight = core.flying.begin();
+    let in_flight_guard = core.in_flight.begin();
     tokio::spawn(async move {
-        let _flight = flight;
-        run(core, desk, request, send).await;
+        let _in_flight_guard = in_flight_guard;
+        run(core, balancer, request, send).await;
     });
     receive
 }
 
 async fn run(
     core: Arc<Core>,
-    desk: Arc<Desk>,
+    balancer: Arc<Balancer>,
     mut request: Request,
     send: oneshot::Sender<call::Result>,
 ) {
-    let Some(claim) = claim_of(&core, &request) else {
-        let _ = send.send(Err(Refusal::bad(Reason::NoCaller)));
+    let Some(claim) = new_claim(&core, &request) else {
+        let _ = send.send(Err(Refusal::bad_request(Reason::NoCaller)));
         return;
     };
-    let asked = core.clock.now();
+    let requested_at = core.clock.now();
     add(&core.counters.claims, 1);
-    let until = core
+    let deadline = core
         .clock
-        .instant((asked + CLAIM_TIME).min(request.ask.deadline));
-    let found = core.claims.claim(&claim, until).await;
+        .instant((requested_at + CLAIM_TIMEOUT).min(request.head.deadline));
+    let reply = core.ledger.claim(&claim, deadline).await;
     info!(core.log, "claim";
-        "request" => request.ask.id.clone(),
+        "request" => request.head.id.clone(),
         "service" => claim.service.as_str(),
-        "found" => name_of(found.as_ref()),
-        "us" => u64::try_from(core.clock.now().since(asked).as_micros()).unwrap_or(u64::MAX),
+        "found" => name_of(reply.as_ref()),
+        "us" => u64::try_from(core.clock.now().since(requested_at).as_micros()).unwrap_or(u64::MAX),
     );
-    match judge(found) {
-        Verdict::Run => {
-            let hold = Duration::from_millis(claim.hold_ms.into());
-            request.hold = Some(asked + hold);
+    match decide(reply) {
+        ClaimDecision::Run => {
+            let lifetime = Duration::from_millis(claim.hold_ms.into());
+            request.claim_expires_at = Some(requested_at + lifetime);
             let run = Run {
                 core,
                 claim,
-                until: asked + hold,
+                expires_at: requested_at + lifetime,
             };
-            run.drive(desk, request, send).await;
+            run.execute(balancer, request, send).await;
         }
-        Verdict::Answer(result) => {
+        ClaimDecision::Respond(result) => {
             let _ = send.send(result);
         }
-        Verdict::Unreachable => {
-            let refusal = Refusal::busy(Reason::Ledger, RUNNING_RETRY);
+        ClaimDecision::Unreachable => {
+            let refusal = Refusal::unavailable(Reason::Ledger, DEFAULT_RETRY_AFTER);
             let _ = send.send(Err(refusal));
             let run = Run {
                 core,
                 claim,
-                until: asked + HOLD_MARGIN,
+                expires_at: requested_at + SETTLE_MARGIN,
             };
-            // A claim may have been granted without our learning it.
+            // The claim may have been granted although no reply arrived.
             run.settle(Settled::NotRun, None).await;
         }
     }
 }
 
-fn claim_of(core: &Core, request: &Request) -> Option<Claim> {
-    let ask = &request.ask;
-    let left = ask.deadline.since(core.clock.now()) + HOLD_MARGIN;
+fn new_claim(core: &Core, request: &Request) -> Option<Claim> {
+    let head = &request.head;
+    let remaining = head.deadline.since(core.clock.now()) + SETTLE_MARGIN;
     Some(Claim {
-        service: ask.service.name.to_string(),
-        caller: ask.caller.as_ref()?.to_string(),
-        key: ask.key.as_ref()?.to_string(),
+        service: head.service.name.to_string(),
+        caller: head.caller.as_ref()?.to_string(),
+        key: head.key.as_ref()?.to_string(),
         digest: digest(request),
         claim_id: Bytes::copy_from_slice(Uuid::new_v4().as_bytes()),
-        hold_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
+        hold_ms: u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX),
     })
 }
 
-/// Digest of what makes two requests the same: method, target and body.
+/// Digest of method, target and body, by which the ledger recognizes the same request.
 fn digest(request: &Request) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(request.method.as_str().as_bytes());
     hash.update(b"\n");
     hash.update(request.target.as_bytes());
     hash.update(b"\n");
-    if let Some(body) = request.payload.kept() {
+    if let Some(body) = request.body.buffered() {
         hash.update(body);
     }
     hash.digest()
 }
 
-enum Verdict {
+enum ClaimDecision {
     Run,
-    Answer(call::Result),
+    Respond(call::Result),
     Unreachable,
 }
 
-fn judge(found: Option<Kind>) -> Verdict {
-    let refused = |refusal| Verdict::Answer(Err(refusal));
-    match found {
-        None | Some(Kind::Unreachable(_)) => Verdict::Unreachable,
-        Some(Kind::Granted(_)) => Verdict::Run,
-        Some(Kind::Done(done)) => Verdict::Answer(replay(done.answer)),
+fn decide(reply: Option<Kind>) -> ClaimDecision {
+    let refuse = |refusal| ClaimDecision::Respond(Err(refusal));
+    match reply {
+        None | Some(Kind::Unreachable(_)) => ClaimDecision::Unreachable,
+        Some(Kind::Granted(_)) => ClaimDecision::Run,
+        Some(Kind::Done(done)) => ClaimDecision::Respond(replay(done.answer)),
         Some(Kind::InFlight(running)) => {
-            let retry = millis_or(running.retry_ms, RUNNING_RETRY);
+            let retry_after = millis_or(running.retry_ms, DEFAULT_RETRY_AFTER);
             let refusal = Refusal::unknown(StatusCode::CONFLICT, Reason::InFlight);
-            refused(refusal.retry_in(retry))
+            refuse(refusal.with_retry_after(retry_after))
         }
-        Some(Kind::Unknown(_)) => {
-            refused(Refusal::unknown(StatusCode::CONFLICT, Reason::Forgotten))
-        }
-        Some(Kind::Mismatch(_)) => refused(Refusal::not_run(
+        Some(Kind::Unknown(_)) => refuse(Refusal::unknown(StatusCode::CONFLICT, Reason::Forgotten)),
+        Some(Kind::Mismatch(_)) => refuse(Refusal::not_run(
             StatusCode::UNPROCESSABLE_ENTITY,
             Reason::KeyReused,
         )),
-        Some(Kind::Full(full)) => refused(Refusal::busy(
+        Some(Kind::Full(full)) => refuse(Refusal::unavailable(
             Reason::LedgerFull,
-            millis_or(full.retry_ms, RUNNING_RETRY),
+            millis_or(full.retry_ms, DEFAULT_RETRY_AFTER),
         )),
-        Some(Kind::Refused(why)) => refused(refusal_of(why.refusal())),
+        Some(Kind::Refused(why)) => refuse(refusal_of(why.refusal())),
     }
 }
 
 fn refusal_of(refusal: ledger::Refusal) -> Refusal {
     match refusal {
-        // An earlier send may have run, and its record is gone.
+        // An earlier request with the key may have run, and its record was removed.
         ledger::Refusal::Expired => Refusal::unknown(StatusCode::CONFLICT, Reason::KeyExpired),
-        ledger::Refusal::Early => Refusal::bad(Reason::KeyEarly),
-        ledger::Refusal::Untimed => Refusal::bad(Reason::KeyUntimed),
-        ledger::Refusal::Form => Refusal::bad(Reason::BadKey),
+        ledger::Refusal::Early => Refusal::bad_request(Reason::KeyEarly),
+        ledger::Refusal::Untimed => Refusal::bad_request(Reason::KeyUntimed),
+        ledger::Refusal::Form => Refusal::bad_request(Reason::BadKey),
         ledger::Refusal::Spent | ledger::Refusal::Unspecified => {
-            Refusal::busy(Reason::Ledger, RUNNING_RETRY)
+            Refusal::unavailable(Reason::Ledger, DEFAULT_RETRY_AFTER)
         }
     }
 }
 
-fn millis_or(millis: u32, preset: Duration) -> Duration {
+fn millis_or(millis: u32, default: Duration) -> Duration {
     match millis {
-        0 => preset,
+        0 => default,
         millis => Duration::from_millis(millis.into()),
     }
 }
 
-/// The answer that was kept, whole, or why there is none.
+/// The response stored in the ledger, or the refusal if it isn't available.
 fn replay(answer: Option<ledger::Answer>) -> call::Result {
-    let gone = Refusal::unknown(StatusCode::CONFLICT, Reason::NotKept);
-    let answer = answer.ok_or(gone)?;
+    let not_stored = Refusal::unknown(StatusCode::CONFLICT, Reason::NotKept);
+    let answer = answer.ok_or(not_stored)?;
     let status = u16::try_from(answer.status)
         .ok()
         .and_then(|status| StatusCode::from_u16(status).ok());
     let (Some(status), false) = (status, answer.omitted) else {
-        return Err(gone);
+        return Err(not_stored);
     };
     if xxh3_64(&answer.body) != answer.digest {
         return Err(Refusal::unknown(StatusCode::BAD_GATEWAY, Reason::ShortBody));
     }
     let mut headers = HeaderMap::new();
-    if let Ok(kind) = HeaderValue::from_str(&answer.content_type)
-        && !kind.is_empty()
+    if let Ok(content_type) = HeaderValue::from_str(&answer.content_type)
+        && !content_type.is_empty()
     {
-        headers.insert(CONTENT_TYPE, kind);
+        headers.insert(CONTENT_TYPE, content_type);
     }
-    Ok(whole(status, headers, answer.body))
+    Ok(complete_response(status, headers, answer.body))
 }
 
-/// An answer whose body is at hand.
-fn whole(status: StatusCode, mut headers: HeaderMap, body: Bytes) -> Relayed {
+/// Creates a response with a complete body.
+fn complete_response(status: StatusCode, mut headers: HeaderMap, body: Bytes) -> RelayedResponse {
     headers.insert(CONTENT_LENGTH, HeaderValue::from(body.len()));
-    Relayed {
+    RelayedResponse {
         status,
         headers,
-        body: Receiver::whole(body),
+        body: ResponseBody::from_bytes(body),
     }
 }
 
-fn name_of(found: Option<&Kind>) -> &'static str {
-    match found {
+fn name_of(reply: Option<&Kind>) -> &'static str {
+    match reply {
         None | Some(Kind::Unreachable(_)) => "unreachable",
         Some(Kind::Granted(_)) => "granted",
         Some(Kind::InFlight(_)) => "in-flight",
@@ -241,18 +238,23 @@
     }
 }
 
-/// A run under a granted claim.
+/// A claim to settle and, if it was granted, the run of its request.
 struct Run {
     core: Arc<Core>,
     claim: Claim,
-    // The end of the claim's hold; no settlement is of use after it.
-    until: Moment,
+    // Expiry of the claim, after which the ledger accepts no settlement.
+    expires_at: Moment,
 }
 
 impl Run {
-    async fn drive(self, desk: Arc<Desk>, request: Request, send: oneshot::Sender<call::Result>) {
-        // The task of the call never loses its listener, so it runs to its end.
-        let result = call::start(self.core.clone(), desk, request).await;
+    async fn execute(
+        self,
+        balancer: Arc<Balancer>,
+        request: Request,
+        send: oneshot::Sender<call::Result>,
+    ) {
+        // The receiver is kept, so the call doesn't see its caller disconnect.
+        let result = call::start(self.core.clone(), balancer, request).await;
         match result {
             Ok(Ok(relayed)) => self.collect(relayed, send).await,
             Ok(Err(refusal)) => {
@@ -272,29 +274,35 @@
         }
     }
 
-    /// Reads the answer up to the bound of what the ledger keeps.
-    async fn collect(self, mut relayed: Relayed, send: oneshot::Sender<call::Result>) {
-        let bound = self.core.settings.bounds.answer.0;
+    /// Reads the response up to the size that the ledger stores.
+    async fn collect(self, mut relayed: RelayedResponse, send: oneshot::Sender<call::Result>) {
+        let max_bytes = self.core.settings.bounds.answer.0;
         let mut body = BytesMut::new();
-        while let Some(piece) = relayed.body.next().await {
-            let Ok(bytes) = piece else {
+        while let Some(chunk) = relayed.body.next().await {
+            let Ok(bytes) = chunk else {
                 let refusal = Refusal::unknown(StatusCode::BAD_GATEWAY, Reason::ShortBody);
                 let _ = send.send(Err(refusal));
                 self.settle(Settled::Unknown, None).await;
                 return;
             };
             body.extend_from_slice(&bytes);
-            if body.len() as u64 > bound {
-                self.pass(relayed, body.freeze(), send).await;
+            if body.len() as u64 > max_bytes {
+                self.stream(relayed, body.freeze(), send).await;
                 return;
             }
         }
-        self.keep(relayed, body.freeze(), send).await;
+        self.store(relayed, body.freeze(), send).await;
     }
 
-    /// Settles first, for a short while, so that whoever has seen the answer
-    /// finds it in the ledger; the answer doesn't wait longer than that.
-    async fn keep(self, relayed: Relayed, body: Bytes, send: oneshot::Sender<call::Result>) {
+    /// Settles the claim before the response is sent, so that a caller who has seen the
+    /// response finds it in the ledger. The response waits for at most
+    /// [`MAX_SETTLE_DELAY`].
+    async fn store(
+        self,
+        relayed: RelayedResponse,
+        body: Bytes,
+        send: oneshot::Sender<call::Result>,
+    ) {
         let answer = ledger::Answer {
             status: relayed.status.as_u16().into(),
             content_type: content_type(&relayed.headers),
@@ -304,40 +312,45 @@
         };
         let settle = self.settle(Settled::Done, Some(answer));
         tokio::pin!(settle);
-        let first = tokio::time::timeout(SETTLE_FIRST, &mut settle).await;
-        let _ = send.send(Ok(whole(relayed.status, relayed.headers, body)));
-        if first.is_err() {
+        let settlement = tokio::time::timeout(MAX_SETTLE_DELAY, &mut settle).await;
+        let _ = send.send(Ok(complete_response(relayed.status, relayed.headers, body)));
+        if settlement.is_err() {
             settle.await;
         }
     }
 
-    /// Passes an answer on that is too large to keep, and settles at its end.
-    async fn pass(self, mut relayed: Relayed, begun: Bytes, send: oneshot::Sender<call::Result>) {
-        let (pieces, receive) = mpsc::channel(PIECES);
+    /// Relays a response that is too large to store, and settles the claim at its end.
+    async fn stream(
+        self,
+        mut relayed: RelayedResponse,
+        prefix: Bytes,
+        send: oneshot::Sender<call::Result>,
+    ) {
+        let (chunks, receive) = mpsc::channel(CHUNK_BUFFER);
         let answer = ledger::Answer {
             status: relayed.status.as_u16().into(),
             content_type: content_type(&relayed.headers),
             omitted: true,
             ..ledger::Answer::default()
         };
-        let passed = Relayed {
+        let streamed = RelayedResponse {
             status: relayed.status,
             headers: relayed.headers,
-            body: Receiver::new(receive),
+            body: ResponseBody::new(receive),
         };
-        let _ = send.send(Ok(passed));
-        let _ = pieces.send(Ok(begun)).await;
-        while let Some(piece) = relayed.body.next().await {
-            let broken = piece.is_err();
-            // A caller that has left doesn't stop the run.
-            let _ = pieces.send(piece).await;
-            if broken {
+        let _ = send.send(Ok(streamed));
+        let _ = chunks.send(Ok(prefix)).await;
+        while let Some(chunk) = relayed.body.next().await {
+            let is_truncated = chunk.is_err();
+            // The run continues if the caller has disconnected.
+            let _ = chunks.send(chunk).await;
+            if is_truncated {
                 self.settle(Settled::Unknown, None).await;
                 return;
             }
         }
-        let end: Result<Bytes, Broken> = Ok(Bytes::new());
-        let _ = pieces.send(end).await;
+        let end: Result<Bytes, BodyError> = Ok(Bytes::new());
+        let _ = chunks.send(end).await;
         self.settle(Settled::Done, Some(answer)).await;
     }
 
@@ -350,8 +363,8 @@
             settled: settled.into(),
             answer,
         };
-        let until: Instant = self.core.clock.instant(self.until);
-        if !self.core.claims.settle(&settle, until).await {
+        let deadline: Instant = self.core.clock.instant(self.expires_at);
+        if !self.core.ledger.settle(&settle, deadline).await {
             warn!(self.core.log, "settlement lost";
                 "service" => self.claim.service.as_str(),
                 "settled" => settled.as_str_name(),
--- a/crates/gateway/src/ledger_client.rs
+++ b/crates/gateway/src/ledger_client.rs
@@ -1,4 +1,4 @@
-//! Claims and settlements at the control replicas, for class once.
+//! Client of the ledger on the control replicas, for requests of class once.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicUsize;
@@ -15,19 +15,19 @@
 use wire::peer;
 use wire::peer::ControlLink;
 
-/// Longest wait for one replica.
-const REPLICA_TIME: Duration = Duration::from_millis(500);
-/// Pause after every replica failed once.
+/// Timeout for one replica.
+const REPLICA_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause after all replicas failed in turn.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
 
-/// The control replicas, asked in turn from the one that answered last.
-pub struct Claims {
+/// Client that tries the control replicas in turn, from the one that replied last.
+pub struct LedgerClient {
     replicas: Vec<ControlLink>,
-    first: AtomicUsize,
+    preferred: AtomicUsize,
 }
 
-impl Claims {
-    /// Links to `addresses`.
+impl LedgerClient {
+    /// Creates a client for the replicas at `addresses`.
     #[must_use]
     pub fn new(addresses: &[SocketAddr]) -> Self {
         let replicas = addresses
@@ -36,52 +36,54 @@
             .collect();
         Self {
             replicas,
-            first: AtomicUsize::new(0),
+            preferred: AtomicUsize::new(0),
         }
     }
 
-    /// Claims until `until`; `None` when no quorum answered.
+    /// Claims a key; returns `None` if no quorum replied before `deadline`.
     ///
-    /// The same message goes to one replica after the other, so that a claim
-    /// whose answer was lost is granted again to the same claimant.
-    pub async fn claim(&self, claim: &Claim, until: Instant) -> Option<Kind> {
-        self.ask(until, |link, span| async move {
+    /// All replicas get the same message, so that a claim whose reply was lost is
+    /// granted again.
+    pub async fn claim(&self, claim: &Claim, deadline: Instant) -> Option<Kind> {
+        self.try_replicas(deadline, |link, timeout| async move {
             let client = link.client().await?;
-            let reply = link.judge(client.claim(within(span), claim.clone()).await)?;
+            let reply = link.judge(client.claim(within(timeout), claim.clone()).await)?;
             Ok(reply.kind.filter(|k| !matches!(k, Kind::Unreachable(_))))
         })
         .await
     }
 
-    /// Settles until `until`; says whether a quorum recorded it.
-    pub async fn settle(&self, settle: &Settle, until: Instant) -> bool {
+    /// Settles a claim; returns whether a quorum recorded it before `deadline`.
+    pub async fn settle(&self, settle: &Settle, deadline: Instant) -> bool {
         let recorded = self
-            .ask(until, |link, span| async move {
+            .try_replicas(deadline, |link, timeout| async move {
                 let client = link.client().await?;
-                let reply = link.judge(client.settle(within(span), settle.clone()).await)?;
+                let reply = link.judge(client.settle(within(timeout), settle.clone()).await)?;
                 Ok(reply.recorded.then_some(()))
             })
             .await;
         recorded.is_some()
     }
 
-    async fn ask<'a, T, F>(
+    async fn try_replicas<'a, T, F>(
         &'a self,
-        until: Instant,
-        once: impl Fn(&'a ControlLink, Duration) -> F,
+        deadline: Instant,
+        call: impl Fn(&'a ControlLink, Duration) -> F,
     ) -> Option<T>
     where
         F: Future<Output = Result<Option<T>, LinkError>>,
     {
         let count = self.replicas.len();
-        let begin = self.first.load(Ordering::Relaxed);
+        let start = self.preferred.load(Ordering::Relaxed);
         let mut step = 0;
-        while count > 0 && Instant::now() < until {
-            let index = (begin + step) % count;
-            let left = until - Instant::now();
-            if let Ok(Some(answer)) = once(&self.replicas[index], REPLICA_TIME.min(left)).await {
-                self.first.store(index, Ordering::Relaxed);
-                return Some(answer);
+        while count > 0 && Instant::now() < deadline {
+            let index = (start + step) % count;
+            let remaining = deadline - Instant::now();
+            if let Ok(Some(reply)) =
+                call(&self.replicas[index], REPLICA_TIMEOUT.min(remaining)).await
+            {
+                self.preferred.store(index, Ordering::Relaxed);
+                return Some(reply);
             }
             step += 1;
             if step % count == 0 {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,10 +1,10 @@
-//! The gateway: serves callers' requests by way of announced upstreams.
+//! The gateway: forwards callers' requests to announced upstream instances.
 //!
-//! The decisions are state machines of the crates `route`, `attempt`, `admit`
-//! and `measure`; this crate is their adapter to sockets and time. A request
-//! goes through [`serve`], [`request_head`], [`body`], for class once [`keyed`], and
-//! [`call`]; what is known of catalogue and instances comes through [`sync`]
-//! into one immutable [`view`].
+//! Decisions are made by the state machines of the crates `route`, `attempt`,
+//! `admit` and `measure`; this crate connects them to sockets and timers. A
+//! request passes through [`serve`], [`request_head`], [`body`], [`keyed`] (class
+//! once with an idempotency key) and [`call`]. [`sync`] receives the catalogue
+//! and the instances from a directory and publishes them as an immutable [`view`].
 
 use std::io;
 use std::net::SocketAddr;
@@ -47,20 +47,20 @@
 
 use crate::core::Core;
 use crate::core::Phase;
-use crate::serve::Port;
+use crate::serve::HttpServer;
 use crate::settings::Settings;
 
 quick_error! {
-    /// Why a gateway can't start.
+/// Why a gateway failed to start.
     #[derive(Debug)]
     pub enum StartError {
-        /// A port, or the runtime's signals.
+        /// A port could not be bound or configured.
         Io(err: io::Error) {
             from()
             source(err)
             display("{err}")
         }
-        /// The metrics.
+        /// The metrics client could not be created.
         Metrics(err: MetricsError) {
             from()
             source(err)
@@ -69,76 +69,76 @@
     }
 }
 
-/// A gateway that runs.
+/// A running gateway.
 pub struct Gateway {
     core: Arc<Core>,
-    port: Port,
-    told: watch::Receiver<HostPhase>,
+    server: HttpServer,
+    announced: watch::Receiver<HostPhase>,
     http: SocketAddr,
     rpc: SocketAddr,
 }
 
-/// Starts a gateway; it is fenced until a directory confirms its catalogue.
+/// Starts a gateway, which is fenced until a directory confirms its catalogue.
 ///
 /// # Errors
 ///
-/// Fails when a port can't be bound.
+/// Returns an error if a port can't be bound or the metrics client can't be created.
 pub async fn start(
     settings: Settings,
     log: Logger,
     metrics: StatsdClient,
 ) -> Result<Gateway, StartError> {
     let listener = TcpListener::bind(settings.http).await?;
-    // Connections inherit it: pieces of an answer don't wait for one another.
+    // Accepted connections inherit this option: response chunks are sent without delay.
     SockRef::from(&listener).set_tcp_nodelay(true)?;
     let http = listener.local_addr()?;
     let core = Arc::new(Core::new(settings, log, metrics));
     let rpc = rpc::start(core.clone(), core.settings.rpc).await?;
-    let port = serve::start(core.clone(), listener)?;
+    let server = serve::start(core.clone(), listener)?;
     core.spawn(core.queue.clone().run());
-    // The bound operators' port is the right to probe under this host's name.
-    core.prober.hold();
+    // Binding the operators' port ensures that only one process of a host probes.
+    core.prober.enable();
     core.spawn(probes::run(core.clone()));
     core.spawn(counters::run(core.clone()));
-    let told = sync::start(core.clone(), http);
+    let announced = sync::start(core.clone(), http);
     info!(core.log, "ready"; "http" => %http, "rpc" => %rpc);
     Ok(Gateway {
         core,
-        port,
-        told,
+        server,
+        announced,
         http,
         rpc,
     })
 }
 
 impl Gateway {
-    /// Where callers connect.
+    /// Address of the callers' port.
     #[must_use]
     pub fn http(&self) -> SocketAddr {
         self.http
     }
 
-    /// Where operators connect.
+    /// Address of the operators' port.
     #[must_use]
     pub fn rpc(&self) -> SocketAddr {
         self.rpc
     }
 
-    /// The state, for tests and trials in one process.
+    /// The shared state, for tests and simulations in the same process.
     #[must_use]
     pub fn core(&self) -> &Arc<Core> {
         &self.core
     }
 
-    /// Waits until an operator asked for a graceful stop.
+    /// Waits until an operator requests a graceful stop.
     pub async fn stopped(&self) {
         let mut phase = self.core.phase.subscribe();
-        // The sender lives as long as the core.
+        // `core` owns the sender, so the channel can't be closed here.
         let _ = phase.wait_for(|phase| *phase > Phase::Serving).await;
     }
 
-    /// Stops gracefully; returns when the last request has ended.
+    /// Stops gracefully; returns when the requests in flight have finished or timed out.
     pub async fn stop(self) {
-        stop::run(&self.core, self.port, self.told).await;
+        stop::run(&self.core, self.server, self.announced).await;
     }
 }
--- a/crates/gateway/src/probe_schedule.rs
+++ b/crates/gateway/src/probe_schedule.rs
@@ -1,8 +1,8 @@
-//! When each service is looked at for a probe.
+//! Schedules when each service is checked for probes to send.
 //!
-//! The meter says from when an instance's next probe may be sent. Until then a
-//! look at it can bring nothing, so a service is due when the first of its
-//! instances is: a gateway without calls wakes when a probe can be spent.
+//! The meter tells when the next probe of an instance is allowed. A service is
+//! due as soon as one of its instances may be probed, so that an idle gateway
+//! wakes up only when it can send a probe.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,95 +10,108 @@
 
 use base::prelude::*;
 
-use crate::view::Rows;
+use crate::view::Instances;
 use crate::view::View;
 
-/// Pause between two looks at an instance that may be probed and need not be.
-pub const LOOK_PAUSE: Duration = Duration::from_millis(50);
-/// Longest time for which the meter's word is kept: a share may be raised.
-pub const WORD_TIME: Duration = Duration::from_secs(1);
+/// Interval between checks of an instance that may be probed but needs no probe yet.
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum time for which a denial of the meter is cached, as a share may be raised.
+pub const MAX_DENIAL_TIME: Duration = Duration::from_secs(1);
 
-/// The looks at one service.
+/// Schedule of one service.
 #[derive(Debug, Default)]
-pub struct Round {
-    rows: Rows,
-    due: Moment,
-    // From when on each instance may be probed, where the meter has said it.
-    words: HashMap<InstanceId, Moment>,
+pub struct ServiceSchedule {
+    instances: Instances,
+    next_check: Moment,
+    // Time from which an instance may be probed, for those that the meter denied.
+    denied_until: HashMap<InstanceId, Moment>,
 }
 
-impl Round {
-    /// Whether an instance isn't known to be denied at `now`.
+impl ServiceSchedule {
+    /// Whether no denial of the instance is known at `now`.
     #[must_use]
-    pub fn may_ask(&self, id: &InstanceId, now: Moment) -> bool {
-        self.words.get(id).is_none_or(|at| *at <= now)
+    pub fn may_probe(&self, id: &InstanceId, now: Moment) -> bool {
+        self.denied_until.get(id).is_none_or(|at| *at <= now)
     }
 
-    /// Keeps the meter's word that a probe of the instance is early before `at`.
+    /// Records that the meter denies probes of the instance before `at`.
     pub fn deny(&mut self, id: &InstanceId, at: Moment, now: Moment) {
-        self.words.insert(id.clone(), at.min(now + WORD_TIME));
+        self.denied_until
+            .insert(id.clone(), at.min(now + MAX_DENIAL_TIME));
     }
 
-    /// Ends a look: the next is due when the first instance may be probed.
-    pub fn end(&mut self, now: Moment) {
-        self.words.retain(|_, at| *at > now);
-        let due = |id: &InstanceId| self.words.get(id).copied();
-        let dues = self.rows.iter().map(|row| due(&row.id));
-        let first = dues.map(|due| due.unwrap_or(now + LOOK_PAUSE)).min();
-        self.due = first.unwrap_or(now + WORD_TIME);
+    /// Finishes a check and schedules the next for when the first instance may be probed.
+    pub fn finish_check(&mut self, now: Moment) {
+        self.denied_until.retain(|_, at| *at > now);
+        let allowed_at = |id: &InstanceId| self.denied_until.get(id).copied();
+        let times = self
+            .instances
+            .iter()
+            .map(|instance| allowed_at(&instance.id));
+        let first = times.map(|at| at.unwrap_or(now + CHECK_INTERVAL)).min();
+        self.next_check = first.unwrap_or(now + MAX_DENIAL_TIME);
     }
 
-    /// When the next look is due.
+    /// Time of the next check.
     #[must_use]
-    pub fn due(&self) -> Moment {
-        self.due
+    pub fn next_check(&self) -> Moment {
+        self.next_check
     }
 
-    /// Takes the instances over; new ones are looked at as soon as can be.
-    fn update(&mut self, rows: Rows) {
-        if Arc::ptr_eq(&self.rows, &rows) {
+    /// Replaces the instances. If they changed, the service is checked at once.
+    fn update(&mut self, instances: Instances) {
+        if Arc::ptr_eq(&self.instances, &instances) {
             return;
         }
-        self.rows = rows;
-        self.due = Moment::ZERO;
-        let rows = &self.rows;
-        self.words
-            .retain(|id, _| rows.iter().any(|row| row.id == *id));
+        self.instances = instances;
+        self.next_check = Moment::ZERO;
+        let instances = &self.instances;
+        self.denied_until
+            .retain(|id, _| instances.iter().any(|instance| instance.id == *id));
     }
 }
 
-/// The looks at all services.
+/// Schedules of all services.
 #[derive(Debug, Default)]
-pub struct Rounds {
+pub struct ProbeSchedule {
     view: Arc<View>,
-    rounds: HashMap<ServiceName, Round>,
+    services: HashMap<ServiceName, ServiceSchedule>,
 }
 
-impl Rounds {
-    /// Takes over the services and instances of `view`.
+impl ProbeSchedule {
+    /// Updates services and instances from the view.
     pub fn update(&mut self, view: &Arc<View>) {
         if Arc::ptr_eq(&self.view, view) {
             return;
         }
-        self.rounds
+        self.services
             .retain(|name, _| view.service(name.as_str()).is_some());
         for service in view.services() {
-            let round = self.rounds.entry(service.name.clone()).or_default();
-            round.update(view.rows(&service.name));
+            let schedule = self.services.entry(service.name.clone()).or_default();
+            schedule.update(view.shared_instances(&service.name));
         }
         self.view = view.clone();
     }
 
-    /// The services that are due at `now`.
-    pub fn due(&mut self, now: Moment) -> impl Iterator<Item = (&ServiceName, &mut Round)> {
-        self.rounds.iter_mut().filter(move |(_, r)| r.due <= now)
+    /// The services whose check is due at `now`.
+    pub fn overdue(
+        &mut self,
+        now: Moment,
+    ) -> impl Iterator<Item = (&ServiceName, &mut ServiceSchedule)> {
+        self.services
+            .iter_mut()
+            .filter(move |(_, s)| s.next_check <= now)
     }
 
-    /// When the next service is due, at the latest after [`LOOK_PAUSE`], as the
-    /// view may have changed by then.
+    /// Time of the next check, at most [`CHECK_INTERVAL`] from `now`, as the view may
+    /// change in between.
     #[must_use]
-    pub fn next(&self, now: Moment) -> Moment {
-        let first = self.rounds.values().map(Round::due).min();
-        first.map_or(now + LOOK_PAUSE, |due| due.min(now + LOOK_PAUSE))
+    pub fn next_check(&self, now: Moment) -> Moment {
+        let first = self
+            .services
+            .values()
+            .map(ServiceSchedule::next_check)
+            .min();
+        first.map_or(now + CHECK_INTERVAL, |at| at.min(now + CHECK_INTERVAL))
     }
 }
--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -1,8 +1,8 @@
-//! Asks instances for their load, within the measuring budget.
+//! Probes instances for their load within the probe budget.
 //!
-//! The chooser says which instance a probe tells most about; the meter of the
-//! crate `measure` says whether this gateway may send one now. At most one
-//! process of a host may probe: the one that has bound the operators' port.
+//! The chooser selects the instances whose probe is most useful; the meter of the
+//! crate `measure` decides whether this gateway may send it now. Only one process
+//! of a host may probe: the one that has bound the operators' port.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -24,24 +24,24 @@
 use tokio::time::sleep_until;
 use tokio::time::timeout;
 
-use crate::attempt_guard::read_report;
-use crate::balancer::Desk;
+use crate::attempt_guard::parse_load;
+use crate::balancer::Balancer;
 use crate::core::Core;
 use crate::core::Phase;
 use crate::counters::add;
-use crate::instance_clients::Outgoing;
-use crate::probe_schedule::Round;
-use crate::probe_schedule::Rounds;
+use crate::instance_clients::UpstreamRequest;
+use crate::probe_schedule::ProbeSchedule;
+use crate::probe_schedule::ServiceSchedule;
 use crate::view::View;
 
-/// Where an upstream gives its load.
+/// Path at which an upstream reports its load.
 pub const LOAD_PATH: &str = "/rwr/load";
-/// Longest wait for a probe's answer; the slowest upstreams take 5 ms.
-const PROBE_TIME: Duration = Duration::from_millis(250);
-/// Shortest pause between two rounds over the services that are due.
-const LEAST_PAUSE: Duration = Duration::from_millis(2);
+/// Timeout of a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Minimum pause between two passes over the services that are due.
+const MIN_PAUSE: Duration = Duration::from_millis(2);
 
-/// The meter behind a lock.
+/// The meter, which limits probes to the budget.
 #[derive(Debug)]
 pub struct Prober {
     meter: Mutex<Meter>,
@@ -49,7 +49,7 @@
 }
 
 impl Prober {
-    /// A prober without the right to probe.
+    /// Creates a prober that sends nothing until [`Prober::enable`].
     #[must_use]
     pub fn new(host: HostName, lease: Duration, clock: Clock) -> Self {
         Self {
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Takes the right to probe under the host's name.
-    pub fn hold(&self) {
+    /// Allows this process to probe for its host.
+    pub fn enable(&self) {
         self.meter().set_holder(true, self.clock.now());
     }
 
-    /// Takes over what changed from `before` to `after`.
+    /// Updates budgets, confirmation and, if `changed`, the instances.
     pub fn update(&self, before: &View, after: &View, changed: bool) {
         let now = self.clock.now();
         let mut meter = self.meter();
@@ -71,20 +71,20 @@
         if after.version() > 0 {
             meter.learn(after.registry().clone(), now);
         }
-        if let Some(sent) = after.confirmed() {
-            meter.confirm(after.version(), sent, now);
+        if let Some(confirmed_at) = after.confirmed_at() {
+            meter.confirm(after.version(), confirmed_at, now);
         }
         if !changed {
             return;
         }
-        for gone in before.all_instances() {
-            let stays = after.instances(&gone.service);
-            if !stays.iter().any(|row| row.id == gone.id) {
-                meter.remove(&gone.service, &gone.id);
+        for removed in before.all_instances() {
+            let remaining = after.instances(&removed.service);
+            if !remaining.iter().any(|instance| instance.id == removed.id) {
+                meter.remove(&removed.service, &removed.id);
             }
         }
-        for row in after.all_instances() {
-            meter.add(&row.service, &row.id, now);
+        for instance in after.all_instances() {
+            meter.add(&instance.service, &instance.id, now);
         }
     }
 
@@ -93,93 +93,110 @@
     }
 }
 
-/// The wall-clock time at the origin of `clock`.
+/// Wall-clock time at the origin of `clock`, since the Unix epoch.
 fn anchor(clock: Clock) -> Duration {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH);
     wall.unwrap_or_default()
         .saturating_sub(clock.now().since(Moment::ZERO))
 }
 
-/// Probes for as long as the gateway serves.
+/// Sends probes until the gateway closes.
 pub async fn run(core: Arc<Core>) {
-    let mut rounds = Rounds::default();
+    let mut schedule = ProbeSchedule::default();
     while *core.phase.borrow() < Phase::Closing {
         let now = core.clock.now();
-        rounds.update(&core.view());
-        visit(&core, &mut rounds, now);
-        let next = rounds.next(now).max(now + LEAST_PAUSE);
+        schedule.update(&core.view());
+        check_due_services(&core, &mut schedule, now);
+        let next = schedule.next_check(now).max(now + MIN_PAUSE);
         sleep_until(core.clock.instant(next)).await;
     }
 }
 
-/// Looks at the services that are due.
-///
-/// One service's next probe doesn't bring a look at all others.
-fn visit(core: &Arc<Core>, rounds: &mut Rounds, now: Moment) {
-    for (service, round) in rounds.due(now) {
-        if let Some(desk) = core.desks.get(service) {
-            look(core, service, &desk, round, now);
+/// Sends the probes of the services that are due.
+fn check_due_services(core: &Arc<Core>, schedule: &mut ProbeSchedule, now: Moment) {
+    for (service, service_schedule) in schedule.overdue(now) {
+        if let Some(balancer) = core.balancers.get(service) {
+            send_due_probes(core, service, &balancer, service_schedule, now);
         }
-        round.end(now);
+        service_schedule.finish_check(now);
     }
 }
 
-/// Sends the probes that are due for one service.
-fn look(core: &Arc<Core>, service: &ServiceName, desk: &Arc<Desk>, round: &mut Round, now: Moment) {
+/// Sends the probes of one service that the meter allows.
+fn send_due_probes(
+    core: &Arc<Core>,
+    service: &ServiceName,
+    balancer: &Arc<Balancer>,
+    schedule: &mut ServiceSchedule,
+    now: Moment,
+) {
     let mut picks = Vec::new();
     {
-        let mut state = desk.state();
+        let mut state = balancer.state();
         let mut meter = core.prober.meter();
         let mut allowed = |id: &InstanceId| {
-            if !round.may_ask(id, now) {
+            if !schedule.may_probe(id, now) {
                 return false;
             }
-            let word = meter.spend(service, id, now);
-            if let Err(Denied::Early(at)) = word {
-                round.deny(id, at, now);
+            let verdict = meter.spend(service, id, now);
+            if let Err(Denied::Early(at)) = verdict {
+                schedule.deny(id, at, now);
             }
-            word.is_ok()
+            verdict.is_ok()
         };
         while let Some(pick) = state.chooser.probe(now, &mut allowed) {
             picks.push((pick, state.chooser.id(pick).cloned()));
         }
     }
     for (pick, id) in picks {
-        tokio::spawn(probe(core.clone(), service.clone(), desk.clone(), pick, id));
+        tokio::spawn(probe(
+            core.clone(),
+            service.clone(),
+            balancer.clone(),
+            pick,
+            id,
+        ));
     }
 }
 
 async fn probe(
     core: Arc<Core>,
     service: ServiceName,
-    desk: Arc<Desk>,
+    balancer: Arc<Balancer>,
     pick: Pick,
     id: Option<InstanceId>,
 ) {
     add(&core.counters.probes, 1);
-    let answer = ask(&core, &service, id.as_ref());
-    let result = timeout(PROBE_TIME, answer).await.ok().flatten();
+    let response = fetch_load(&core, &service, id.as_ref());
+    let result = timeout(PROBE_TIMEOUT, response).await.ok().flatten();
     debug!(core.log, "probe";
         "service" => service.as_str(),
         "instance" => id.as_ref().map(InstanceId::as_str),
         "in_flight" => result.map(|r| r.in_flight),
     );
     let probed = result.map_or(Probed::Failed, Probed::Load);
-    desk.state().chooser.probed(core.clock.now(), pick, probed);
+    balancer
+        .state()
+        .chooser
+        .probed(core.clock.now(), pick, probed);
 }
 
-async fn ask(core: &Core, service: &ServiceName, id: Option<&InstanceId>) -> Option<route::Report> {
-    let lane = core.lanes.get(service, id?)?;
-    let _connection = lane.reserve()?;
-    let out = Outgoing {
+async fn fetch_load(
+    core: &Core,
+    service: &ServiceName,
+    id: Option<&InstanceId>,
+) -> Option<route::Report> {
+    let client = core.clients.get(service, id?)?;
+    let _connection = client.reserve()?;
+    let outgoing = UpstreamRequest {
         method: Method::GET,
         target: LOAD_PATH.into(),
         headers: HeaderMap::new(),
         body: reqwest::Body::default(),
     };
-    let response = lane.send(out).await.ok()?;
-    let report = response.headers().get(header::LOAD).and_then(read_report);
-    // The rest is read so that the connection can be used again.
+    let response = client.send(outgoing).await.ok()?;
+    let report = response.headers().get(header::LOAD).and_then(parse_load);
+    // The body is read to its end so that the connection can be reused.
     response.bytes().await.ok()?;
     report
 }
--- a/crates/gateway/src/queue.rs
+++ b/crates/gateway/src/queue.rs
@@ -1,5 +1,5 @@
-//! Admission in front of calls: the machine of the crate `admit` behind a lock,
-//! with the requests that wait for its word.
+//! Admission control of calls: the state machine of the crate `admit` behind a lock,
+//! and the requests that wait for its decision.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -27,54 +27,54 @@
 use crate::view::Service;
 use crate::view::View;
 
-type Word = Result<(), Refusal>;
+type Decision = Result<(), Refusal>;
 
 #[derive(Debug)]
 struct State {
     admission: Admission,
-    waiting: HashMap<Ticket, oneshot::Sender<Word>>,
-    last: u64,
+    waiting: HashMap<Ticket, oneshot::Sender<Decision>>,
+    last_ticket: u64,
 }
 
-/// The gateway's admission.
+/// Admission control of a gateway.
 #[derive(Debug)]
 pub struct Queue {
     state: Mutex<State>,
     clock: Clock,
-    // A call began to wait, so that the time of the next poll may have changed.
-    waits: Notify,
+    // Notified when a request is queued, as the time of the next poll may have changed.
+    queued: Notify,
 }
 
-/// A call that waits or runs, until it is dropped.
+/// Admission of a queued or running call, released when dropped.
 #[derive(Debug)]
-pub struct Slot {
+pub struct AdmissionPermit {
     queue: Arc<Queue>,
     ticket: Ticket,
     finish: Finish,
 }
 
 impl Queue {
-    /// A queue that admits nothing until [`Queue::update`].
+    /// Creates a queue that admits nothing until [`Queue::update`].
     #[must_use]
     pub fn new(settings: admit::Settings, clock: Clock) -> Self {
         Self {
             state: Mutex::new(State {
                 admission: Admission::new(settings),
                 waiting: HashMap::new(),
-                last: 0,
+                last_ticket: 0,
             }),
             clock,
-            waits: Notify::new(),
+            queued: Notify::new(),
         }
     }
 
-    /// Takes the catalogue's services over from `before` to `after`.
+    /// Updates the services and their limits from the view.
     pub fn update(&self, before: &View, after: &View) {
         let mut out = Vec::new();
         let mut state = self.state();
-        for gone in before.services() {
-            if after.service(gone.name.as_str()).is_none() {
-                state.admission.remove_service(&gone.name, &mut out);
+        for service in before.services() {
+            if after.service(service.name.as_str()).is_none() {
+                state.admission.remove_service(&service.name, &mut out);
             }
         }
         for service in after.services() {
@@ -85,48 +85,48 @@
         state.perform(out);
     }
 
-    /// Admits a request at once, after a wait, or not at all.
+    /// Admits a request, waiting in the queue if necessary.
     ///
     /// # Errors
     ///
-    /// Fails with the refusal, at the moment it is certain.
+    /// Returns the refusal as soon as it is certain.
     pub async fn admit(
         self: &Arc<Self>,
         service: &ServiceName,
         deadline: Moment,
-    ) -> Result<Slot, Refusal> {
-        let (slot, word) = self.arrive(service, deadline)?;
-        if let Some(word) = word {
-            self.waits.notify_one();
-            // The sender is dropped with the slot, which is here.
-            let lost = Refusal::busy(Reason::Expired, Duration::ZERO);
-            word.await.unwrap_or(Err(lost))?;
+    ) -> Result<AdmissionPermit, Refusal> {
+        let (permit, decision) = self.arrive(service, deadline)?;
+        if let Some(decision) = decision {
+            self.queued.notify_one();
+            // The sender lives as long as the permit, so this fallback isn't reached.
+            let dropped = Refusal::unavailable(Reason::Expired, Duration::ZERO);
+            decision.await.unwrap_or(Err(dropped))?;
         }
-        Ok(slot)
+        Ok(permit)
     }
 
-    /// The slot, with the word to wait for where the call is queued.
+    /// Returns the permit, with a receiver for the decision if the request is queued.
     fn arrive(
         self: &Arc<Self>,
         service: &ServiceName,
         deadline: Moment,
-    ) -> Result<(Slot, Option<oneshot::Receiver<Word>>), Refusal> {
+    ) -> Result<(AdmissionPermit, Option<oneshot::Receiver<Decision>>), Refusal> {
         let mut out = Vec::new();
         let mut state = self.state();
-        state.last += 1;
-        let ticket = Ticket(state.last);
+        state.last_ticket += 1;
+        let ticket = Ticket(state.last_ticket);
         let request = admit::Request {
             ticket,
             service: service.clone(),
             deadline,
         };
         let arrival = state.admission.arrive(&request, self.clock.now(), &mut out);
-        let word = match arrival {
+        let decision = match arrival {
             Arrival::Started => None,
             Arrival::Queued => {
-                let (send, receive) = oneshot::channel();
-                state.waiting.insert(ticket, send);
-                Some(receive)
+                let (sender, receiver) = oneshot::channel();
+                state.waiting.insert(ticket, sender);
+                Some(receiver)
             }
             Arrival::Refused(refusal) => {
                 state.perform(out);
@@ -134,34 +134,34 @@
             }
         };
         state.perform(out);
-        let slot = Slot {
+        let permit = AdmissionPermit {
             queue: self.clone(),
             ticket,
             finish: Finish::Cancelled,
         };
-        Ok((slot, word))
+        Ok((permit, decision))
     }
 
-    /// Notes that an upstream shed an attempt of a call that goes on.
+    /// Records that an upstream shed an attempt of a call that continues.
     pub fn shed(&self, service: &ServiceName) {
         let now = self.clock.now();
         self.state().admission.shed(service, now);
     }
 
-    /// Whether calls of the service wait.
+    /// Whether calls of the service are queued.
     #[must_use]
     pub fn is_pressed(&self, service: &ServiceName) -> bool {
         self.state().admission.is_pressed(service)
     }
 
-    /// When a caller refused now may come back.
+    /// Time after which a caller that is refused now may retry.
     #[must_use]
     pub fn retry_after(&self, service: &ServiceName) -> Duration {
         let now = self.clock.now();
         self.state().admission.retry_after(service, now)
     }
 
-    /// Calls of one service that wait, and that run.
+    /// Number of queued and running calls of a service.
     #[must_use]
     pub fn counts(&self, service: &ServiceName) -> Counts {
         let state = self.state();
@@ -172,19 +172,19 @@
         }
     }
 
-    /// Refuses what can't be answered in time any more, as its moment comes.
+    /// Refuses queued requests that can no longer be served before their deadline.
     pub async fn run(self: Arc<Self>) {
         loop {
             let wake = self.state().admission.wake();
-            let moment = async {
+            let timer = async {
                 match wake {
                     Some(wake) => sleep_until(self.clock.instant(wake)).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
-                () = moment => self.poll(),
-                () = self.waits.notified() => {}
+                () = timer => self.poll(),
+                () = self.queued.notified() => {}
             }
         }
     }
@@ -201,43 +201,43 @@
     }
 }
 
-/// Calls of one service at this gateway.
+/// Number of calls of one service at this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Counts {
-    /// Calls that wait.
+    /// Number of queued calls.
     pub queued: u32,
-    /// Calls that run.
+    /// Number of running calls.
     pub running: u32,
 }
 
 impl State {
     fn perform(&mut self, actions: Vec<Action>) {
         for action in actions {
-            let (ticket, word) = match action {
+            let (ticket, decision) = match action {
                 Action::Start(ticket) => (ticket, Ok(())),
                 Action::Refuse(ticket, refusal) => (ticket, Err(refusal_of(refusal))),
             };
-            if let Some(send) = self.waiting.remove(&ticket) {
-                // A caller that has left drops its slot, which ends the call.
-                let _ = send.send(word);
+            if let Some(sender) = self.waiting.remove(&ticket) {
+                // Fails only if the caller has disconnected and thereby dropped its permit.
+                let _ = sender.send(decision);
             }
         }
     }
 }
 
-impl Slot {
-    /// Notes how the call goes, until a later note.
-    pub fn note(&mut self, finish: Finish) {
+impl AdmissionPermit {
+    /// Sets how the call ends; the last call before the drop wins.
+    pub fn set_finish(&mut self, finish: Finish) {
         self.finish = finish;
     }
 }
 
-impl Drop for Slot {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         let mut out = Vec::new();
         let now = self.queue.clock.now();
         let mut state = self.queue.state();
-        // At most one of these finds the ticket: it waits, runs, or was refused.
+        // The ticket is queued, running or already refused, so at most one of these applies.
         state.waiting.remove(&self.ticket);
         state.admission.leave(self.ticket);
         state
@@ -248,10 +248,10 @@
 }
 
 fn terms(service: &Service, view: &View) -> Terms {
-    let ready = view.instances(&service.name).iter();
-    let slots: u32 = ready
-        .filter(|row| row.phase == Phase::Ready)
-        .map(|row| row.slots)
+    let instances = view.instances(&service.name).iter();
+    let slots: u32 = instances
+        .filter(|instance| instance.phase == Phase::Ready)
+        .map(|instance| instance.slots)
         .fold(0, u32::saturating_add);
     Terms {
         class: service.class,
@@ -264,7 +264,7 @@
 fn refusal_of(refusal: admit::Refusal) -> Refusal {
     let status = StatusCode::from_u16(refusal.status());
     Refusal {
-        retry: refusal.retry_after,
+        retry_after: refusal.retry_after,
         ..Refusal::not_run(
             status.unwrap_or(StatusCode::SERVICE_UNAVAILABLE),
             reason_of(refusal.reason),
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The gateway's own answers: why it refused a request, or gave it up.
+//! Responses of the gateway itself to requests that it refused or that failed.
 
 use std::time::Duration;
 
@@ -15,168 +15,168 @@
 use strum::EnumIter;
 use strum::IntoStaticStr;
 
-/// Why a request got no answer of an upstream.
+/// Reason for which a request was refused or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumCount, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Reason {
-    /// No service named.
+    /// The service header is missing.
     NoService,
-    /// A service that is no name, or named twice.
+    /// The service name is malformed or given more than once.
     BadService,
-    /// Not in the catalogue.
+    /// The service isn't in the catalogue.
     UnknownService,
-    /// A deadline that is no number of milliseconds within the bounds, or named twice.
+    /// The deadline is malformed, out of range or given more than once.
     BadDeadline,
-    /// A caller that is no name, or named twice.
+    /// The caller name is malformed or given more than once.
     BadCaller,
-    /// An idempotency key that is no name, or named twice.
+    /// The idempotency key is malformed or given more than once.
     BadKey,
-    /// A key without a caller, to whom it belongs.
+    /// An idempotency key was given without a caller name.
     NoCaller,
-    /// A depth that is no small number, or named twice.
+    /// The depth is malformed, too large or given more than once.
     BadDepth,
-    /// A method that is not relayed.
+    /// The method isn't supported.
     BadMethod,
-    /// A head that can't be relayed.
+    /// The request head can't be forwarded.
     BadHead,
-    /// The body is over the entry's bound.
+    /// The body exceeds the limit of the service.
     BodyTooLarge,
-    /// The body broke off or came too slowly.
+    /// The body was truncated or arrived too slowly.
     BadBody,
-    /// No confirmation that the catalogue is current.
+    /// The gateway has no recent confirmation of its catalogue.
     Fenced,
-    /// The host is about to stop.
+    /// The gateway is stopping.
     Stopping,
-    /// No memory for another body.
+    /// The memory budget for request bodies is exhausted.
     Memory,
-    /// No instance that can take it.
+    /// No instance is available.
     NoUpstream,
-    /// Every connection of the gateway's share is in use.
+    /// All connections of this gateway's share are in use.
     Connections,
     /// The queue of the service or of the gateway is full.
     QueueFull,
-    /// The predicted wait doesn't fit the deadline.
+    /// The predicted queueing time exceeds the deadline.
     Overloaded,
-    /// It waited until its deadline couldn't be met.
+    /// The request was queued until its deadline could no longer be met.
     Expired,
-    /// It made room for a call of a higher class.
+    /// The request was evicted from the queue by one of a higher class.
     Yielded,
-    /// The service left the catalogue.
+    /// The service was removed from the catalogue.
     Removed,
-    /// No instance took the connection.
+    /// No connection to an instance could be established.
     Connect,
-    /// Every instance tried refused before any work.
+    /// All instances tried shed the request.
     Shed,
-    /// The request may have been sent, and no answer came.
+    /// The request may have been sent, but no response arrived.
     NoAnswer,
-    /// The answer was another request's.
+    /// The response belongs to another request.
     Mismatch,
-    /// The answer broke off.
+    /// The response body was truncated.
     ShortBody,
     /// The deadline passed.
     Deadline,
-    /// The ledger can't be reached.
+    /// The ledger is unreachable.
     Ledger,
-    /// The ledger takes no more keys of this service now.
+    /// The ledger accepts no more keys of this service at the moment.
     LedgerFull,
-    /// The same key is running.
+    /// A request with the same key is in flight.
     InFlight,
-    /// The ledger can't tell whether the key's request ran.
+    /// The ledger doesn't know whether the request with this key ran.
     Forgotten,
-    /// The same key came with another request.
+    /// The key was used before for a different request.
     KeyReused,
-    /// The key is from before the ledger's window.
+    /// The key is older than the ledger's window.
     KeyExpired,
-    /// The key was minted ahead of the ledger's time.
+    /// The key's timestamp is in the future.
     KeyEarly,
-    /// The ledger takes only keys that tell when they were minted.
+    /// The key lacks the timestamp that the ledger requires.
     KeyUntimed,
-    /// The answer is done but too large to be kept.
+    /// The request was completed, but its response was too large to store.
     NotKept,
-    /// The claim's hold ran out before the request could leave.
+    /// The claim expired before the request could be sent.
     Hold,
 }
 
-/// One answer that is not an upstream's own.
+/// A response generated by the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Status of the answer.
+    /// Status code.
     pub status: StatusCode,
     /// Whether the request may have run.
     pub outcome: Outcome,
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// When to come back, where that helps.
-    pub retry: Option<Duration>,
-    /// No level above is to retry it.
-    pub marked: bool,
+    /// Time after which the caller may retry, if a retry makes sense.
+    pub retry_after: Option<Duration>,
+    /// Whether retries were already attempted, so that no level above should retry.
+    pub retried: bool,
 }
 
 impl Refusal {
-    /// A refusal of a request that was not run.
+    /// Refuses a request that was not run.
     #[must_use]
     pub const fn not_run(status: StatusCode, reason: Reason) -> Self {
         Self {
             status,
             outcome: Outcome::NotRun,
             reason,
-            retry: None,
-            marked: false,
+            retry_after: None,
+            retried: false,
         }
     }
 
-    /// The end of a request that may have run.
+    /// Fails a request that may have run.
     #[must_use]
     pub const fn unknown(status: StatusCode, reason: Reason) -> Self {
         Self {
             status,
             outcome: Outcome::Unknown,
             reason,
-            retry: None,
-            marked: false,
+            retry_after: None,
+            retried: false,
         }
     }
 
-    /// The caller's own mistake.
+    /// Rejects an invalid request.
     #[must_use]
-    pub const fn bad(reason: Reason) -> Self {
+    pub const fn bad_request(reason: Reason) -> Self {
         Self::not_run(StatusCode::BAD_REQUEST, reason)
     }
 
-    /// A refusal for now, with the time to come back.
+    /// Refuses a request temporarily, with the time after which to retry.
     #[must_use]
-    pub const fn busy(reason: Reason, retry: Duration) -> Self {
+    pub const fn unavailable(reason: Reason, retry_after: Duration) -> Self {
         let mut refusal = Self::not_run(StatusCode::SERVICE_UNAVAILABLE, reason);
-        refusal.retry = Some(retry);
+        refusal.retry_after = Some(retry_after);
         refusal
     }
 
-    /// The same with a time to come back.
+    /// Sets the time after which the caller may retry.
     #[must_use]
-    pub const fn retry_in(mut self, span: Duration) -> Self {
-        self.retry = Some(span);
+    pub const fn with_retry_after(mut self, retry_after: Duration) -> Self {
+        self.retry_after = Some(retry_after);
         self
     }
 
-    /// The same with the mark that no level above retries it.
+    /// Marks that retries were already attempted, so that no level above should retry.
     #[must_use]
-    pub const fn marked(mut self) -> Self {
-        self.marked = true;
+    pub const fn with_retried_mark(mut self) -> Self {
+        self.retried = true;
         self
     }
 
-    /// Writes the answer.
-    pub fn write(&self, response: &mut salvo::Response) {
+    /// Writes the refusal as response.
+    pub fn write_to(&self, response: &mut salvo::Response) {
         response.status_code(self.status);
         let headers = response.headers_mut();
-        headers.insert(header::OUTCOME, fixed(self.outcome.into()));
-        headers.insert(header::REASON, fixed(self.reason.into()));
-        headers.insert(CONTENT_TYPE, fixed("application/json"));
-        if let Some(span) = self.retry {
-            headers.insert(RETRY_AFTER, HeaderValue::from(whole_seconds(span)));
+        headers.insert(header::OUTCOME, static_value(self.outcome.into()));
+        headers.insert(header::REASON, static_value(self.reason.into()));
+        headers.insert(CONTENT_TYPE, static_value("application/json"));
+        if let Some(retry_after) = self.retry_after {
+            headers.insert(RETRY_AFTER, HeaderValue::from(whole_seconds(retry_after)));
         }
-        if self.marked {
-            headers.insert(header::RETRIED, fixed("1"));
+        if self.retried {
+            headers.insert(header::RETRIED, static_value("1"));
         }
         response.replace_body(ResBody::Once(self.body()));
     }
@@ -190,12 +190,12 @@
     }
 }
 
-/// Seconds of `span`, rounded up, at least 1: the header has no smaller unit.
-fn whole_seconds(span: Duration) -> u64 {
-    let part = u64::from(span.subsec_nanos() > 0);
-    (span.as_secs() + part).max(1)
+/// Seconds of `duration`, rounded up, at least 1, as `retry-after` has no smaller unit.
+fn whole_seconds(duration: Duration) -> u64 {
+    let fraction = u64::from(duration.subsec_nanos() > 0);
+    (duration.as_secs() + fraction).max(1)
 }
 
-fn fixed(text: &'static str) -> HeaderValue {
+fn static_value(text: &'static str) -> HeaderValue {
     HeaderValue::from_static(text)
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,5 @@
-//! Relays an upstream's answer: whole, or with a failure that the caller sees.
+//! Relays an upstream's response to the caller. A truncated response ends with a
+//! failure that the caller can detect.
 
 use std::pin::Pin;
 
@@ -17,45 +18,45 @@
 
 use crate::headers;
 
-/// Pieces of an answer that wait for the caller.
-pub const PIECES: usize = 4;
+/// Number of response chunks buffered for the caller.
+pub const CHUNK_BUFFER: usize = 4;
 
 quick_error! {
-    /// Why an answer broke off.
+    /// Reason for which a response body ended early.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-    pub enum Broken {
-        /// The upstream's answer was short.
-        Short {
-            display("the upstream's answer broke off")
+    pub enum BodyError {
+        /// The upstream's response was truncated.
+        Truncated {
+            display("the upstream's response was truncated")
         }
         /// The deadline passed.
         Deadline {
-            display("the deadline passed")
+            display("the deadline passed before the response was complete")
         }
-        /// The gateway's task for the call is gone.
-        Lost {
-            display("the call was given up")
+        /// The gateway's task for the call ended early.
+        CallAborted {
+            display("the call was aborted before the response was complete")
         }
     }
 }
 
-/// The pieces of an answer's body, in order.
-pub type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, reqwest::Error>> + Send>>;
+/// Chunks of a response body, in order.
+pub type ResponseChunks = Pin<Box<dyn Stream<Item = Result<Bytes, reqwest::Error>> + Send>>;
 
-/// An upstream's answer, its head read.
-pub struct Answer {
-    /// Its status.
+/// An upstream's response whose head was received.
+pub struct UpstreamResponse {
+    /// Status code.
     pub status: StatusCode,
-    /// All its headers.
+    /// All headers.
     pub headers: HeaderMap,
-    /// Its end can be told from a connection that broke.
+    /// Whether the end of the body can be told from a broken connection.
     pub framed: bool,
-    /// Its body.
-    pub body: Pieces,
+    /// Body.
+    pub body: ResponseChunks,
 }
 
-impl Answer {
-    /// Takes a client's response over.
+impl UpstreamResponse {
+    /// Wraps a response of the HTTP client.
     #[must_use]
     pub fn new(mut response: reqwest::Response, method: &Method) -> Self {
         let framed = is_framed(&response, method);
@@ -67,21 +68,22 @@
         }
     }
 
-    /// Whether it refused before any work.
+    /// Whether the upstream shed the request, that is, refused it before any work.
     #[must_use]
     pub fn is_shed(&self) -> bool {
         self.status == StatusCode::SERVICE_UNAVAILABLE && self.headers.contains_key(header::SHED)
     }
 
-    /// Whether it is the answer to another request than `id`, as far as it says so.
+    /// Whether the response carries the id of a request other than `id`.
     #[must_use]
-    pub fn is_foreign(&self, id: &str) -> bool {
+    pub fn is_mismatched(&self, id: &str) -> bool {
         let mut echoes = self.headers.get_all(header::REQUEST_ID).iter();
         echoes.any(|echo| echo.as_bytes() != id.as_bytes())
     }
 }
 
-/// An answer that ends with its connection can't be told from one cut short.
+/// Whether the body has a defined end. One that ends with its connection can't be
+/// told from a truncated one.
 fn is_framed(response: &reqwest::Response, method: &Method) -> bool {
     let status = response.status();
     response.version() == Version::HTTP_2
@@ -92,63 +94,63 @@
         || response.headers().contains_key(TRANSFER_ENCODING)
 }
 
-/// An answer on its way to the caller.
-pub struct Relayed {
-    /// Its status.
+/// A response to be sent to the caller.
+pub struct RelayedResponse {
+    /// Status code.
     pub status: StatusCode,
-    /// Its end-to-end headers.
+    /// End-to-end headers.
     pub headers: HeaderMap,
-    /// Its body.
-    pub body: Receiver,
+    /// Body.
+    pub body: ResponseBody,
 }
 
-impl Relayed {
-    /// The head of `answer` for the caller, with the way to send the body by.
+impl RelayedResponse {
+    /// Creates a response with the head of `response`, and the sender for its body.
     #[must_use]
-    pub fn begin(answer: &Answer) -> (mpsc::Sender<Result<Bytes, Broken>>, Self) {
-        let (send, receive) = mpsc::channel(PIECES);
+    pub fn begin(response: &UpstreamResponse) -> (mpsc::Sender<Result<Bytes, BodyError>>, Self) {
+        let (send, receive) = mpsc::channel(CHUNK_BUFFER);
         let relayed = Self {
-            status: answer.status,
-            headers: headers::of_answer(&answer.headers),
-            body: Receiver::new(receive),
+            status: response.status,
+            headers: headers::forwarded_response(&response.headers),
+            body: ResponseBody::new(receive),
         };
         (send, relayed)
     }
 }
 
-/// The caller's end of an answer's body.
+/// Receiving end of a response body.
 ///
-/// The sender ends a whole body with an empty piece. A channel that closes
-/// without one is a body cut short, whatever became of the sender.
-pub struct Receiver {
-    pieces: mpsc::Receiver<Result<Bytes, Broken>>,
+/// The sender marks the end of a complete body with an empty chunk. If the channel
+/// closes without that mark, the body is truncated.
+pub struct ResponseBody {
+    chunks: mpsc::Receiver<Result<Bytes, BodyError>>,
     ended: bool,
 }
 
-impl Receiver {
-    /// The end of the channel `pieces`.
+impl ResponseBody {
+    /// Creates a body from the receiver `chunks`.
     #[must_use]
-    pub fn new(pieces: mpsc::Receiver<Result<Bytes, Broken>>) -> Self {
+    pub fn new(chunks: mpsc::Receiver<Result<Bytes, BodyError>>) -> Self {
         Self {
-            pieces,
+            chunks,
             ended: false,
         }
     }
 
-    /// A body that is at hand.
+    /// Creates a complete body from bytes.
     #[must_use]
-    pub fn whole(body: Bytes) -> Self {
+    pub fn from_bytes(body: Bytes) -> Self {
         let (send, receive) = mpsc::channel(2);
-        for piece in [body, Bytes::new()] {
-            // There is room for both; an empty body ends at once.
-            let _ = send.try_send(Ok(piece));
+        for chunk in [body, Bytes::new()] {
+            // The channel has room for both chunks.
+            let _ = send.try_send(Ok(chunk));
         }
         Self::new(receive)
     }
 }
 
-impl Stream for Receiver {
-    type Item = Result<Bytes, Broken>;
+impl Stream for ResponseBody {
+    type Item = Result<Bytes, BodyError>;
 
     fn poll_next(
         mut self: Pin<&mut Self>,
@@ -158,12 +160,12 @@
         if self.ended {
             return Poll::Ready(None);
         }
-        let piece = futures::ready!(self.pieces.poll_recv(cx));
-        self.ended = !matches!(&piece, Some(Ok(bytes)) if !bytes.is_empty());
-        match piece {
+        let chunk = futures::ready!(self.chunks.poll_recv(cx));
+        self.ended = !matches!(&chunk, Some(Ok(bytes)) if !bytes.is_empty());
+        match chunk {
             Some(Ok(bytes)) if bytes.is_empty() => Poll::Ready(None),
-            Some(piece) => Poll::Ready(Some(piece)),
-            None => Poll::Ready(Some(Err(Broken::Lost))),
+            Some(chunk) => Poll::Ready(Some(chunk)),
+            None => Poll::Ready(Some(Err(BodyError::CallAborted))),
         }
     }
 }
--- a/crates/gateway/src/request_head.rs
+++ b/crates/gateway/src/request_head.rs
@@ -1,4 +1,4 @@
-//! Reads a request's head into typed values, or says what is wrong with it.
+//! Parses and validates the head of a request.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -16,41 +16,41 @@
 use crate::view::Service;
 use crate::view::View;
 
-/// Deepest nesting of calls that is served.
+/// Maximum nesting depth of calls.
 pub const MAX_DEPTH: u8 = 32;
-/// Deadline where neither the request nor the entry names one.
-pub const DEADLINE: Duration = Duration::from_secs(10);
+/// Default deadline, used if neither the request nor the service sets one.
+pub const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
 
-/// What a request asks for.
+/// Validated head of a request.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// Names the request end to end.
+pub struct RequestHead {
+    /// Request id, the same for all attempts.
     pub id: Arc<str>,
-    /// The service and its limits.
+    /// Service with its limits.
     pub service: Arc<Service>,
-    /// When the answer is of no use any more.
+    /// Time by which the response must be complete.
     pub deadline: Moment,
-    /// Who calls.
+    /// Name of the caller.
     pub caller: Option<CallerName>,
-    /// The key of a non-idempotent request.
+    /// Idempotency key.
     pub key: Option<RequestKey>,
-    /// Nesting of the call, from 0.
+    /// Nesting depth of the call, from 0.
     pub depth: u8,
-    /// Bytes of the body, where the caller says so.
+    /// Length of the body in bytes, if the caller declares it.
     pub length: Option<u64>,
 }
 
-impl Ask {
-    /// Reads the head of the request `id`, which came at `now`.
+impl RequestHead {
+    /// Parses the head of the request `id`, which was received at `now`.
     ///
     /// # Errors
     ///
-    /// Fails with the refusal that the caller gets.
-    pub fn read(
+    /// Returns the refusal to send to the caller.
+    pub fn parse(
         id: Arc<str>,
         now: Moment,
         view: &View,
-        longest: Duration,
+        max_deadline: Duration,
         method: &Method,
         headers: &HeaderMap,
     ) -> Result<Self, Refusal> {
@@ -59,18 +59,18 @@
             return Err(Refusal::not_run(status, Reason::BadMethod));
         }
         let service = service(view, headers)?;
-        let deadline = deadline(&service, longest, headers)?;
+        let timeout = timeout(&service, max_deadline, headers)?;
         let caller = name(headers, header::CALLER, CallerName::new, Reason::BadCaller)?;
         let key = key(headers)?;
         let depth = depth(headers)?;
         let length = length(&service, headers)?;
         if key.is_some() && service.class == Class::Once && caller.is_none() {
-            return Err(Refusal::bad(Reason::NoCaller));
+            return Err(Refusal::bad_request(Reason::NoCaller));
         }
         Ok(Self {
             id,
             service,
-            deadline: now + deadline,
+            deadline: now + timeout,
             caller,
             key,
             depth,
@@ -78,22 +78,22 @@
         })
     }
 
-    /// Largest body of the service, in bytes.
+    /// Maximum body size of the service in bytes.
     #[must_use]
-    pub fn body_bound(&self) -> u64 {
+    pub fn max_body_bytes(&self) -> u64 {
         self.service.limits.body_bytes
     }
 }
 
-/// The service that a request names.
+/// Parses the name of the requested service.
 ///
 /// # Errors
 ///
-/// Refuses a request that names none, several, or what is no name.
+/// Returns a refusal if the name is missing, malformed or given more than once.
 pub fn service_name(headers: &HeaderMap) -> Result<ServiceName, Refusal> {
     let text = single(headers, header::SERVICE, Reason::BadService)?
-        .ok_or(Refusal::bad(Reason::NoService))?;
-    ServiceName::new(text).map_err(|_| Refusal::bad(Reason::BadService))
+        .ok_or(Refusal::bad_request(Reason::NoService))?;
+    ServiceName::new(text).map_err(|_| Refusal::bad_request(Reason::BadService))
 }
 
 fn service(view: &View, headers: &HeaderMap) -> Result<Arc<Service>, Refusal> {
@@ -104,21 +104,21 @@
     ))
 }
 
-fn deadline(
+fn timeout(
     service: &Service,
-    longest: Duration,
+    max_deadline: Duration,
     headers: &HeaderMap,
 ) -> Result<Duration, Refusal> {
-    let preset = match service.limits.deadline_ms {
-        0 => DEADLINE,
+    let default = match service.limits.deadline_ms {
+        0 => DEFAULT_DEADLINE,
         millis => Duration::from_millis(millis.into()),
     };
-    let asked: Option<u64> = number(headers, header::DEADLINE, Reason::BadDeadline)?;
-    let span = asked.map_or(preset, Duration::from_millis);
-    if span.is_zero() || span > longest {
-        return Err(Refusal::bad(Reason::BadDeadline));
+    let requested: Option<u64> = number(headers, header::DEADLINE, Reason::BadDeadline)?;
+    let timeout = requested.map_or(default, Duration::from_millis);
+    if timeout.is_zero() || timeout > max_deadline {
+        return Err(Refusal::bad_request(Reason::BadDeadline));
     }
-    Ok(span)
+    Ok(timeout)
 }
 
 fn key(headers: &HeaderMap) -> Result<Option<RequestKey>, Refusal> {
@@ -133,7 +133,7 @@
 fn depth(headers: &HeaderMap) -> Result<u8, Refusal> {
     let depth = number(headers, header::DEPTH, Reason::BadDepth)?.unwrap_or(0);
     if depth > MAX_DEPTH {
-        return Err(Refusal::bad(Reason::BadDepth));
+        return Err(Refusal::bad_request(Reason::BadDepth));
     }
     Ok(depth)
 }
@@ -156,7 +156,7 @@
     reason: Reason,
 ) -> Result<Option<T>, Refusal> {
     single(headers, header, reason)?
-        .map(|text| new(text).map_err(|_| Refusal::bad(reason)))
+        .map(|text| new(text).map_err(|_| Refusal::bad_request(reason)))
         .transpose()
 }
 
@@ -168,14 +168,16 @@
     let Some(text) = single(headers, header, reason)? else {
         return Ok(None);
     };
-    // `parse` would take a sign.
+    // `parse` would accept a leading sign.
     if !text.bytes().all(|b| b.is_ascii_digit()) {
-        return Err(Refusal::bad(reason));
+        return Err(Refusal::bad_request(reason));
     }
-    text.parse().map(Some).map_err(|_| Refusal::bad(reason))
+    text.parse()
+        .map(Some)
+        .map_err(|_| Refusal::bad_request(reason))
 }
 
-/// The one value of `header`; two are refused, as no choice between them is safe.
+/// The value of `header`. Repeated headers are refused, as they are ambiguous.
 fn single<'a>(
     headers: &'a HeaderMap,
     header: &str,
@@ -186,7 +188,10 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(Refusal::bad(reason));
+        return Err(Refusal::bad_request(reason));
     }
-    value.to_str().map(Some).map_err(|_| Refusal::bad(reason))
+    value
+        .to_str()
+        .map(Some)
+        .map_err(|_| Refusal::bad_request(reason))
 }
--- a/crates/gateway/src/rpc.rs
+++ b/crates/gateway/src/rpc.rs
@@ -1,4 +1,4 @@
-//! The operators' port: explain and drain.
+//! Operators' port, which serves the requests `explain` and `drain`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -25,29 +25,29 @@
 use crate::core::Core;
 use crate::core::Phase;
 
-/// Most operators' connections at once.
-const MOST_CONNECTIONS: usize = 64;
+/// Maximum number of concurrent connections from operators.
+const MAX_CONNECTIONS: usize = 64;
 
 #[derive(Clone)]
 struct Operators(Arc<Core>);
 
-/// Serves operators at `address`; gives the bound address.
+/// Serves operators at `address`; returns the bound address.
 ///
 /// # Errors
 ///
-/// Fails when the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start(core: Arc<Core>, address: SocketAddr) -> io::Result<SocketAddr> {
     let incoming =
         link::listen::<ClientMessage<GatewayApiRequest>, Response<GatewayApiResponse>>(address)
             .await?;
     let bound = incoming.local_addr();
     let acceptor = Acceptor {
-        limit: MOST_CONNECTIONS,
-        stop: core.ended().clone(),
+        limit: MAX_CONNECTIONS,
+        stop: core.shutdown_token().clone(),
         log: core.log.clone(),
     };
-    let owner = core.clone();
-    owner.spawn(acceptor.run(incoming, move |transport| {
+    let spawner = core.clone();
+    spawner.spawn(acceptor.run(incoming, move |transport| {
         let config = tarpc::server::Config {
             pending_response_buffer: MAX_PENDING,
         };
@@ -59,24 +59,24 @@
 }
 
 impl GatewayApi for Operators {
-    async fn explain(self, _: Context, ask: Explain) -> ExplainReply {
+    async fn explain(self, _: Context, request: Explain) -> ExplainReply {
         let core = &self.0;
         let view = core.view();
         let mut reply = ExplainReply {
             version: view.version(),
             fenced: core.is_fenced(),
             queued: 0,
-            in_flight: core.flying.count(),
+            in_flight: core.in_flight.count(),
             candidates: Vec::new(),
         };
-        let Ok(service) = ServiceName::new(&ask.service) else {
+        let Ok(service) = ServiceName::new(&request.service) else {
             return reply;
         };
         let counts = core.queue.counts(&service);
         reply.queued = counts.queued;
         reply.in_flight = counts.running;
-        if let Some(desk) = core.desks.get(&service) {
-            let views = desk.state().chooser.views(core.clock.now());
+        if let Some(balancer) = core.balancers.get(&service) {
+            let views = balancer.state().chooser.views(core.clock.now());
             reply.candidates = views.iter().map(candidate).collect();
         }
         reply
@@ -91,7 +91,7 @@
             serving
         });
         DrainReply {
-            in_flight: self.0.flying.count(),
+            in_flight: self.0.in_flight.count(),
         }
     }
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! The callers' port: admits requests, has them called, relays the answers.
+//! Callers' port: admits requests, starts their calls and relays the responses.
 
 use std::io;
 use std::sync::Arc;
@@ -29,9 +29,9 @@
 use tokio_util::sync::CancellationToken;
 use uuid::Uuid;
 
-use crate::acceptor::Door;
+use crate::acceptor::ClosableAcceptor;
 use crate::body;
-use crate::body::Keep;
+use crate::body::Buffering;
 use crate::call;
 use crate::core::Core;
 use crate::core::Phase;
@@ -39,54 +39,54 @@
 use crate::keyed;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
-use crate::relay::Relayed;
+use crate::relay::RelayedResponse;
 use crate::request_head;
-use crate::request_head::Ask;
+use crate::request_head::RequestHead;
 
-/// When to come back where nothing better is known.
-pub const RETRY: Duration = Duration::from_secs(1);
-/// Where the gateway says whether it serves.
+/// Default time after which a refused caller may retry.
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Path of the readiness check.
 pub const READY_PATH: &str = "/rwr/ready";
-/// How often an HTTP/2 connection is checked for a silent end.
-const PING_PERIOD: Duration = Duration::from_secs(20);
-/// Bytes that one HTTP/2 stream may send before they are read.
+/// Interval of keep-alive pings on HTTP/2 connections.
+const PING_INTERVAL: Duration = Duration::from_secs(20);
+/// HTTP/2 flow-control window of a stream, in bytes.
 const STREAM_WINDOW: u32 = 64 * 1024;
-/// Bytes that one HTTP/2 connection may send before they are read.
+/// HTTP/2 flow-control window of a connection, in bytes.
 const CONNECTION_WINDOW: u32 = 256 * 1024;
-/// Bytes of an answer that wait for one HTTP/2 stream.
+/// Send buffer of an HTTP/2 stream, in bytes.
 const SEND_BUFFER: usize = 64 * 1024;
-/// Most headers of one request.
-const MOST_HEADERS: usize = 100;
+/// Maximum number of headers of a request.
+const MAX_HEADERS: usize = 100;
 
-/// The callers' port while it is served.
-pub struct Port {
+/// Server of the callers' port.
+pub struct HttpServer {
     handle: ServerHandle,
     closing: CancellationToken,
     closed: CancellationToken,
-    done: tokio::task::JoinHandle<io::Result<()>>,
+    task: tokio::task::JoinHandle<io::Result<()>>,
 }
 
-/// Serves callers on `listener`.
+/// Starts serving callers on `listener`.
 ///
 /// # Errors
 ///
-/// Fails when the listener's address can't be read.
-pub fn start(core: Arc<Core>, listener: TcpListener) -> io::Result<Port> {
+/// Returns an error if the listener's address can't be read.
+pub fn start(core: Arc<Core>, listener: TcpListener) -> io::Result<HttpServer> {
     let bounds = core.settings.bounds;
     let fuse = FuseConfig::default()
         .with_http1_header_timeout(bounds.head_time)
         .with_write_stall_timeout(bounds.write_time);
     let closing = CancellationToken::new();
-    let door = Door::new(TcpAcceptor::try_from(listener)?, closing.clone());
-    let closed = door.closed();
-    let mut server = Server::new(door)
+    let acceptor = ClosableAcceptor::new(TcpAcceptor::try_from(listener)?, closing.clone());
+    let closed = acceptor.closed();
+    let mut server = Server::new(acceptor)
         .fuse_config(fuse)
         .max_connections(bounds.connections as usize);
-    let head = usize::try_from(bounds.head.0).unwrap_or(usize::MAX);
+    let max_head = usize::try_from(bounds.head.0).unwrap_or(usize::MAX);
     server
         .http1_mut()
-        .max_buf_size(head)
-        .max_headers(MOST_HEADERS);
+        .max_buf_size(max_head)
+        .max_headers(MAX_HEADERS);
     server
         .http2_mut()
         .timer(TokioTimer::new())
@@ -95,38 +95,39 @@
         .initial_stream_window_size(STREAM_WINDOW)
         .initial_connection_window_size(CONNECTION_WINDOW)
         .max_send_buf_size(SEND_BUFFER)
-        .keep_alive_interval(PING_PERIOD)
+        .keep_alive_interval(PING_INTERVAL)
         .keep_alive_timeout(bounds.head_time);
     let handle = server.handle();
-    let service = Service::new(Router::new()).hoop(Entry(core));
-    let done = tokio::spawn(server.try_serve(service));
-    Ok(Port {
+    let service = Service::new(Router::new()).hoop(CallHandler(core));
+    let task = tokio::spawn(server.try_serve(service));
+    Ok(HttpServer {
         handle,
         closing,
         closed,
-        done,
+        task,
     })
 }
 
-impl Port {
-    /// Closes the listener, ends idle connections, and waits for requests in flight.
+impl HttpServer {
+    /// Closes the listener and idle connections, and waits for requests in flight for at
+    /// most `finish`.
     pub async fn close(self, finish: Duration) {
         self.closing.cancel();
-        // A server with all connections in use doesn't look at its door.
-        let _ = tokio::time::timeout(DOOR_TIME, self.closed.cancelled()).await;
+        // A server at its connection limit doesn't call the acceptor, hence the timeout.
+        let _ = tokio::time::timeout(LISTENER_CLOSE_TIMEOUT, self.closed.cancelled()).await;
         self.handle.stop_graceful(finish);
-        let _ = self.done.await;
+        let _ = self.task.await;
     }
 }
 
-/// Longest wait for the listener to close.
-const DOOR_TIME: Duration = Duration::from_millis(100);
+/// Maximum wait for the listener to close.
+const LISTENER_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Takes every request, whatever its path.
-struct Entry(Arc<Core>);
+/// Handles all requests, whatever their path.
+struct CallHandler(Arc<Core>);
 
 #[async_trait]
-impl Handler for Entry {
+impl Handler for CallHandler {
     async fn handle(
         &self,
         request: &mut Request,
@@ -136,15 +137,15 @@
     ) {
         ctrl.skip_rest();
         if is_ready_check(request) {
-            self.say_ready(response);
+            self.write_readiness(response);
             return;
         }
         let id: Arc<str> = Uuid::new_v4().simple().to_string().into();
         match self.call(&id, request).await {
-            Ok(relayed) => relay(relayed, response),
+            Ok(relayed) => write_response(relayed, response),
             Err(refusal) => {
                 let service = request_head::service_name(request.headers()).ok();
-                self.refuse(&id, service.as_ref(), refusal, response);
+                self.write_refusal(&id, service.as_ref(), refusal, response);
             }
         }
         if let Ok(id) = HeaderValue::from_str(&id) {
@@ -159,29 +160,31 @@
         && !request.headers().contains_key(header::SERVICE)
 }
 
-impl Entry {
-    fn say_ready(&self, response: &mut Response) {
+impl CallHandler {
+    fn write_readiness(&self, response: &mut Response) {
         let refusal = if self.0.is_fenced() {
-            Refusal::busy(Reason::Fenced, RETRY)
+            Refusal::unavailable(Reason::Fenced, DEFAULT_RETRY_AFTER)
         } else if *self.0.phase.borrow() > Phase::Serving {
-            Refusal::busy(Reason::Stopping, RETRY)
+            Refusal::unavailable(Reason::Stopping, DEFAULT_RETRY_AFTER)
         } else {
             response.status_code(StatusCode::OK);
             response.replace_body(ResBody::Once("ready\n".into()));
             return;
         };
-        refusal.write(response);
+        refusal.write_to(response);
     }
 
-    /// Has the request called; being dropped here is the caller's leaving.
+    /// Runs the call of a request. Dropping the future signals that the caller has
+    /// disconnected.
     async fn call(&self, id: &Arc<str>, request: &mut Request) -> call::Result {
-        let answer = self.admit(id, request).await?;
-        // A call's task always answers; its loss may have come after its run.
-        let lost = Refusal::unknown(StatusCode::BAD_GATEWAY, Reason::NoAnswer);
-        answer.await.unwrap_or(Err(lost))
+        let receiver = self.admit(id, request).await?;
+        // Used only if the call's task ends without a result, for example by a panic; the
+        // request may have run by then.
+        let aborted = Refusal::unknown(StatusCode::BAD_GATEWAY, Reason::NoAnswer);
+        receiver.await.unwrap_or(Err(aborted))
     }
 
-    /// Takes the request in and starts its call.
+    /// Validates and admits a request, and starts its call.
     async fn admit(
         &self,
         id: &Arc<str>,
@@ -192,12 +195,12 @@
         let bounds = core.settings.bounds;
         let view = core.view();
         if view.is_fenced(now, core.settings.lease.length) {
-            return Err(Refusal::busy(Reason::Fenced, RETRY));
+            return Err(Refusal::unavailable(Reason::Fenced, DEFAULT_RETRY_AFTER));
         }
         if *core.phase.borrow() == Phase::Closing {
-            return Err(Refusal::busy(Reason::Stopping, RETRY));
+            return Err(Refusal::unavailable(Reason::Stopping, DEFAULT_RETRY_AFTER));
         }
-        let ask = Ask::read(
+        let head = RequestHead::parse(
             id.clone(),
             now,
             &view,
@@ -205,37 +208,40 @@
             request.method(),
             request.headers(),
         )?;
-        let desk = core.desks.get(&ask.service.name).ok_or(Refusal::not_run(
-            StatusCode::NOT_FOUND,
-            Reason::UnknownService,
-        ))?;
-        let is_keyed = ask.service.class == Class::Once && ask.key.is_some();
-        let keep = if is_keyed || ask.service.class == Class::Durable {
-            Keep::Whole
+        let balancer = core
+            .balancers
+            .get(&head.service.name)
+            .ok_or(Refusal::not_run(
+                StatusCode::NOT_FOUND,
+                Reason::UnknownService,
+            ))?;
+        let is_keyed = head.service.class == Class::Once && head.key.is_some();
+        let buffering = if is_keyed || head.service.class == Class::Durable {
+            Buffering::Always
         } else {
-            Keep::Small(bounds.replay.0)
+            Buffering::UpTo(bounds.replay.0)
         };
-        let until = core.clock.instant(ask.deadline);
+        let deadline = core.clock.instant(head.deadline);
         let body = request.take_body();
-        let payload = body::take_in(body, &ask, keep, &core.memory, until).await?;
-        let slot = core.queue.admit(&ask.service.name, ask.deadline).await?;
+        let body = body::receive_body(body, &head, buffering, &core.memory, deadline).await?;
+        let permit = core.queue.admit(&head.service.name, head.deadline).await?;
         let admitted = call::Request {
             method: request.method().clone(),
             target: target(request).into(),
-            headers: headers::of_request(request.headers()),
-            payload,
-            hold: None,
-            slot: Some(slot),
-            ask,
+            headers: headers::forwarded_request(request.headers()),
+            body,
+            claim_expires_at: None,
+            permit: Some(permit),
+            head,
         };
         Ok(if is_keyed {
-            keyed::start(core.clone(), desk, admitted)
+            keyed::start(core.clone(), balancer, admitted)
         } else {
-            call::start(core.clone(), desk, admitted)
+            call::start(core.clone(), balancer, admitted)
         })
     }
 
-    fn refuse(
+    fn write_refusal(
         &self,
         id: &str,
         service: Option<&ServiceName>,
@@ -250,7 +256,7 @@
             "reason" => <&str>::from(refusal.reason),
             "status" => refusal.status.as_u16(),
         );
-        refusal.write(response);
+        refusal.write_to(response);
         if *self.0.phase.borrow() == Phase::Closing {
             let close = HeaderValue::from_static("close");
             response
@@ -260,7 +266,7 @@
     }
 }
 
-fn relay(relayed: Relayed, response: &mut Response) {
+fn write_response(relayed: RelayedResponse, response: &mut Response) {
     response.status_code(relayed.status);
     response.set_headers(relayed.headers);
     response.replace_body(ResBody::stream(relayed.body));
