--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one gateway, read from an INI file.
+//! Settings of a gateway, read from an INI file.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,81 +11,82 @@
 use conf::Reader;
 use conf::value::Bytes;
 
-/// Least bound of a request's head, as the HTTP library needs it.
-pub const LEAST_HEAD: u64 = 8 * 1024;
+/// Minimum size limit of a request's head, required by the HTTP library.
+pub const MIN_HEAD: u64 = 8 * 1024;
 
-/// All settings of one gateway.
+/// Settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The machine's name.
+    /// Name of the host.
     pub host: HostName,
-    /// The machine's failure domain.
+    /// Failure domain of the host.
     pub domain: DomainName,
-    /// Where callers connect.
+    /// Address of the callers' port.
     pub http: SocketAddr,
-    /// Where operators connect.
+    /// Address of the operators' port.
     pub rpc: SocketAddr,
     /// Log and metrics.
     pub telemetry: telemetry::Settings,
-    /// The directories, the own host's first.
+    /// Addresses of the directories, the local one first.
     pub directories: Vec<SocketAddr>,
-    /// The control replicas, for claims.
+    /// Addresses of the control replicas, which serve the ledger.
     pub control: Vec<SocketAddr>,
-    /// Times of the lease and of the poll.
+    /// Lease and poll times.
     pub lease: Lease,
-    /// Bounds of what callers may take.
+    /// Limits on what callers may use.
     pub bounds: Bounds,
     /// Times of a graceful stop.
     pub stop: StopTimes,
 }
 
-/// Times of the gateway's lease.
+/// Lease and poll times.
 #[derive(Clone, Copy, Debug)]
 pub struct Lease {
-    /// Oldest confirmation that still lets the gateway take work.
+    /// Age of the last confirmation from which on the gateway is fenced.
     pub length: Duration,
-    /// How long a directory may hold a poll.
+    /// Maximum time that a directory may wait for updates before it replies.
     pub poll: Duration,
 }
 
-/// Bounds of what callers may take.
+/// Limits on what callers may use.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Connections of callers.
+    /// Maximum number of callers' connections.
     pub connections: u32,
-    /// Requests in flight on one HTTP/2 connection.
+    /// Maximum number of concurrent streams per HTTP/2 connection.
     pub streams: u32,
-    /// Size of a request's head.
+    /// Maximum size of a request's head.
     pub head: Bytes,
-    /// Calls that run at once, over all services.
+    /// Maximum number of running calls over all services.
     pub running: u32,
-    /// Calls that wait, over all services.
+    /// Maximum number of queued calls over all services.
     pub queue: u32,
-    /// Time for a request's head, and for the next one on a kept connection.
+    /// Timeout for receiving a request's head, also for the next one on an idle connection.
     pub head_time: Duration,
-    /// Time in which a caller takes nothing of its answer.
+    /// Timeout for a caller that reads nothing of its response.
     pub write_time: Duration,
-    /// Longest deadline that a caller may name.
+    /// Maximum deadline that a caller may request.
     pub deadline: Duration,
-    /// Size of a request body up to which it is kept for a retry.
+    /// Maximum size of a request body that is buffered for retries.
     pub replay: Bytes,
-    /// Size of all request bodies kept at once.
+    /// Memory budget for all buffered request bodies.
     pub memory: Bytes,
-    /// Size of an answer up to which the ledger keeps it.
+    /// Maximum size of a response body that the ledger stores.
     pub answer: Bytes,
 }
 
 /// Times of a graceful stop.
 #[derive(Clone, Copy, Debug)]
 pub struct StopTimes {
-    /// How long the gateway serves on after it told the directory.
+    /// Time that the gateway keeps serving after it has announced the stop.
     pub linger: Duration,
-    /// How long requests in flight may take after that.
+    /// Maximum time that requests in flight may take after that.
     pub finish: Duration,
 }
 
 impl Settings {
-    /// Settings for `host` in `domain` on free loopback ports, for tests and trials.
+    /// Default settings for `host` in `domain` on free loopback ports, for tests and
+    /// simulations.
     #[must_use]
     pub fn local(host: HostName, domain: DomainName) -> Self {
         Self {
@@ -102,20 +103,20 @@
         }
     }
 
-    /// Reads the file at `path`.
+    /// Reads the settings file at `path`.
     ///
     /// # Errors
     ///
-    /// Fails with every fault of the file at once.
+    /// Returns all faults of the file together.
     pub fn open(path: &Path) -> Result<Self, ConfError> {
         Self::read(Reader::open(path)?)
     }
 
-    /// Reads all keys from `reader`.
+    /// Reads the settings from `reader`.
     ///
     /// # Errors
     ///
-    /// Fails with every fault of the file at once.
+    /// Returns all faults of the file together.
     pub fn read(mut reader: Reader) -> Result<Self, ConfError> {
         let r = &mut reader;
         let host = r.required("gateway", "host");
@@ -130,7 +131,7 @@
         let stop = StopTimes::read(r);
         reader.finish()?;
         let (Some(host), Some(domain), Some(http), Some(rpc)) = (host, domain, http, rpc) else {
-            unreachable!("a missing key is a fault, which ended the reading");
+            unreachable!("missing required keys are reported as faults by `finish`");
         };
         Ok(Self {
             host,
@@ -149,14 +150,19 @@
 
 impl Lease {
     fn read(r: &mut Reader) -> Self {
-        let preset = Self::default();
+        let default = Self::default();
         let lease = Self {
-            length: r.or("lease", "length", preset.length),
-            poll: r.or("lease", "poll", preset.poll),
+            length: r.or("lease", "length", default.length),
+            poll: r.or("lease", "poll", default.poll),
         };
         if lease.poll.is_zero() || lease.poll * 2 > lease.length {
             let problem = Problem::Contradicts("length");
-            r.fault("lease", "poll", problem, "over 0, at most half of length");
+            r.fault(
+                "lease",
+                "poll",
+                problem,
+                "more than 0 and at most half of length",
+            );
         }
         lease
     }
@@ -164,26 +170,26 @@
 
 impl Bounds {
     fn read(r: &mut Reader) -> Self {
-        let preset = Self::default();
+        let default = Self::default();
         let bounds = Self {
-            connections: r.or("bounds", "connections", preset.connections),
-            streams: r.or("bounds", "streams", preset.streams),
-            head: r.or("bounds", "head", preset.head),
-            running: r.or("bounds", "running", preset.running),
-            queue: r.or("bounds", "queue", preset.queue),
-            head_time: r.or("bounds", "head_time", preset.head_time),
-            write_time: r.or("bounds", "write_time", preset.write_time),
-            deadline: r.or("bounds", "deadline", preset.deadline),
-            replay: r.or("bounds", "replay", preset.replay),
-            memory: r.or("bounds", "memory", preset.memory),
-            answer: r.or("bounds", "answer", preset.answer),
+            connections: r.or("bounds", "connections", default.connections),
+            streams: r.or("bounds", "streams", default.streams),
+            head: r.or("bounds", "head", default.head),
+            running: r.or("bounds", "running", default.running),
+            queue: r.or("bounds", "queue", default.queue),
+            head_time: r.or("bounds", "head_time", default.head_time),
+            write_time: r.or("bounds", "write_time", default.write_time),
+            deadline: r.or("bounds", "deadline", default.deadline),
+            replay: r.or("bounds", "replay", default.replay),
+            memory: r.or("bounds", "memory", default.memory),
+            answer: r.or("bounds", "answer", default.answer),
         };
         bounds.check(r);
         bounds
     }
 
     fn check(&self, r: &mut Reader) {
-        if self.head.0 < LEAST_HEAD {
+        if self.head.0 < MIN_HEAD {
             let problem = Problem::Form(self.head.to_text());
             r.fault("bounds", "head", problem, "at least 8KiB");
         }
@@ -200,10 +206,10 @@
 
 impl StopTimes {
     fn read(r: &mut Reader) -> Self {
-        let preset = Self::default();
+        let default = Self::default();
         Self {
-            linger: r.or("stop", "linger", preset.linger),
-            finish: r.or("stop", "finish", preset.finish),
+            linger: r.or("stop", "linger", default.linger),
+            finish: r.or("stop", "finish", default.finish),
         }
     }
 }
@@ -288,7 +294,7 @@
     }
 }
 
-/// Writes a value in the form that its key is read in.
+/// Formats a value so that it can be read again.
 trait ToText {
     fn to_text(&self) -> String;
 }
@@ -306,14 +312,14 @@
 }
 
 fn list(r: &mut Reader, section: &str, key: &str) -> Vec<SocketAddr> {
-    let found: Vec<SocketAddr> = r.list(section, key);
-    if found.is_empty() {
+    let addresses: Vec<SocketAddr> = r.list(section, key);
+    if addresses.is_empty() {
         r.fault(section, key, Problem::Missing, "IP:port apart by commas");
     }
-    found
+    addresses
 }
 
 fn joined(addresses: &[SocketAddr]) -> String {
-    let texts: Vec<String> = addresses.iter().map(ToString::to_string).collect();
-    texts.join(", ")
+    let addresses: Vec<String> = addresses.iter().map(ToString::to_string).collect();
+    addresses.join(", ")
 }
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -1,4 +1,4 @@
-//! The graceful stop, which cuts no request in flight.
+//! Graceful stop, which lets requests in flight finish.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,26 +11,26 @@
 
 use crate::core::Core;
 use crate::core::Phase;
-use crate::serve::Port;
+use crate::serve::HttpServer;
 
-/// Longest wait for a directory to hear of the stop before the linger begins.
-const TELL_TIME: Duration = Duration::from_secs(1);
+/// Maximum wait for a directory to receive the stop before the linger time starts.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Runs the stop to its end.
+/// Stops the gateway.
 ///
-/// Directories are told first. Callers keep routing answers for a while, so the
-/// gateway serves on until the last of these has run out; then it closes.
-pub async fn run(core: &Arc<Core>, port: Port, mut told: watch::Receiver<HostPhase>) {
+/// Directories are informed first. As callers cache routing answers, the gateway
+/// keeps serving for the linger time before it closes its port.
+pub async fn run(core: &Arc<Core>, server: HttpServer, mut announced: watch::Receiver<HostPhase>) {
     core.phase.send_replace(Phase::Stopping);
-    let stopping = told.wait_for(|phase| *phase == HostPhase::Stopping);
-    let heard = timeout(TELL_TIME, stopping).await.is_ok();
-    info!(core.log, "stopping"; "told" => heard, "in_flight" => core.flying.count());
+    let stopping = announced.wait_for(|phase| *phase == HostPhase::Stopping);
+    let is_announced = timeout(ANNOUNCE_TIMEOUT, stopping).await.is_ok();
+    info!(core.log, "stopping"; "told" => is_announced, "in_flight" => core.in_flight.count());
     sleep(core.settings.stop.linger).await;
     core.phase.send_replace(Phase::Closing);
-    info!(core.log, "closing"; "in_flight" => core.flying.count());
-    port.close(core.settings.stop.finish).await;
-    // Runs that must not be cut outlive their callers' connections.
-    let landed = timeout(core.settings.stop.finish, core.flying.landed()).await;
-    core.end();
-    info!(core.log, "stopped"; "whole" => landed.is_ok());
+    info!(core.log, "closing"; "in_flight" => core.in_flight.count());
+    server.close(core.settings.stop.finish).await;
+    // Calls that must not be cancelled continue after their caller has disconnected.
+    let idle = timeout(core.settings.stop.finish, core.in_flight.wait_until_idle()).await;
+    core.shut_down();
+    info!(core.log, "stopped"; "whole" => idle.is_ok());
 }
--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -1,4 +1,5 @@
-//! Follows a directory: the own host's first, another when that fails or lags.
+//! Polls a directory for updates: preferably the one on this host, another one when
+//! that fails or lags behind.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,63 +24,63 @@
 use crate::core::Core;
 use crate::core::Phase;
 
-/// Time for an answer beyond the time that the directory may hold it.
-const ANSWER_TIME: Duration = Duration::from_millis(500);
-/// Pause after every directory failed once.
+/// Time allowed for a reply in addition to the poll time.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(500);
+/// Pause after all directories failed in turn.
 const ROUND_PAUSE: Duration = Duration::from_millis(250);
-/// How long another directory is followed before the own one is tried again.
-const RETURN_PERIOD: Duration = Duration::from_secs(5);
+/// Time after which a gateway that uses a remote directory retries the local one.
+const LOCAL_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What the follower does after one poll.
+/// Which directory to poll next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Next {
-    /// Polls the same directory.
-    Stay,
-    /// Polls the next one.
-    Move,
+    /// The same directory.
+    Same,
+    /// Another directory.
+    Other,
 }
 
-/// The state of following.
-struct Follower {
+/// State of the task that polls directories.
+struct DirectoryPoller {
     core: Arc<Core>,
     links: Vec<DirectoryLink>,
     index: usize,
-    // The one to go back to when a return to the own one fails.
-    good: usize,
-    since: Moment,
-    // The instance table's cursor at the directory that is followed.
+    // Index to return to when the local directory fails again.
+    last_good: usize,
+    selected_at: Moment,
+    // Position in the instance table of the current directory.
     epoch: u64,
     cursor: u64,
     host: Host,
-    told: watch::Sender<HostPhase>,
+    announced: watch::Sender<HostPhase>,
 }
 
-/// Follows until the task is dropped; `gateway` is where callers connect.
+/// Starts polling directories; `gateway` is the address of the callers' port.
 ///
-/// The receiver shows the phase that a directory was told last.
+/// The receiver holds the phase that was last announced to a directory.
 pub fn start(core: Arc<Core>, gateway: SocketAddr) -> watch::Receiver<HostPhase> {
-    let told = watch::Sender::new(HostPhase::Unspecified);
-    let receiver = told.subscribe();
+    let announced = watch::Sender::new(HostPhase::Unspecified);
+    let receiver = announced.subscribe();
     let links = core.settings.directories.iter();
     let links = links.map(|a| peer::directory(*a)).collect();
-    let follower = Follower {
-        host: own_host(&core, gateway),
-        since: core.clock.now(),
+    let poller = DirectoryPoller {
+        host: local_host(&core, gateway),
+        selected_at: core.clock.now(),
         core,
         links,
         index: 0,
-        good: 0,
+        last_good: 0,
         epoch: 0,
         cursor: 0,
-        told,
+        announced,
     };
-    let core = follower.core.clone();
-    core.spawn(follower.run());
+    let core = poller.core.clone();
+    core.spawn(poller.run());
     receiver
 }
 
-fn own_host(core: &Core, gateway: SocketAddr) -> Host {
-    let started = SystemTime::now()
+fn local_host(core: &Core, gateway: SocketAddr) -> Host {
+    let started_at = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     Host {
@@ -87,63 +88,63 @@
         domain: core.settings.domain.to_string(),
         gateway: gateway.to_string(),
         phase: HostPhase::Fenced.into(),
-        incarnation: u64::try_from(started.as_millis()).unwrap_or(u64::MAX),
+        incarnation: u64::try_from(started_at.as_millis()).unwrap_or(u64::MAX),
         sequence: 0,
         version: 0,
         age_ms: 0,
     }
 }
 
-impl Follower {
+impl DirectoryPoller {
     async fn run(mut self) {
         let mut phase = self.core.phase.subscribe();
-        let mut failed = 0;
+        let mut failures = 0;
         while !self.links.is_empty() {
             phase.borrow_and_update();
             let next = tokio::select! {
                 next = self.poll() => next,
-                // A change of phase is told at once, not after the poll that runs.
-                _ = phase.changed() => Next::Stay,
+                // A change of phase is announced at once, not after the current poll.
+                _ = phase.changed() => Next::Same,
             };
             match next {
-                Next::Stay => failed = 0,
-                Next::Move => {
-                    failed += 1;
-                    self.leave();
+                Next::Same => failures = 0,
+                Next::Other => {
+                    failures += 1;
+                    self.switch();
                 }
             }
-            if failed >= self.links.len() {
-                failed = 0;
+            if failures >= self.links.len() {
+                failures = 0;
                 sleep(ROUND_PAUSE).await;
             }
-            self.return_home();
+            self.retry_local();
         }
     }
 
     async fn poll(&mut self) -> Next {
-        let sent = self.core.clock.now();
-        let ask = self.ask();
-        let told = HostPhase::try_from(ask.host.as_ref().map_or(0, |h| h.phase));
-        match self.sync(ask).await {
+        let sent_at = self.core.clock.now();
+        let request = self.request();
+        let phase = HostPhase::try_from(request.host.as_ref().map_or(0, |h| h.phase));
+        match self.send(request).await {
             Ok(reply) => {
-                self.told.send_replace(told.unwrap_or_default());
-                self.take(sent, reply)
+                self.announced.send_replace(phase.unwrap_or_default());
+                self.apply(sent_at, reply)
             }
             Err(err) => {
                 warn!(self.core.log, "directory lost"; "error" => %err);
-                Next::Move
+                Next::Other
             }
         }
     }
 
-    fn ask(&mut self) -> Sync {
+    fn request(&mut self) -> Sync {
         let view = self.core.view();
         let phase = self.phase();
         self.host.sequence += 1;
         self.host.version = view.version();
         self.host.phase = phase.into();
-        // News of the own phase isn't held back by a directory's wait.
-        let wait = if *self.told.borrow() == phase {
+        // A new phase is announced without waiting for updates.
+        let wait = if *self.announced.borrow() == phase {
             self.core.settings.lease.poll
         } else {
             Duration::ZERO
@@ -167,19 +168,19 @@
         }
     }
 
-    async fn sync(&self, ask: Sync) -> Result<SyncReply, LinkError> {
+    async fn send(&self, request: Sync) -> Result<SyncReply, LinkError> {
         let link = &self.links[self.index];
-        let span = Duration::from_millis(ask.wait_ms.into()) + ANSWER_TIME;
+        let timeout = Duration::from_millis(request.wait_ms.into()) + RESPONSE_MARGIN;
         let client = link.client().await?;
-        link.judge(client.sync(within(span), ask).await)
+        link.judge(client.sync(within(timeout), request).await)
     }
 
-    fn take(&mut self, sent: Moment, reply: SyncReply) -> Next {
+    fn apply(&mut self, sent_at: Moment, reply: SyncReply) -> Next {
         self.epoch = reply.epoch;
         self.cursor = reply.cursor;
         let before = self.core.view();
         let changed = reply.whole || reply.catalogue.is_some() || !reply.changes.is_empty();
-        let view = before.after(sent, reply);
+        let view = before.updated(sent_at, reply);
         if view.version() != before.version() {
             info!(self.core.log, "catalogue"; "version" => view.version());
         }
@@ -187,38 +188,39 @@
         if let Err(err) = self.core.set_view(view, changed) {
             warn!(self.core.log, "view refused"; "error" => %err);
         }
-        // A directory that was cut off itself answers, but confirms nothing.
-        let lag = self.core.settings.lease.length / 2;
-        if age.is_none_or(|age| age > lag) {
-            return Next::Move;
+        // A directory that is itself cut off still replies, but without fresh confirmations.
+        let max_age = self.core.settings.lease.length / 2;
+        if age.is_none_or(|age| age > max_age) {
+            return Next::Other;
         }
-        self.good = self.index;
-        Next::Stay
+        self.last_good = self.index;
+        Next::Same
     }
 
-    /// Leaves a directory that failed: back to the good one, or on from that.
+    /// Switches from a directory that failed to the last good one, or, if that is the
+    /// one that failed, to its successor.
     ///
-    /// A trial of the own one so costs one failed poll, and not one at each
-    /// directory between the two, by which the lease could run out.
-    fn leave(&mut self) {
-        if self.index == self.good {
-            self.good = (self.good + 1) % self.links.len();
+    /// Retrying the local directory thus costs a single failed poll. Polling all
+    /// directories in between could take longer than the lease.
+    fn switch(&mut self) {
+        if self.index == self.last_good {
+            self.last_good = (self.last_good + 1) % self.links.len();
         }
-        self.follow(self.good);
+        self.select(self.last_good);
     }
 
-    fn return_home(&mut self) {
-        let away = self.index != 0;
-        if away && self.core.clock.now().since(self.since) >= RETURN_PERIOD {
-            self.follow(0);
+    fn retry_local(&mut self) {
+        let is_remote = self.index != 0;
+        if is_remote && self.core.clock.now().since(self.selected_at) >= LOCAL_RETRY_INTERVAL {
+            self.select(0);
         }
     }
 
-    fn follow(&mut self, index: usize) {
-        self.since = self.core.clock.now();
+    fn select(&mut self, index: usize) {
+        self.selected_at = self.core.clock.now();
         if index != self.index {
             self.index = index;
-            // Another directory has another cursor: the table comes whole.
+            // Cursors of different directories are unrelated: the whole table is requested.
             self.epoch = 0;
             self.cursor = 0;
         }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -1,9 +1,9 @@
-//! What the gateway knows of the catalogue, of the instances and of how
-//! current that is: one immutable value, replaced whole.
+//! Immutable snapshot of the catalogue, of the announced instances and of the
+//! time when the catalogue was last confirmed.
 //!
-//! Invariant: the catalogue's version never goes back. A confirmation says that
-//! some version was the newest at its moment; it counts here only when the
-//! version in force is that one or a newer one.
+//! Invariant: the catalogue version never decreases. A confirmation states that
+//! a version was the newest at some moment; it is accepted only if the current
+//! version is the same or newer.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,50 +19,50 @@
 use wire::directory::Phase;
 use wire::directory::SyncReply;
 
-/// One service of the catalogue with checked types.
+/// A service of the catalogue, validated.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// How its requests are treated.
+    /// Class of the requests.
     pub class: Class,
-    /// The catalogue's own row, for the limits.
+    /// Limits as the catalogue states them.
     pub limits: wire::catalogue::Limits,
 }
 
-/// One announced instance with checked types.
+/// An announced instance, validated.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Upstream {
-    /// Its service.
+pub struct UpstreamInstance {
+    /// Service of the instance.
     pub service: ServiceName,
-    /// Its id, unique within the service.
+    /// Id, unique within the service.
     pub id: InstanceId,
-    /// Rises with each start under the same id.
+    /// Start number, which increases with each start under the same id.
     pub incarnation: u64,
-    /// Where it listens.
+    /// Address that the instance listens on.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainName,
-    /// Requests that it works on at once.
+    /// Number of requests that the instance serves concurrently.
     pub slots: u32,
-    /// Connections that it takes from all gateways together.
+    /// Limit of connections from all gateways together.
     pub connections: u32,
-    /// What it announced.
+    /// Announced phase.
     pub phase: Phase,
 }
 
 /// The announced instances of one service.
-pub type Rows = Arc<Vec<Arc<Upstream>>>;
+pub type Instances = Arc<Vec<Arc<UpstreamInstance>>>;
 
-/// The state that a gateway decides from.
+/// Snapshot of the catalogue and the instances.
 #[derive(Clone, Debug)]
 pub struct View {
     version: u64,
     services: HashMap<ServiceName, Arc<Service>>,
     registry: Arc<Registry>,
-    instances: HashMap<ServiceName, Rows>,
-    /// The moment the youngest confirmation was asked for; never before the process began.
-    confirmed: Option<Moment>,
+    instances: HashMap<ServiceName, Instances>,
+    // Time at which the newest confirmation was requested; never before the process started.
+    confirmed_at: Option<Moment>,
 }
 
 impl Default for View {
@@ -72,90 +72,95 @@
             services: HashMap::new(),
             registry: Arc::new(registry_of(&Catalogue::default())),
             instances: HashMap::new(),
-            confirmed: None,
+            confirmed_at: None,
         }
     }
 }
 
 impl View {
-    /// The catalogue's version, zero before the first.
+    /// Catalogue version, 0 before the first catalogue arrives.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Gateways that the catalogue registers, at least 1.
+    /// Number of gateways registered in the catalogue, at least 1.
     #[must_use]
     pub fn gateways(&self) -> u32 {
         let count = self.registry.gateways.len();
         u32::try_from(count).unwrap_or(u32::MAX).max(1)
     }
 
-    /// What the catalogue says of measuring.
+    /// Gateways and probe budgets of the catalogue.
     #[must_use]
     pub fn registry(&self) -> &Arc<Registry> {
         &self.registry
     }
 
-    /// The moment the youngest confirmation was asked for.
+    /// Time at which the newest confirmation was requested.
     #[must_use]
-    pub fn confirmed(&self) -> Option<Moment> {
-        self.confirmed
+    pub fn confirmed_at(&self) -> Option<Moment> {
+        self.confirmed_at
     }
 
-    /// A service of the catalogue.
+    /// The service `name` of the catalogue.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// All services of the catalogue.
+    /// All services in the catalogue.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// The announced instances of a service.
+    /// Announced instances of a service.
     #[must_use]
-    pub fn instances(&self, service: &ServiceName) -> &[Arc<Upstream>] {
-        self.instances.get(service).map_or(&[], |rows| rows)
+    pub fn instances(&self, service: &ServiceName) -> &[Arc<UpstreamInstance>] {
+        self.instances
+            .get(service)
+            .map_or(&[], |instances| instances)
     }
 
-    /// The same, to be kept: equal pointers say that nothing has changed.
+    /// Shared list of a service's instances. If the pointers of two lists are equal, the
+    /// instances are unchanged.
     #[must_use]
-    pub fn rows(&self, service: &ServiceName) -> Rows {
+    pub fn shared_instances(&self, service: &ServiceName) -> Instances {
         self.instances.get(service).cloned().unwrap_or_default()
     }
 
-    /// All announced instances.
-    pub fn all_instances(&self) -> impl Iterator<Item = &Arc<Upstream>> {
-        self.instances.values().flat_map(|rows| rows.iter())
+    /// Announced instances of all services.
+    pub fn all_instances(&self) -> impl Iterator<Item = &Arc<UpstreamInstance>> {
+        self.instances
+            .values()
+            .flat_map(|instances| instances.iter())
     }
 
-    /// How long ago the version in force was confirmed as current.
+    /// Time since the current version was last confirmed as the newest.
     #[must_use]
     pub fn confirmed_age(&self, now: Moment) -> Option<Duration> {
-        self.confirmed.map(|moment| now.since(moment))
+        self.confirmed_at.map(|moment| now.since(moment))
     }
 
-    /// Whether no confirmation is younger than `lease`.
+    /// Whether the newest confirmation is missing or at least `lease` old.
     #[must_use]
     pub fn is_fenced(&self, now: Moment, lease: Duration) -> bool {
         self.confirmed_age(now).is_none_or(|age| age >= lease)
     }
 
-    /// The view after `reply` to a request sent at `sent`.
+    /// The view after applying `reply` to a request sent at `sent_at`.
     #[must_use]
-    pub fn after(&self, sent: Moment, reply: SyncReply) -> Self {
-        let mut next = self.clone();
+    pub fn updated(&self, sent_at: Moment, reply: SyncReply) -> Self {
+        let mut view = self.clone();
         if let Some(catalogue) = reply.catalogue {
-            next.take_catalogue(&catalogue);
+            view.apply_catalogue(&catalogue);
         }
-        next.take_confirmation(sent, reply.confirmed, reply.confirmed_age_ms);
-        next.take_instances(reply.whole, &reply.changes);
-        next
+        view.apply_confirmation(sent_at, reply.confirmed, reply.confirmed_age_ms);
+        view.apply_instances(reply.whole, &reply.changes);
+        view
     }
 
-    fn take_catalogue(&mut self, catalogue: &Catalogue) {
+    fn apply_catalogue(&mut self, catalogue: &Catalogue) {
         if catalogue.version <= self.version {
             return;
         }
@@ -169,35 +174,35 @@
             .collect();
     }
 
-    fn take_confirmation(&mut self, sent: Moment, version: u64, age_ms: u32) {
+    fn apply_confirmation(&mut self, sent_at: Moment, version: u64, age_ms: u32) {
         if version == 0 || version > self.version {
             return;
         }
         let age = Duration::from_millis(age_ms.into());
-        // Before its start the process may have had a newer version in force, by
-        // way of another directory: it learns nothing from what was current then.
-        if age > sent.since(Moment::ZERO) {
+        // A previous process of this gateway may have used a newer version from
+        // another directory, so a confirmation from before the start proves nothing.
+        if age > sent_at.since(Moment::ZERO) {
             return;
         }
-        self.confirmed = self.confirmed.max(Some(sent.before(age)));
+        self.confirmed_at = self.confirmed_at.max(Some(sent_at.before(age)));
     }
 
-    fn take_instances(&mut self, whole: bool, changes: &[InstanceChange]) {
+    fn apply_instances(&mut self, whole: bool, changes: &[InstanceChange]) {
         if whole {
             self.instances.clear();
         }
         for change in changes {
-            let Some(row) = change.instance.as_ref().and_then(upstream_of) else {
+            let Some(instance) = change.instance.as_ref().and_then(upstream_of) else {
                 continue;
             };
-            let rows = self.instances.entry(row.service.clone()).or_default();
-            let rows = Arc::make_mut(rows);
-            rows.retain(|kept| kept.id != row.id);
+            let instances = self.instances.entry(instance.service.clone()).or_default();
+            let instances = Arc::make_mut(instances);
+            instances.retain(|existing| existing.id != instance.id);
             if !change.gone {
-                rows.push(Arc::new(row));
+                instances.push(Arc::new(instance));
             }
         }
-        self.instances.retain(|_, rows| !rows.is_empty());
+        self.instances.retain(|_, instances| !instances.is_empty());
     }
 }
 
@@ -218,13 +223,13 @@
 }
 
 fn service_of(entry: &Entry) -> Option<Service> {
-    use wire::catalogue::Class as Wire;
-    let class = match Wire::try_from(entry.class).ok()? {
-        Wire::Unspecified => return None,
-        Wire::Urgent => Class::Urgent,
-        Wire::Once => Class::Once,
-        Wire::Durable => Class::Durable,
-        Wire::Deferred => Class::Deferred,
+    use wire::catalogue::Class as WireClass;
+    let class = match WireClass::try_from(entry.class).ok()? {
+        WireClass::Unspecified => return None,
+        WireClass::Urgent => Class::Urgent,
+        WireClass::Once => Class::Once,
+        WireClass::Durable => Class::Durable,
+        WireClass::Deferred => Class::Deferred,
     };
     Some(Service {
         name: ServiceName::new(&entry.service).ok()?,
@@ -233,15 +238,15 @@
     })
 }
 
-fn upstream_of(row: &Instance) -> Option<Upstream> {
-    Some(Upstream {
-        service: ServiceName::new(&row.service).ok()?,
-        id: InstanceId::new(&row.id).ok()?,
-        address: row.address.parse().ok()?,
-        domain: DomainName::new(&row.domain).ok()?,
-        slots: row.slots.max(1),
-        connections: row.connections.max(1),
-        incarnation: row.incarnation,
-        phase: Phase::try_from(row.phase).ok()?,
+fn upstream_of(instance: &Instance) -> Option<UpstreamInstance> {
+    Some(UpstreamInstance {
+        service: ServiceName::new(&instance.service).ok()?,
+        id: InstanceId::new(&instance.id).ok()?,
+        address: instance.address.parse().ok()?,
+        domain: DomainName::new(&instance.domain).ok()?,
+        slots: instance.slots.max(1),
+        connections: instance.connections.max(1),
+        incarnation: instance.incarnation,
+        phase: Phase::try_from(instance.phase).ok()?,
     })
 }
--- a/crates/gateway/tests/fakes/control.rs
+++ b/crates/gateway/tests/fakes/control.rs
@@ -1,4 +1,4 @@
-//! A control replica with a ledger in memory, as the contract describes it.
+//! Fake control replica with an in-memory ledger.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
 use wire::ledger::Unreachable;
 use wire::ledger::claim_reply::Kind;
 
-/// One key's record.
+/// Record of one key.
 #[derive(Clone, Debug)]
 pub struct Record {
     pub claim: Claim,
@@ -47,12 +47,12 @@
 pub struct State {
     pub records: HashMap<String, Record>,
     pub unreachable: bool,
-    /// The next claim is taken, but its answer is lost.
+    /// The next claim is recorded, but no reply is sent.
     pub lose_answer: bool,
     pub claims: usize,
 }
 
-/// The replica while it is served.
+/// Handle of the running fake.
 #[derive(Clone)]
 pub struct FakeControl {
     pub address: SocketAddr,
@@ -64,7 +64,7 @@
         Self::with(Arc::default()).await
     }
 
-    /// Another replica of the same ledger.
+    /// Starts a replica with a shared ledger.
     pub async fn with(state: Arc<Mutex<State>>) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut incoming = wire::link::listen::<
@@ -89,27 +89,27 @@
         control
     }
 
-    /// What a key was settled as.
+    /// Settlement of a key.
     pub fn settled(&self, key: &str) -> Option<Settled> {
         let state = self.state.lock().expect("no panic");
         let settle = state.records.get(key)?.settle.clone()?;
         Settled::try_from(settle.settled).ok()
     }
 
-    fn judge(state: &mut State, claim: &Claim) -> Kind {
-        let fresh = Record {
+    fn decide(state: &mut State, claim: &Claim) -> Kind {
+        let new_record = Record {
             claim: claim.clone(),
             settle: None,
         };
-        let Some(kept) = state.records.get(&claim.key) else {
-            state.records.insert(claim.key.clone(), fresh);
+        let Some(existing) = state.records.get(&claim.key) else {
+            state.records.insert(claim.key.clone(), new_record);
             return Kind::Granted(Granted {});
         };
-        if kept.claim.digest != claim.digest {
+        if existing.claim.digest != claim.digest {
             return Kind::Mismatch(Mismatch {});
         }
-        let Some(settle) = &kept.settle else {
-            return if kept.claim.claim_id == claim.claim_id {
+        let Some(settle) = &existing.settle else {
+            return if existing.claim.claim_id == claim.claim_id {
                 Kind::Granted(Granted {})
             } else {
                 Kind::InFlight(InFlight { retry_ms: 1_500 })
@@ -120,7 +120,7 @@
                 answer: settle.answer.clone(),
             }),
             Settled::NotRun => {
-                state.records.insert(claim.key.clone(), fresh);
+                state.records.insert(claim.key.clone(), new_record);
                 Kind::Granted(Granted {})
             }
             Settled::Unknown | Settled::Unspecified => Kind::Unknown(Unknown {}),
@@ -137,7 +137,7 @@
                 let kind = Some(Kind::Unreachable(Unreachable {}));
                 return ClaimReply { kind };
             }
-            let kind = Self::judge(&mut state, &claim);
+            let kind = Self::decide(&mut state, &claim);
             if !std::mem::take(&mut state.lose_answer) {
                 return ClaimReply { kind: Some(kind) };
             }
@@ -148,9 +148,9 @@
 
     async fn settle(self, _: Context, settle: Settle) -> SettleReply {
         let mut state = self.state.lock().expect("no panic");
-        let open = state.records.get_mut(&settle.key);
-        let open = open.filter(|r| r.claim.claim_id == settle.claim_id);
-        let recorded = open.map(|record| record.settle = Some(settle)).is_some();
+        let record = state.records.get_mut(&settle.key);
+        let record = record.filter(|r| r.claim.claim_id == settle.claim_id);
+        let recorded = record.map(|record| record.settle = Some(settle)).is_some();
         SettleReply { recorded }
     }
 
--- a/crates/gateway/tests/fakes/directory.rs
+++ b/crates/gateway/tests/fakes/directory.rs
@@ -1,4 +1,4 @@
-//! A directory that says what the test sets.
+//! Fake directory whose replies the test controls.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,24 +28,24 @@
 use wire::directory::Sync;
 use wire::directory::SyncReply;
 
-/// What the directory knows and has heard.
+/// State to reply with, and the announcements received.
 #[derive(Default)]
 pub struct State {
     pub catalogue: Catalogue,
     pub confirmed: bool,
     pub instances: Vec<InstanceChange>,
     pub cursor: u64,
-    pub heard: Vec<Host>,
+    pub received: Vec<Host>,
 }
 
-/// The directory while it is served.
+/// Handle of the running fake.
 #[derive(Clone)]
 pub struct FakeDirectory {
     pub address: SocketAddr,
     pub state: Arc<Mutex<State>>,
 }
 
-/// Services of all classes, each named after its class.
+/// Catalogue with one service of each class, named after the class.
 pub fn catalogue(version: u64) -> Catalogue {
     let classes = [
         ("urgent", Class::Urgent),
@@ -95,7 +95,8 @@
 }
 
 impl FakeDirectory {
-    /// A directory that names `upstream` for every service, and confirms.
+    /// Starts a directory that announces `upstream` for every service and confirms its
+    /// catalogue.
     pub async fn start(upstream: SocketAddr) -> Self {
         let services = ["urgent", "once", "durable", "deferred"];
         let instances = services.map(|s| instance(s, "i-1", upstream, Phase::Ready));
@@ -104,7 +105,7 @@
             confirmed: true,
             instances: instances.to_vec(),
             cursor: 1,
-            heard: Vec::new(),
+            received: Vec::new(),
         };
         Self::serve(state).await
     }
@@ -133,15 +134,15 @@
         directory
     }
 
-    /// Changes what the directory knows; the next poll carries all of it.
+    /// Changes the state; the next poll returns all of it.
     pub fn change(&self, change: impl FnOnce(&mut State)) {
         let mut state = self.state.lock().expect("no panic");
         change(&mut state);
         state.cursor += 1;
     }
 
-    /// Changes the limits of every service, as a new version.
-    pub fn limit(&self, change: impl Fn(&mut Limits)) {
+    /// Changes the limits of every service in a new catalogue version.
+    pub fn change_limits(&self, change: impl Fn(&mut Limits)) {
         self.change(|state| {
             state.catalogue.version += 1;
             let entries = state.catalogue.entries.iter_mut();
@@ -149,20 +150,25 @@
         });
     }
 
-    /// Whether a gateway has said something that fits `check`.
-    pub fn has_heard(&self, check: impl Fn(&Host) -> bool) -> bool {
-        self.state.lock().expect("no panic").heard.iter().any(check)
+    /// Whether a gateway has announced a state that matches `check`.
+    pub fn has_received(&self, check: impl Fn(&Host) -> bool) -> bool {
+        self.state
+            .lock()
+            .expect("no panic")
+            .received
+            .iter()
+            .any(check)
     }
 }
 
 impl DirectoryApi for FakeDirectory {
-    async fn sync(self, _: Context, ask: Sync) -> SyncReply {
+    async fn sync(self, _: Context, request: Sync) -> SyncReply {
         let reply = {
             let mut state = self.state.lock().expect("no panic");
-            state.heard.extend(ask.host);
-            // An older one is sent too: the gateway itself must refuse it.
-            let newer = state.catalogue.version != ask.have;
-            let changed = state.cursor != ask.cursor;
+            state.received.extend(request.host);
+            // An older version is sent too, as the gateway has to reject it.
+            let newer = state.catalogue.version != request.have;
+            let changed = state.cursor != request.cursor;
             SyncReply {
                 catalogue: newer.then(|| state.catalogue.clone()),
                 confirmed: if state.confirmed {
@@ -182,7 +188,7 @@
             }
         };
         if reply.catalogue.is_none() && !reply.whole {
-            tokio::time::sleep(Duration::from_millis(ask.wait_ms.into())).await;
+            tokio::time::sleep(Duration::from_millis(request.wait_ms.into())).await;
         }
         reply
     }
--- a/crates/gateway/tests/fakes/mod.rs
+++ b/crates/gateway/tests/fakes/mod.rs
@@ -1,5 +1,4 @@
-//! Small fakes at the gateway's interfaces: a directory, a control replica and
-//! an upstream whose behaviour is the first part of the request's path.
+//! Fakes of the gateway's peers: a directory, a control replica and an upstream.
 #![allow(dead_code)]
 
 pub mod control;
@@ -24,7 +23,7 @@
 use crate::fakes::directory::FakeDirectory;
 use crate::fakes::upstream::FakeUpstream;
 
-/// A gateway with a directory and one upstream for each service.
+/// A gateway with a fake directory and a fake upstream that serves all services.
 pub struct Rig {
     pub gateway: Gateway,
     pub directory: FakeDirectory,
@@ -38,13 +37,13 @@
         format!("http://{}{path}", self.gateway.http())
     }
 
-    /// A request to `service` at `path`.
+    /// Builds a request to `service` at `path`.
     pub fn post(&self, service: &str, path: &str) -> RequestBuilder {
         client().post(self.url(path)).header("rwr-service", service)
     }
 }
 
-/// Settings that know `directories` and `control`.
+/// Settings with the given directories and control replicas.
 pub fn settings(directories: &[SocketAddr], control: &[SocketAddr]) -> Settings {
     let host = HostName::new("host-1").expect("a name");
     let domain = DomainName::new("milano").expect("a name");
@@ -56,10 +55,10 @@
     settings
 }
 
-/// Starts a gateway with `settings` and waits until it isn't fenced.
+/// Starts a gateway and condition until it isn't fenced.
 pub async fn ready(settings: Settings) -> Gateway {
     let gateway = start(settings).await;
-    until(|| !gateway.core().is_fenced()).await;
+    wait_until(|| !gateway.core().is_fenced()).await;
     gateway
 }
 
@@ -73,7 +72,7 @@
     .expect("free ports")
 }
 
-/// A whole rig, the settings changed by `change`.
+/// Starts a rig after applying `change` to its settings.
 pub async fn rig(control: &[SocketAddr], change: impl FnOnce(&mut Settings)) -> Rig {
     let upstream = FakeUpstream::start().await;
     let directory = FakeDirectory::start(upstream.address).await;
@@ -84,7 +83,7 @@
     let metrics = telemetry::metrics::start(settings.telemetry.sink, "host-1").expect("a socket");
     let gateway = gateway::start(settings, log, metrics);
     let gateway = gateway.await.expect("free ports");
-    until(|| !gateway.core().is_fenced()).await;
+    wait_until(|| !gateway.core().is_fenced()).await;
     Rig {
         gateway,
         directory,
@@ -94,23 +93,23 @@
     }
 }
 
-/// Waits until `check` holds; a test that waits for nothing ends by a panic.
-pub async fn until(check: impl Fn() -> bool) {
-    let waits = async {
+/// Waits until `check` returns true; panics after 20 s.
+pub async fn wait_until(check: impl Fn() -> bool) {
+    let condition = async {
         while !check() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    let waited = tokio::time::timeout(Duration::from_secs(20), waits).await;
-    waited.expect("the event comes");
+    let result = tokio::time::timeout(Duration::from_secs(20), condition).await;
+    result.expect("condition is met within 20 s");
 }
 
-/// A log that the test can read.
+/// Captured log output.
 #[derive(Clone, Default)]
 pub struct Lines(Arc<Mutex<Vec<u8>>>);
 
 impl Lines {
-    /// Whether a line has all `parts`.
+    /// Whether a line contains all `parts`.
     pub fn has(&self, parts: &[&str]) -> bool {
         let bytes = self.0.lock().expect("no panic").clone();
         let text = String::from_utf8_lossy(&bytes);
@@ -130,17 +129,17 @@
     }
 }
 
-/// Sends `text` as it stands and reads until the gateway closes.
-pub async fn raw(address: SocketAddr, text: &[u8]) -> String {
+/// Sends `text` unchanged and reads until the gateway closes the connection.
+pub async fn send_raw(address: SocketAddr, text: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.expect("a listener");
-    // The gateway may close before all is written; what it said counts.
+    // The gateway may respond and close before everything is written.
     let _ = stream.write_all(text).await;
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer).await;
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response).await;
+    String::from_utf8_lossy(&response).into_owned()
 }
 
-/// A client that keeps connections.
+/// HTTP client with a connection pool.
 pub fn client() -> reqwest::Client {
     reqwest::Client::builder()
         .no_proxy()
@@ -148,8 +147,8 @@
         .expect("a client")
 }
 
-/// A client that speaks HTTP/2 from the first byte.
-pub fn client_of_2() -> reqwest::Client {
+/// HTTP/2 client with prior knowledge.
+pub fn http2_client() -> reqwest::Client {
     reqwest::Client::builder()
         .no_proxy()
         .http2_prior_knowledge()
@@ -157,7 +156,7 @@
         .expect("a client")
 }
 
-/// One header of an answer as text.
+/// Value of a response header, or an empty string.
 pub fn header(response: &reqwest::Response, name: &str) -> String {
     let value = response.headers().get(name);
     value
--- a/crates/gateway/tests/fakes/upstream.rs
+++ b/crates/gateway/tests/fakes/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that does what the request's path says.
+//! Fake upstream whose behaviour is selected by the request's path.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,15 +11,15 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// One request as it came.
+/// A request as received.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl Seen {
-    /// A header's value, lower-case name.
+impl ReceivedRequest {
+    /// Value of the header `name`, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().skip(1).find_map(|line| {
             let (found, value) = line.split_once(':')?;
@@ -34,18 +34,18 @@
 
 #[derive(Default)]
 struct State {
-    seen: Vec<Seen>,
+    received: Vec<ReceivedRequest>,
     connections: usize,
-    // Connections that the gateway closed while a request ran.
-    cut: usize,
+    // Connections that the gateway closed during a request.
+    aborted_connections: usize,
 }
 
-/// The upstream while it is served.
+/// Handle of the running fake.
 #[derive(Clone)]
 pub struct FakeUpstream {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
-    /// Lets the requests at `/hold` go on.
+    /// Releases the requests at `/hold`.
     pub release: Arc<Notify>,
 }
 
@@ -61,53 +61,60 @@
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 server.state.lock().expect("no panic").connections += 1;
-                tokio::spawn(server.clone().converse(stream));
+                tokio::spawn(server.clone().serve_connection(stream));
             }
         });
         upstream
     }
 
-    /// All requests so far, probes not among them.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.requests(|seen| seen.path() != "/rwr/load")
+    /// Requests received so far, without probes.
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        self.matching(|request| request.path() != "/rwr/load")
     }
 
-    /// All probes so far.
-    pub fn probes(&self) -> Vec<Seen> {
-        self.requests(|seen| seen.path() == "/rwr/load")
+    /// Probes received so far.
+    pub fn probes(&self) -> Vec<ReceivedRequest> {
+        self.matching(|request| request.path() == "/rwr/load")
     }
 
-    fn requests(&self, which: impl Fn(&Seen) -> bool) -> Vec<Seen> {
+    fn matching(&self, predicate: impl Fn(&ReceivedRequest) -> bool) -> Vec<ReceivedRequest> {
         let state = self.state.lock().expect("no panic");
-        let seen = state.seen.iter();
-        seen.filter(|seen| which(seen)).cloned().collect()
+        let received = state.received.iter();
+        received
+            .filter(|request| predicate(request))
+            .cloned()
+            .collect()
     }
 
-    /// Connections opened so far.
+    /// Number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.state.lock().expect("no panic").connections
     }
 
-    /// Connections closed under a running request.
-    pub fn cut(&self) -> usize {
-        self.state.lock().expect("no panic").cut
+    /// Number of connections that the gateway closed during a request.
+    pub fn aborted_connections(&self) -> usize {
+        self.state.lock().expect("no panic").aborted_connections
     }
 
-    async fn converse(self, mut stream: TcpStream) {
+    async fn serve_connection(self, mut stream: TcpStream) {
         let mut buffer = Vec::new();
-        while let Some(seen) = read_request(&mut stream, &mut buffer).await {
-            self.state.lock().expect("no panic").seen.push(seen.clone());
-            if !self.answer(&mut stream, &seen).await {
+        while let Some(request) = read_request(&mut stream, &mut buffer).await {
+            self.state
+                .lock()
+                .expect("no panic")
+                .received
+                .push(request.clone());
+            if !self.respond(&mut stream, &request).await {
                 return;
             }
         }
     }
 
-    /// Answers one request; says whether the connection goes on.
-    async fn answer(&self, stream: &mut TcpStream, seen: &Seen) -> bool {
-        let path = seen.path().to_owned();
-        let act = path.trim_start_matches('/').split(['/', '?']).next();
-        let (text, goes_on) = match act.unwrap_or_default() {
+    /// Responds to a request; returns whether the connection stays open.
+    async fn respond(&self, stream: &mut TcpStream, request: &ReceivedRequest) -> bool {
+        let path = request.path().to_owned();
+        let behaviour = path.trim_start_matches('/').split(['/', '?']).next();
+        let (text, keep_alive) = match behaviour.unwrap_or_default() {
             "short" => ("HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf", false),
             "short-chunk" => (
                 "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -136,7 +143,7 @@
                 true,
             ),
             "stall" => {
-                self.wait_for_cut(stream).await;
+                self.wait_for_disconnect(stream).await;
                 return false;
             }
             "hold" => {
@@ -150,20 +157,20 @@
             "echo" => {
                 let head = format!(
                     "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n",
-                    seen.body.len()
+                    request.body.len()
                 );
                 let sent = stream.write_all(head.as_bytes()).await;
-                return sent.is_ok() && stream.write_all(&seen.body).await.is_ok();
+                return sent.is_ok() && stream.write_all(&request.body).await.is_ok();
             }
-            "ranged" => (ranged(seen, "4-9"), false),
-            "ranged-wrong" => (ranged(seen, "5-9"), false),
+            "ranged" => (ranged(request, "4-9"), false),
+            "ranged-wrong" => (ranged(request, "5-9"), false),
             "large" => return self.large(stream).await,
             _ => (
                 "HTTP/1.1 200 OK\r\ncontent-length: 2\r\ncontent-type: text/plain\r\nrwr-load: 1/6\r\n\r\nok",
                 true,
             ),
         };
-        stream.write_all(text.as_bytes()).await.is_ok() && goes_on
+        stream.write_all(text.as_bytes()).await.is_ok() && keep_alive
     }
 
     async fn large(&self, stream: &mut TcpStream) -> bool {
@@ -172,17 +179,17 @@
         stream.write_all(head.as_bytes()).await.is_ok() && stream.write_all(&body).await.is_ok()
     }
 
-    /// Never answers; notes when the gateway closes the connection.
-    async fn wait_for_cut(&self, stream: &mut TcpStream) {
+    /// Never responds; counts the connection as aborted when the gateway closes it.
+    async fn wait_for_disconnect(&self, stream: &mut TcpStream) {
         let mut byte = [0; 1];
         let _ = stream.read(&mut byte).await;
-        self.state.lock().expect("no panic").cut += 1;
+        self.state.lock().expect("no panic").aborted_connections += 1;
     }
 }
 
-/// Ten bytes that break off after four, and the rest of them when asked for.
-fn ranged(seen: &Seen, rest: &str) -> &'static str {
-    match (seen.header("range"), seen.header("if-range"), rest) {
+/// Responds with the first four of ten bytes, or with the rest to a range request.
+fn ranged(request: &ReceivedRequest, rest: &str) -> &'static str {
+    match (request.header("range"), request.header("if-range"), rest) {
         (None, ..) => {
             "HTTP/1.1 200 OK\r\ncontent-length: 10\r\naccept-ranges: bytes\r\netag: \"v1\"\r\n\r\n0123"
         }
@@ -196,7 +203,7 @@
     }
 }
 
-async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Seen> {
+async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ReceivedRequest> {
     let end = loop {
         if let Some(at) = buffer.windows(4).position(|w| w == b"\r\n\r\n") {
             break at + 4;
@@ -205,21 +212,23 @@
     };
     let head = String::from_utf8_lossy(&buffer[..end]).into_owned();
     buffer.drain(..end);
-    let mut seen = Seen {
+    let mut request = ReceivedRequest {
         head,
         body: Vec::new(),
     };
-    if seen.header("transfer-encoding").is_some() {
-        seen.body = read_chunks(stream, buffer).await?;
-        return Some(seen);
+    if request.header("transfer-encoding").is_some() {
+        request.body = read_chunks(stream, buffer).await?;
+        return Some(request);
     }
-    let length = seen.header("content-length").and_then(|v| v.parse().ok());
+    let length = request
+        .header("content-length")
+        .and_then(|v| v.parse().ok());
     let length: usize = length.unwrap_or(0);
     while buffer.len() < length {
         read_more(stream, buffer).await?;
     }
-    seen.body = buffer.drain(..length).collect();
-    Some(seen)
+    request.body = buffer.drain(..length).collect();
+    Some(request)
 }
 
 async fn read_chunks(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Vec<u8>> {
--- a/crates/gateway/tests/test_attempts.rs
+++ b/crates/gateway/tests/test_attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts on the real path: retries that are safe, resumed bodies, and
-//! instances that leave.
+//! Guards against unsafe or missing retries, wrongly resumed bodies and requests to
+//! unavailable instances.
 
 mod fakes;
 
@@ -12,35 +12,36 @@
 use crate::fakes::directory::instance;
 use crate::fakes::header;
 use crate::fakes::rig;
-use crate::fakes::until;
+use crate::fakes::wait_until;
 
-/// Nobody listens there.
+/// An address without a listener.
 const DEAD: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
-/// Stands for the rig's upstream.
+/// Placeholder for the address of the rig's upstream.
 const ALIVE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// Names one more instance of `service` and waits until the gateway knows it.
-async fn add(rig: &Rig, service: &str, id: &str, address: SocketAddr, phase: Phase) {
+/// Announces another instance of `service` and waits until the gateway knows it.
+async fn add_instance(rig: &Rig, service: &str, id: &str, address: SocketAddr, phase: Phase) {
     let row = instance(service, id, address, phase);
     rig.directory.change(|state| state.instances.push(row));
     let core = rig.gateway.core();
     let known = || core.view().all_instances().any(|u| u.id.as_str() == id);
-    until(known).await;
+    wait_until(known).await;
 }
 
 #[tokio::test]
 async fn test_attempts_dead_instance() {
-    // No byte left for the dead one, so that trying another is safe for all classes.
+    // Nothing was sent to the dead instance, so a retry is safe for all classes.
     for service in ["urgent", "once", "durable", "deferred"] {
         let rig = rig(&[], |_| {}).await;
-        // Each call earns its retry.
-        rig.directory.limit(|limits| limits.retry_percent = 100);
-        add(&rig, service, "i-2", DEAD, Phase::Ready).await;
+        // The retry budget allows one retry per call.
+        rig.directory
+            .change_limits(|limits| limits.retry_percent = 100);
+        add_instance(&rig, service, "i-2", DEAD, Phase::Ready).await;
         for count in 1..=8 {
-            let answer = rig.post(service, "/ok").send().await.expect("an answer");
-            assert_eq!(answer.status(), 200, "{service}");
-            assert_eq!(rig.upstream.seen().len(), count, "{service}");
+            let response = rig.post(service, "/ok").send().await.expect("a response");
+            assert_eq!(response.status(), 200, "{service}");
+            assert_eq!(rig.upstream.received().len(), count, "{service}");
         }
     }
 }
@@ -48,17 +49,17 @@
 #[tokio::test]
 async fn test_attempts_error_of_once_is_final() {
     let rig = rig(&[], |_| {}).await;
-    add(&rig, "once", "i-2", rig.upstream.address, Phase::Ready).await;
+    add_instance(&rig, "once", "i-2", rig.upstream.address, Phase::Ready).await;
     for path in ["/error", "/close"] {
-        let before = rig.upstream.seen().len();
-        let answer = rig.post("once", path).send().await.expect("an answer");
-        assert!(answer.status().is_server_error());
-        assert_eq!(rig.upstream.seen().len(), before + 1, "{path}");
+        let before = rig.upstream.received().len();
+        let response = rig.post("once", path).send().await.expect("a response");
+        assert!(response.status().is_server_error());
+        assert_eq!(rig.upstream.received().len(), before + 1, "{path}");
     }
 }
 
-/// The only instance becomes one of these; what the caller is told.
-const LEFT: [(&str, SocketAddr, Phase, &str); 4] = [
+/// State of the only instance, and the reason that the caller gets.
+const UNAVAILABLE: [(&str, SocketAddr, Phase, &str); 4] = [
     ("dead", DEAD, Phase::Ready, "connect"),
     ("draining", ALIVE, Phase::Draining, "no-upstream"),
     ("starting", ALIVE, Phase::Starting, "no-upstream"),
@@ -68,7 +69,7 @@
 #[tokio::test]
 async fn test_attempts_no_instance_left() {
     for service in ["urgent", "once", "durable", "deferred"] {
-        for (name, address, phase, reason) in LEFT {
+        for (name, address, phase, reason) in UNAVAILABLE {
             let rig = rig(&[], |_| {}).await;
             let address = if address == ALIVE {
                 rig.upstream.address
@@ -76,15 +77,15 @@
                 address
             };
             rig.directory.change(|state| state.instances.clear());
-            add(&rig, service, "i-2", address, phase).await;
+            add_instance(&rig, service, "i-2", address, phase).await;
             let request = rig.post(service, "/ok").header("rwr-deadline-ms", "500");
-            let refused = request.send().await.expect("an answer");
+            let refused = request.send().await.expect("a response");
             let name = format!("{service} {name}");
             assert_eq!(refused.status(), 503, "{name}");
             assert_eq!(header(&refused, "rwr-reason"), reason, "{name}");
             assert_eq!(header(&refused, "rwr-outcome"), "not-run", "{name}");
             assert!(!header(&refused, "retry-after").is_empty(), "{name}");
-            assert!(rig.upstream.seen().is_empty(), "{name}");
+            assert!(rig.upstream.received().is_empty(), "{name}");
         }
     }
 }
@@ -92,9 +93,10 @@
 #[tokio::test]
 async fn test_attempts_broken_archive_resumes() {
     let rig = rig(&[], |_| {}).await;
-    // Each call earns the attempt that resumes it.
-    rig.directory.limit(|limits| limits.retry_percent = 100);
-    until(|| rig.gateway.core().view().version() == 2).await;
+    // The retry budget allows one resuming attempt per call.
+    rig.directory
+        .change_limits(|limits| limits.retry_percent = 100);
+    wait_until(|| rig.gateway.core().view().version() == 2).await;
     let get = |service: &str, path: &str| {
         let request = client().get(rig.url(path)).header("rwr-service", service);
         request.header("rwr-deadline-ms", "500").send()
@@ -102,7 +104,8 @@
     let whole = get("deferred", "/ranged").await.expect("a head");
     assert_eq!(whole.status(), 200);
     assert_eq!(whole.text().await.expect("whole"), "0123456789");
-    // A part that doesn't join on, or a class that doesn't wait: visibly broken.
+    // A range that doesn't continue the body, or a class without resumption: the caller
+    // sees a truncated body.
     for (service, path) in [("deferred", "/ranged-wrong"), ("urgent", "/ranged")] {
         let broken = get(service, path).await.expect("a head").bytes().await;
         assert!(broken.is_err(), "{service} {path}: {broken:?}");
@@ -112,12 +115,12 @@
 #[tokio::test]
 async fn test_attempts_streamed_body_goes_once() {
     let rig = rig(&[], |_| {}).await;
-    add(&rig, "urgent", "i-2", rig.upstream.address, Phase::Ready).await;
-    // Over the bound of kept bodies, so there is nothing to send a second time.
+    add_instance(&rig, "urgent", "i-2", rig.upstream.address, Phase::Ready).await;
+    // Larger than the buffering limit, so the body can't be sent again.
     let body = vec![b'a'; 100_000];
-    let answer = rig.post("urgent", "/close").body(body).send().await;
-    let answer = answer.expect("an answer");
-    assert_eq!(answer.status(), 502);
-    assert_eq!(header(&answer, "rwr-outcome"), "unknown");
-    assert_eq!(rig.upstream.seen().len(), 1);
+    let response = rig.post("urgent", "/close").body(body).send().await;
+    let response = response.expect("a response");
+    assert_eq!(response.status(), 502);
+    assert_eq!(header(&response, "rwr-outcome"), "unknown");
+    assert_eq!(rig.upstream.received().len(), 1);
 }
--- a/crates/gateway/tests/test_input.rs
+++ b/crates/gateway/tests/test_input.rs
@@ -1,5 +1,5 @@
-//! Bad input at the callers' and the operators' port: a clear error, and
-//! nobody else's call is touched.
+//! Guards against bad input at the callers' and operators' ports that isn't rejected
+//! or that affects other calls.
 
 mod fakes;
 
@@ -16,11 +16,11 @@
 
 use crate::fakes::Rig;
 use crate::fakes::header;
-use crate::fakes::raw;
 use crate::fakes::rig;
-use crate::fakes::until;
+use crate::fakes::send_raw;
+use crate::fakes::wait_until;
 
-/// One head, and what the answer begins with and has in it.
+/// A request head, with the status and reason of the response.
 struct Case {
     name: &'static str,
     head: &'static str,
@@ -184,16 +184,20 @@
     let rig = rig(&[], |_| {}).await;
     for case in CASES {
         let text = format!("{}host: x\r\nconnection: close\r\n\r\n", case.head);
-        let answer = raw(rig.gateway.http(), text.as_bytes()).await;
+        let response = send_raw(rig.gateway.http(), text.as_bytes()).await;
         let status = format!("HTTP/1.1 {}", case.status);
-        assert!(answer.starts_with(&status), "{}: {answer}", case.name);
+        assert!(response.starts_with(&status), "{}: {response}", case.name);
         if !case.reason.is_empty() {
             let reason = format!("rwr-reason: {}\r\n", case.reason);
-            assert!(answer.contains(&reason), "{}: {answer}", case.name);
-            assert!(answer.contains("rwr-outcome: not-run\r\n"), "{}", case.name);
+            assert!(response.contains(&reason), "{}: {response}", case.name);
+            assert!(
+                response.contains("rwr-outcome: not-run\r\n"),
+                "{}",
+                case.name
+            );
         }
     }
-    assert!(rig.upstream.seen().is_empty());
+    assert!(rig.upstream.received().is_empty());
     still_serves(&rig).await;
 }
 
@@ -206,8 +210,8 @@
 }
 
 async fn still_serves(rig: &Rig) {
-    let answer = rig.post("urgent", "/ok").send().await.expect("an answer");
-    assert_eq!(answer.status(), 200);
+    let response = rig.post("urgent", "/ok").send().await.expect("a response");
+    assert_eq!(response.status(), 200);
 }
 
 #[tokio::test]
@@ -217,8 +221,8 @@
     let many = "x-many: 1\r\n".repeat(200);
     for extra in [long, many] {
         let text = format!("GET / HTTP/1.1\r\nhost: x\r\nrwr-service: urgent\r\n{extra}\r\n");
-        let answer = raw(rig.gateway.http(), text.as_bytes()).await;
-        assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
+        let response = send_raw(rig.gateway.http(), text.as_bytes()).await;
+        assert!(response.starts_with("HTTP/1.1 431"), "{response}");
     }
     still_serves(&rig).await;
 }
@@ -226,14 +230,14 @@
 #[tokio::test]
 async fn test_input_chunks_too_large() {
     let rig = rig(&[], |_| {}).await;
-    // Kept whole, and passed through.
+    // Buffered and streamed.
     for (service, outcome) in [("durable", "not-run"), ("deferred", "unknown")] {
         let pieces = (0..40).map(|_| Ok::<_, std::io::Error>(vec![b'a'; 64 * 1024]));
         let body = reqwest::Body::wrap_stream(futures::stream::iter(pieces));
-        let answer = rig.post(service, "/echo").body(body).send().await;
-        let answer = answer.expect("an answer");
-        assert_eq!(answer.status(), 413, "{service}");
-        assert_eq!(header(&answer, "rwr-outcome"), outcome, "{service}");
+        let response = rig.post(service, "/echo").body(body).send().await;
+        let response = response.expect("a response");
+        assert_eq!(response.status(), 413, "{service}");
+        assert_eq!(header(&response, "rwr-outcome"), outcome, "{service}");
     }
     still_serves(&rig).await;
 }
@@ -241,17 +245,17 @@
 #[tokio::test]
 async fn test_input_slow_senders() {
     let rig = rig(&[], |s| s.bounds.head_time = Duration::from_millis(100)).await;
-    // Nothing at all, half a head: closed without an answer to a request.
+    // No head or an incomplete one: the connection is closed without a success response.
     for text in ["", "GET / HTTP/1.1\r\nhost: x\r\n"] {
-        let answer = raw(rig.gateway.http(), text.as_bytes()).await;
-        assert!(!answer.starts_with("HTTP/1.1 200"), "{answer}");
+        let response = send_raw(rig.gateway.http(), text.as_bytes()).await;
+        assert!(!response.starts_with("HTTP/1.1 200"), "{response}");
     }
     let body = "POST / HTTP/1.1\r\nhost: x\r\nrwr-service: durable\r\nrwr-deadline-ms: 100\r\n\
                 connection: close\r\ncontent-length: 10\r\n\r\nabc";
-    let answer = raw(rig.gateway.http(), body.as_bytes()).await;
-    assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
-    assert!(answer.contains("rwr-outcome: not-run"), "{answer}");
-    assert!(rig.upstream.seen().is_empty());
+    let response = send_raw(rig.gateway.http(), body.as_bytes()).await;
+    assert!(response.starts_with("HTTP/1.1 408"), "{response}");
+    assert!(response.contains("rwr-outcome: not-run"), "{response}");
+    assert!(rig.upstream.received().is_empty());
     still_serves(&rig).await;
 }
 
@@ -266,7 +270,7 @@
     stream.write_all(text.as_bytes()).await.expect("sent");
     drop(stream);
     still_serves(&rig).await;
-    assert_eq!(rig.upstream.seen().len(), 1, "only the whole request");
+    assert_eq!(rig.upstream.received().len(), 1, "only the whole request");
 }
 
 #[tokio::test]
@@ -274,22 +278,22 @@
     let rig = rig(&[], |s| s.bounds.memory = Bytes(100 * 1024)).await;
     let head =
         "POST / HTTP/1.1\r\nhost: x\r\nrwr-service: durable\r\ncontent-length: 81920\r\n\r\n";
-    let mut holder = TcpStream::connect(rig.gateway.http())
+    let mut occupying = TcpStream::connect(rig.gateway.http())
         .await
         .expect("a port");
-    holder.write_all(head.as_bytes()).await.expect("sent");
+    occupying.write_all(head.as_bytes()).await.expect("sent");
     let memory = &rig.gateway.core().memory;
-    until(|| memory.reserve(100 * 1024).is_err()).await;
+    wait_until(|| memory.reserve(100 * 1024).is_err()).await;
     let body = vec![b'a'; 80 * 1024];
     let refused = rig.post("durable", "/echo").body(body.clone()).send().await;
-    let refused = refused.expect("an answer");
+    let refused = refused.expect("a response");
     assert_eq!(refused.status(), 503);
     assert_eq!(header(&refused, "rwr-reason"), "memory");
-    drop(holder);
-    until(|| memory.reserve(100 * 1024).is_ok()).await;
-    let taken = rig.post("durable", "/echo").body(body.clone()).send().await;
-    let taken = taken.expect("an answer").bytes().await;
-    assert_eq!(taken.expect("whole"), body);
+    drop(occupying);
+    wait_until(|| memory.reserve(100 * 1024).is_ok()).await;
+    let accepted = rig.post("durable", "/echo").body(body.clone()).send().await;
+    let accepted = accepted.expect("a response").bytes().await;
+    assert_eq!(accepted.expect("whole"), body);
 }
 
 #[tokio::test]
@@ -301,14 +305,14 @@
         b"GET / HTTP/1.1\r\n\r\n",
         b"\0\0\0\x04abcd",
     ] {
-        let answer = raw(rig.gateway.rpc(), garbage).await;
-        assert_eq!(answer, "");
+        let response = send_raw(rig.gateway.rpc(), garbage).await;
+        assert_eq!(response, "");
     }
     let link = peer::gateway(rig.gateway.rpc());
     let operator = link.client().await.expect("a connection");
     let service = "urgent".into();
     let reply = operator.explain(within(Duration::from_secs(5)), Explain { service });
-    let reply = reply.await.expect("an answer");
+    let reply = reply.await.expect("a response");
     assert_eq!(reply.version, 1);
     assert_eq!(reply.candidates.len(), 1);
     assert_eq!(reply.candidates[0].instance, "i-1");
--- a/crates/gateway/tests/test_keyed.rs
+++ b/crates/gateway/tests/test_keyed.rs
@@ -1,5 +1,5 @@
-//! At most once: what a keyed request of class once becomes, by what the
-//! ledger says, what the upstream does and who fails when.
+//! Guards against keyed requests of class once that run twice or whose outcome is
+//! reported wrongly.
 
 mod fakes;
 
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use gateway::body::Payload;
+use gateway::body::RequestBody;
 use gateway::call;
 use gateway::refusal::Reason;
-use gateway::request_head::Ask;
+use gateway::request_head::RequestHead;
 use http::HeaderMap;
 use http::Method;
 use reqwest::RequestBuilder;
@@ -23,16 +23,16 @@
 use crate::fakes::ready;
 use crate::fakes::rig;
 use crate::fakes::settings;
-use crate::fakes::until;
+use crate::fakes::wait_until;
 
-fn grant(rig: &Rig, key: &str, path: &str) -> RequestBuilder {
+fn keyed_request(rig: &Rig, key: &str, path: &str) -> RequestBuilder {
     rig.post("once", path)
         .header("rwr-caller", "planner")
         .header("idempotency-key", key)
 }
 
-/// Status, outcome, reason and body of an answer.
-async fn told(response: Response) -> (u16, String, String, String) {
+/// Status, outcome, reason and body of a response.
+async fn response_parts(response: Response) -> (u16, String, String, String) {
     let status = response.status().as_u16();
     let outcome = header(&response, "rwr-outcome");
     let reason = header(&response, "rwr-reason");
@@ -40,7 +40,7 @@
     (status, outcome, reason, body)
 }
 
-/// A first request and its resend, by what the upstream does.
+/// Responses to a request and its resend for one behaviour of the upstream.
 struct Case {
     path: &'static str,
     first: (u16, &'static str, &'static str),
@@ -106,16 +106,28 @@
     for case in CASES {
         let control = FakeControl::start().await;
         let rig = rig(&[control.address], |_| {}).await;
-        let first = told(grant(&rig, "k", case.path).send().await.expect("an answer")).await;
+        let first = response_parts(
+            keyed_request(&rig, "k", case.path)
+                .send()
+                .await
+                .expect("a response"),
+        )
+        .await;
         assert_eq!((first.0, &*first.1, &*first.2), case.first, "{}", case.path);
-        until(|| control.settled("k") == Some(case.settled)).await;
-        let second = told(grant(&rig, "k", case.path).send().await.expect("an answer")).await;
+        wait_until(|| control.settled("k") == Some(case.settled)).await;
+        let second = response_parts(
+            keyed_request(&rig, "k", case.path)
+                .send()
+                .await
+                .expect("a response"),
+        )
+        .await;
         let head = (second.0, &*second.1, &*second.2);
         assert_eq!(head, case.second, "{}", case.path);
         if second.0 == first.0 {
             assert_eq!(second.3, first.3, "{}", case.path);
         }
-        assert_eq!(rig.upstream.seen().len(), case.runs, "{}", case.path);
+        assert_eq!(rig.upstream.received().len(), case.runs, "{}", case.path);
     }
 }
 
@@ -124,9 +136,15 @@
     let control = FakeControl::start().await;
     let rig = rig(&[control.address], |_| {}).await;
     for _ in 0..2 {
-        let shed = told(grant(&rig, "k", "/shed").send().await.expect("an answer")).await;
+        let shed = response_parts(
+            keyed_request(&rig, "k", "/shed")
+                .send()
+                .await
+                .expect("a response"),
+        )
+        .await;
         assert_eq!((shed.0, &*shed.1, &*shed.2), (503, "not-run", "shed"));
-        until(|| control.settled("k") == Some(Settled::NotRun)).await;
+        wait_until(|| control.settled("k") == Some(Settled::NotRun)).await;
     }
 }
 
@@ -135,8 +153,8 @@
     let control = FakeControl::start().await;
     let rig = rig(&[control.address], |_| {}).await;
     let other = ready(settings(&[rig.directory.address], &[control.address])).await;
-    let first = told(
-        grant(&rig, "k", "/echo")
+    let first = response_parts(
+        keyed_request(&rig, "k", "/echo")
             .body("block 7")
             .send()
             .await
@@ -149,47 +167,53 @@
         .header("rwr-caller", "planner")
         .header("idempotency-key", "k")
         .body("block 7");
-    let second = told(second.send().await.expect("two")).await;
+    let second = response_parts(second.send().await.expect("two")).await;
     assert_eq!(first, second);
     assert_eq!(first.3, "block 7");
-    assert_eq!(rig.upstream.seen().len(), 1);
+    assert_eq!(rig.upstream.received().len(), 1);
 }
 
 #[tokio::test]
 async fn test_keyed_resend_while_it_runs() {
     let control = FakeControl::start().await;
     let rig = rig(&[control.address], |_| {}).await;
-    let first = tokio::spawn(grant(&rig, "k", "/hold").send());
-    until(|| rig.upstream.seen().len() == 1).await;
-    let second = grant(&rig, "k", "/hold").send().await.expect("an answer");
-    // 1.5 s rounded up: the header has whole seconds.
+    let first = tokio::spawn(keyed_request(&rig, "k", "/hold").send());
+    wait_until(|| rig.upstream.received().len() == 1).await;
+    let second = keyed_request(&rig, "k", "/hold")
+        .send()
+        .await
+        .expect("a response");
+    // The header has whole seconds, so 1.5 s is rounded up.
     assert_eq!(header(&second, "retry-after"), "2");
-    let second = told(second).await;
+    let second = response_parts(second).await;
     assert_eq!(
         (second.0, &*second.1, &*second.2),
         (409, "unknown", "in-flight")
     );
     rig.upstream.release.notify_one();
-    let first = first.await.expect("no panic").expect("an answer");
-    assert_eq!(told(first).await.3, "held");
-    assert_eq!(rig.upstream.seen().len(), 1);
+    let first = first.await.expect("no panic").expect("a response");
+    assert_eq!(response_parts(first).await.3, "held");
+    assert_eq!(rig.upstream.received().len(), 1);
 }
 
 #[tokio::test]
 async fn test_keyed_other_request_with_same_key() {
     let control = FakeControl::start().await;
     let rig = rig(&[control.address], |_| {}).await;
-    grant(&rig, "k", "/ok").send().await.expect("an answer");
-    let body = grant(&rig, "k", "/ok").body("other");
-    let target = grant(&rig, "k", "/ok?x=1");
+    keyed_request(&rig, "k", "/ok")
+        .send()
+        .await
+        .expect("a response");
+    let body = keyed_request(&rig, "k", "/ok").body("other");
+    let target = keyed_request(&rig, "k", "/ok?x=1");
     for changed in [body, target] {
-        let answer = told(changed.send().await.expect("an answer")).await;
+        let response = response_parts(changed.send().await.expect("a response")).await;
         assert_eq!(
-            (answer.0, &*answer.1, &*answer.2),
+            (response.0, &*response.1, &*response.2),
             (422, "not-run", "key-reused")
         );
     }
-    assert_eq!(rig.upstream.seen().len(), 1);
+    assert_eq!(rig.upstream.received().len(), 1);
 }
 
 #[tokio::test]
@@ -197,14 +221,17 @@
     let control = FakeControl::start().await;
     control.state.lock().expect("no panic").unreachable = true;
     let rig = rig(&[control.address], |_| {}).await;
-    let answer = grant(&rig, "k", "/ok").send().await.expect("an answer");
-    assert!(!header(&answer, "retry-after").is_empty());
-    let answer = told(answer).await;
+    let response = keyed_request(&rig, "k", "/ok")
+        .send()
+        .await
+        .expect("a response");
+    assert!(!header(&response, "retry-after").is_empty());
+    let response = response_parts(response).await;
     assert_eq!(
-        (answer.0, &*answer.1, &*answer.2),
+        (response.0, &*response.1, &*response.2),
         (503, "not-run", "ledger")
     );
-    assert_eq!(rig.upstream.seen().len(), 0);
+    assert_eq!(rig.upstream.received().len(), 0);
 }
 
 #[tokio::test]
@@ -213,9 +240,15 @@
     let second = FakeControl::with(first.state.clone()).await;
     first.state.lock().expect("no panic").lose_answer = true;
     let rig = rig(&[first.address, second.address], |_| {}).await;
-    let answer = told(grant(&rig, "k", "/ok").send().await.expect("an answer")).await;
-    assert_eq!(answer.0, 200);
-    assert_eq!(rig.upstream.seen().len(), 1);
+    let response = response_parts(
+        keyed_request(&rig, "k", "/ok")
+            .send()
+            .await
+            .expect("a response"),
+    )
+    .await;
+    assert_eq!(response.0, 200);
+    assert_eq!(rig.upstream.received().len(), 1);
     assert_eq!(first.state.lock().expect("no panic").claims, 2);
 }
 
@@ -223,65 +256,84 @@
 async fn test_keyed_kept_answer_damaged() {
     let control = FakeControl::start().await;
     let rig = rig(&[control.address], |_| {}).await;
-    grant(&rig, "k", "/ok").send().await.expect("an answer");
+    keyed_request(&rig, "k", "/ok")
+        .send()
+        .await
+        .expect("a response");
     {
         let mut state = control.state.lock().expect("no panic");
         let settle = state.records.get_mut("k").and_then(|r| r.settle.as_mut());
-        let answer = settle.and_then(|s| s.answer.as_mut()).expect("kept");
-        answer.body = "no".into();
+        let response = settle
+            .and_then(|s| s.answer.as_mut())
+            .expect("a stored response");
+        response.body = "no".into();
     }
-    let answer = told(grant(&rig, "k", "/ok").send().await.expect("an answer")).await;
-    assert_eq!((answer.0, &*answer.1), (502, "unknown"));
+    let response = response_parts(
+        keyed_request(&rig, "k", "/ok")
+            .send()
+            .await
+            .expect("a response"),
+    )
+    .await;
+    assert_eq!((response.0, &*response.1), (502, "unknown"));
 }
 
 #[tokio::test]
 async fn test_keyed_caller_leaving() {
     let control = FakeControl::start().await;
     let rig = rig(&[control.address], |_| {}).await;
-    let first = tokio::spawn(grant(&rig, "k", "/hold").send());
-    until(|| rig.upstream.seen().len() == 1).await;
+    let first = tokio::spawn(keyed_request(&rig, "k", "/hold").send());
+    wait_until(|| rig.upstream.received().len() == 1).await;
     first.abort();
     let _ = first.await;
     rig.upstream.release.notify_one();
-    until(|| control.settled("k") == Some(Settled::Done)).await;
-    let again = told(grant(&rig, "k", "/hold").send().await.expect("an answer")).await;
+    wait_until(|| control.settled("k") == Some(Settled::Done)).await;
+    let again = response_parts(
+        keyed_request(&rig, "k", "/hold")
+            .send()
+            .await
+            .expect("a response"),
+    )
+    .await;
     assert_eq!((again.0, &*again.3), (200, "held"));
-    assert_eq!(rig.upstream.seen().len(), 1);
+    assert_eq!(rig.upstream.received().len(), 1);
 }
 
 #[tokio::test]
-async fn test_keyed_hold_is_over() {
+async fn test_keyed_claim_expired() {
     let rig = rig(&[], |_| {}).await;
     let core = rig.gateway.core().clone();
     let now = core.clock.now();
     let mut headers = HeaderMap::new();
     headers.insert("rwr-service", "once".parse().expect("a value"));
-    let longest = Duration::from_mins(1);
-    let ask = Ask::read(
+    let max_deadline = Duration::from_mins(1);
+    let head = RequestHead::parse(
         Arc::from("id"),
         now,
         &core.view(),
-        longest,
+        max_deadline,
         &Method::POST,
         &headers,
     )
-    .expect("a head");
-    let desk = core.desks.get(&ask.service.name).expect("a desk");
+    .expect("a valid head");
+    let balancer = core.balancers.get(&head.service.name).expect("a balancer");
     let request = call::Request {
-        ask,
+        head,
         method: Method::POST,
         target: Arc::from("/ok"),
         headers,
-        payload: Payload::Kept(bytes::Bytes::new(), None),
-        // As after a freeze between the claim and the attempt.
-        hold: Some(now),
-        slot: None,
+        body: RequestBody::Buffered(bytes::Bytes::new(), None),
+        // As after a pause of the process between the claim and the attempt.
+        claim_expires_at: Some(now),
+        permit: None,
     };
-    let answer = call::start(core, desk, request).await.expect("an answer");
-    let refusal = answer.err().expect("a refusal");
+    let response = call::start(core, balancer, request)
+        .await
+        .expect("a response");
+    let refusal = response.err().expect("a refusal");
     assert_eq!(
         (refusal.outcome, refusal.reason),
         (Outcome::NotRun, Reason::Hold)
     );
-    assert_eq!(rig.upstream.seen().len(), 0);
+    assert_eq!(rig.upstream.received().len(), 0);
 }
--- a/crates/gateway/tests/test_metrics.rs
+++ b/crates/gateway/tests/test_metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics reach the sink by their names.
+//! Guards against renamed or missing metrics, and against unknown ages reported as numbers.
 
 mod fakes;
 
@@ -14,8 +14,8 @@
     let sink = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
     let address = sink.local_addr().expect("bound");
     let rig = rig(&[], |s| s.telemetry.sink = Some(address)).await;
-    rig.post("urgent", "/ok").send().await.expect("an answer");
-    rig.post("other", "/ok").send().await.expect("an answer");
+    rig.post("urgent", "/ok").send().await.expect("a response");
+    rig.post("other", "/ok").send().await.expect("a response");
     let mut missing = vec![
         "rwr.gateway.calls:1|c",
         "rwr.gateway.attempts:1|c",
@@ -29,22 +29,22 @@
         "rwr.gateway.claims:0|c",
     ];
     let mut buffer = vec![0; 2048];
-    let heard = async {
+    let received = async {
         while !missing.is_empty() {
             let count = sink.recv(&mut buffer).await.expect("a datagram");
             let text = String::from_utf8_lossy(&buffer[..count]).into_owned();
             missing.retain(|name| !text.contains(name));
         }
     };
-    let heard = tokio::time::timeout(Duration::from_secs(20), heard).await;
-    assert!(heard.is_ok(), "missing: {missing:?}");
+    let received = tokio::time::timeout(Duration::from_secs(20), received).await;
+    assert!(received.is_ok(), "missing: {missing:?}");
 }
 
 #[tokio::test]
 async fn test_log_unknown_age_is_no_number() {
     let rig = rig(&[], |_| {}).await;
-    rig.post("urgent", "/ok").send().await.expect("an answer");
-    fakes::until(|| rig.lines.has(&["msg=route"])).await;
+    rig.post("urgent", "/ok").send().await.expect("a response");
+    fakes::wait_until(|| rig.lines.has(&["msg=route"])).await;
     assert!(rig.lines.has(&["msg=route", "age_us=- "]));
 }
 
@@ -53,11 +53,11 @@
     let rig = rig(&[], |_| {}).await;
     let link = wire::peer::gateway(rig.gateway.rpc());
     let client = link.client().await.expect("a connection");
-    let ask = Explain {
+    let request = Explain {
         service: "urgent".into(),
     };
-    let span = wire::link::within(Duration::from_secs(5));
-    let reply = client.explain(span, ask).await.expect("an answer");
+    let context = wire::link::within(Duration::from_secs(5));
+    let reply = client.explain(context, request).await.expect("a response");
     assert_eq!(reply.candidates.len(), 1);
     assert_eq!(reply.candidates[0].age_ms, None);
 }
--- a/crates/gateway/tests/test_probe_schedule.rs
+++ b/crates/gateway/tests/test_probe_schedule.rs
@@ -1,12 +1,12 @@
-//! When services are looked at for probes, as plain values.
+//! Guards against probe checks that are late or needlessly frequent.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use base::prelude::*;
-use gateway::probe_schedule::LOOK_PAUSE;
-use gateway::probe_schedule::Rounds;
-use gateway::probe_schedule::WORD_TIME;
+use gateway::probe_schedule::CHECK_INTERVAL;
+use gateway::probe_schedule::MAX_DENIAL_TIME;
+use gateway::probe_schedule::ProbeSchedule;
 use gateway::view::View;
 use wire::catalogue::Catalogue;
 use wire::catalogue::Class;
@@ -20,7 +20,7 @@
     Moment::ZERO + Duration::from_millis(millis)
 }
 
-fn announce(view: &View, id: &str) -> Arc<View> {
+fn view_with_instance(view: &View, id: &str) -> Arc<View> {
     let instance = Instance {
         service: "status".into(),
         id: id.into(),
@@ -47,71 +47,84 @@
         changes: vec![change],
         ..SyncReply::default()
     };
-    Arc::new(view.after(at(0), reply))
+    Arc::new(view.updated(at(0), reply))
 }
 
-/// What the meter says of the two instances, and when the next look is due.
+/// Times before which the meter denies two instances, and when the next check is due.
 struct Case {
     name: &'static str,
-    words: [Option<u64>; 2],
-    due: u64,
+    denied_until: [Option<u64>; 2],
+    next_check: u64,
 }
 
 #[test]
-fn test_rounds_wait_for_the_first_instance_that_may_be_probed() {
-    let look = u64::try_from(LOOK_PAUSE.as_millis()).expect("short");
-    let most = u64::try_from(WORD_TIME.as_millis()).expect("short");
+fn test_probe_schedule_waits_for_first_allowed_probe() {
+    let check_interval = u64::try_from(CHECK_INTERVAL.as_millis()).expect("short");
+    let max_denial = u64::try_from(MAX_DENIAL_TIME.as_millis()).expect("short");
     let cases = [
         Case {
             name: "both early",
-            words: [Some(400), Some(300)],
-            due: 300,
+            denied_until: [Some(400), Some(300)],
+            next_check: 300,
         },
         Case {
             name: "one may be probed",
-            words: [Some(400), None],
-            due: look,
+            denied_until: [Some(400), None],
+            next_check: check_interval,
         },
         Case {
-            name: "sooner than the next look",
-            words: [Some(7), None],
-            due: 7,
+            name: "sooner than the next check",
+            denied_until: [Some(7), None],
+            next_check: 7,
         },
         Case {
-            name: "so early that a share may rise before",
-            words: [Some(90_000), Some(90_000)],
-            due: most,
+            name: "denial longer than its maximum time",
+            denied_until: [Some(90_000), Some(90_000)],
+            next_check: max_denial,
         },
     ];
     for case in cases {
-        let view = announce(&announce(&View::default(), "i-0"), "i-1");
-        let mut rounds = Rounds::default();
-        rounds.update(&view);
-        let (_, round) = rounds.due(at(0)).next().expect(case.name);
-        for (index, word) in case.words.iter().enumerate() {
+        let view = view_with_instance(&view_with_instance(&View::default(), "i-0"), "i-1");
+        let mut schedule = ProbeSchedule::default();
+        schedule.update(&view);
+        let (_, service_schedule) = schedule.overdue(at(0)).next().expect(case.name);
+        for (index, denied) in case.denied_until.iter().enumerate() {
             let id = InstanceId::new(&format!("i-{index}")).expect("a name");
-            if let Some(word) = word {
-                round.deny(&id, at(*word), at(0));
+            if let Some(denied) = denied {
+                service_schedule.deny(&id, at(*denied), at(0));
             }
         }
-        round.end(at(0));
-        assert_eq!(round.due(), at(case.due), "{}", case.name);
-        assert_eq!(rounds.next(at(0)), at(case.due.min(look)), "{}", case.name);
+        service_schedule.finish_check(at(0));
+        assert_eq!(
+            service_schedule.next_check(),
+            at(case.next_check),
+            "{}",
+            case.name
+        );
+        assert_eq!(
+            schedule.next_check(at(0)),
+            at(case.next_check.min(check_interval)),
+            "{}",
+            case.name
+        );
     }
 }
 
 #[test]
-fn test_rounds_look_at_new_instances_at_once() {
-    let view = announce(&View::default(), "i-0");
-    let mut rounds = Rounds::default();
-    rounds.update(&view);
-    let (_, round) = rounds.due(at(0)).next().expect("new");
+fn test_probe_schedule_checks_new_instances_at_once() {
+    let view = view_with_instance(&View::default(), "i-0");
+    let mut schedule = ProbeSchedule::default();
+    schedule.update(&view);
+    let (_, service_schedule) = schedule.overdue(at(0)).next().expect("new");
     let id = InstanceId::new("i-0").expect("a name");
-    round.deny(&id, at(900), at(0));
-    round.end(at(0));
-    assert_eq!(rounds.due(at(10)).count(), 0);
-    rounds.update(&announce(&view, "i-1"));
-    let (_, round) = rounds.due(at(10)).next().expect("changed");
-    assert!(!round.may_ask(&id, at(10)), "the word is kept");
-    assert!(round.may_ask(&id, at(900)));
+    service_schedule.deny(&id, at(900), at(0));
+    service_schedule.finish_check(at(0));
+    assert_eq!(schedule.overdue(at(10)).count(), 0);
+    schedule.update(&view_with_instance(&view, "i-1"));
+    let (_, service_schedule) = schedule.overdue(at(10)).next().expect("changed");
+    assert!(
+        !service_schedule.may_probe(&id, at(10)),
+        "the denial is retained"
+    );
+    assert!(service_schedule.may_probe(&id, at(900)));
 }
--- a/crates/gateway/tests/test_serve.rs
+++ b/crates/gateway/tests/test_serve.rs
@@ -1,14 +1,14 @@
-//! The callers' contract: what each behaviour of an upstream becomes.
+//! Guards against violations of the callers' contract for each behaviour of an upstream.
 
 mod fakes;
 
 use crate::fakes::client;
-use crate::fakes::client_of_2;
 use crate::fakes::header;
+use crate::fakes::http2_client;
 use crate::fakes::rig;
-use crate::fakes::until;
+use crate::fakes::wait_until;
 
-/// What a caller gets for one behaviour of the upstream.
+/// Expected response for one behaviour of the upstream.
 struct Case {
     service: &'static str,
     path: &'static str,
@@ -18,7 +18,12 @@
     body: Option<&'static str>,
 }
 
-const fn own(service: &'static str, path: &'static str, status: u16, body: &'static str) -> Case {
+const fn relayed(
+    service: &'static str,
+    path: &'static str,
+    status: u16,
+    body: &'static str,
+) -> Case {
     Case {
         service,
         path,
@@ -29,7 +34,7 @@
     }
 }
 
-const fn failed(
+const fn refused(
     service: &'static str,
     path: &'static str,
     status: u16,
@@ -47,21 +52,21 @@
 }
 
 const CASES: [Case; 15] = [
-    own("urgent", "/ok", 200, "ok"),
-    own("once", "/ok", 200, "ok"),
-    own("durable", "/ok", 200, "ok"),
-    own("deferred", "/chunked", 200, "onetwo"),
-    own("urgent", "/missing", 404, ""),
-    own("once", "/error", 500, "bad"),
-    own("urgent", "/error", 500, "bad"),
-    failed("once", "/close", 502, "unknown", "no-answer"),
-    failed("once", "/garbage", 502, "unknown", "no-answer"),
-    failed("once", "/foreign", 502, "unknown", "mismatch"),
-    failed("once", "/unframed", 502, "unknown", "no-answer"),
-    failed("once", "/shed", 503, "not-run", "shed"),
-    failed("urgent", "/shed", 503, "not-run", "shed"),
-    failed("urgent", "/foreign", 502, "unknown", "mismatch"),
-    failed("once", "/stall", 504, "unknown", "deadline"),
+    relayed("urgent", "/ok", 200, "ok"),
+    relayed("once", "/ok", 200, "ok"),
+    relayed("durable", "/ok", 200, "ok"),
+    relayed("deferred", "/chunked", 200, "onetwo"),
+    relayed("urgent", "/missing", 404, ""),
+    relayed("once", "/error", 500, "bad"),
+    relayed("urgent", "/error", 500, "bad"),
+    refused("once", "/close", 502, "unknown", "no-answer"),
+    refused("once", "/garbage", 502, "unknown", "no-answer"),
+    refused("once", "/foreign", 502, "unknown", "mismatch"),
+    refused("once", "/unframed", 502, "unknown", "no-answer"),
+    refused("once", "/shed", 503, "not-run", "shed"),
+    refused("urgent", "/shed", 503, "not-run", "shed"),
+    refused("urgent", "/foreign", 502, "unknown", "mismatch"),
+    refused("once", "/stall", 504, "unknown", "deadline"),
 ];
 
 #[tokio::test]
@@ -74,7 +79,7 @@
             .get(url)
             .header("rwr-service", case.service)
             .header("rwr-deadline-ms", "300");
-        let response = request.send().await.expect("an answer");
+        let response = request.send().await.expect("a response");
         let name = format!("{} {}", case.service, case.path);
         assert_eq!(response.status(), case.status, "{name}");
         assert_eq!(header(&response, "rwr-outcome"), case.outcome, "{name}");
@@ -100,24 +105,24 @@
 #[tokio::test]
 async fn test_serve_over_http_2() {
     let rig = rig(&[], |_| {}).await;
-    let caller = client_of_2();
+    let caller = http2_client();
     let send = |path: &str| {
         let request = caller.post(rig.url(path)).header("rwr-service", "urgent");
         request.body("grant").send()
     };
-    let whole = send("/echo").await.expect("an answer");
+    let whole = send("/echo").await.expect("a response");
     assert_eq!(whole.version(), http::Version::HTTP_2);
     assert_eq!(whole.text().await.expect("whole"), "grant");
     let short = send("/short").await.expect("a head");
     assert!(short.bytes().await.is_err());
-    // One stream's end leaves the others of its connection alone.
+    // Cancelling a stream doesn't affect other streams of the connection.
     let held = tokio::spawn(send("/hold"));
     let leaving = tokio::spawn(send("/stall"));
-    until(|| rig.upstream.seen().len() == 4).await;
+    wait_until(|| rig.upstream.received().len() == 4).await;
     leaving.abort();
-    until(|| rig.upstream.cut() == 1).await;
+    wait_until(|| rig.upstream.aborted_connections() == 1).await;
     rig.upstream.release.notify_one();
-    let held = held.await.expect("no panic").expect("an answer");
+    let held = held.await.expect("no panic").expect("a response");
     assert_eq!(held.text().await.expect("whole"), "held");
 }
 
@@ -137,30 +142,32 @@
         .body("grant")
         .send()
         .await
-        .expect("an answer");
-    let told = header(&response, "rwr-request-id");
+        .expect("a response");
+    let caller_id = header(&response, "rwr-request-id");
     assert_eq!(response.text().await.expect("a body"), "grant");
-    let seen = rig.upstream.seen().remove(0);
+    let received = rig.upstream.received().remove(0);
     assert!(
-        seen.head.starts_with("POST /echo/a%20b?x=1&y=%2F HTTP/1.1"),
+        received
+            .head
+            .starts_with("POST /echo/a%20b?x=1&y=%2F HTTP/1.1"),
         "{}",
-        seen.head
+        received.head
     );
-    assert_eq!(seen.header("x-kept"), Some("yes"));
-    assert_eq!(seen.header("rwr-service"), Some("urgent"));
-    assert_eq!(seen.header("rwr-attempt"), Some("1"));
-    assert_eq!(seen.header("rwr-depth"), Some("1"));
-    for gone in ["x-hop", "te", "connection"] {
-        assert_eq!(seen.header(gone), None, "{gone}");
+    assert_eq!(received.header("x-kept"), Some("yes"));
+    assert_eq!(received.header("rwr-service"), Some("urgent"));
+    assert_eq!(received.header("rwr-attempt"), Some("1"));
+    assert_eq!(received.header("rwr-depth"), Some("1"));
+    for removed in ["x-hop", "te", "connection"] {
+        assert_eq!(received.header(removed), None, "{removed}");
     }
-    let id = seen.header("rwr-request-id").expect("an id");
+    let id = received.header("rwr-request-id").expect("an id");
     assert_ne!(id, "forged");
-    assert_eq!(id, told, "the caller learns the same id");
-    let left: u64 = seen
+    assert_eq!(id, caller_id, "the caller gets the same id");
+    let remaining: u64 = received
         .header("rwr-deadline-ms")
         .and_then(|v| v.parse().ok())
         .expect("a number");
-    assert!(left > 0 && left < 2000, "{left}");
+    assert!(remaining > 0 && remaining < 2000, "{remaining}");
 }
 
 #[tokio::test]
@@ -168,10 +175,10 @@
     let rig = rig(&[], |_| {}).await;
     let url = format!("http://{}/hop", rig.gateway.http());
     let response = client().get(url).header("rwr-service", "urgent").send();
-    let response = response.await.expect("an answer");
+    let response = response.await.expect("a response");
     assert_eq!(header(&response, "x-kept"), "1");
-    for gone in ["x-secret", "keep-alive", "rwr-outcome"] {
-        assert_eq!(header(&response, gone), "", "{gone}");
+    for removed in ["x-secret", "keep-alive", "rwr-outcome"] {
+        assert_eq!(header(&response, removed), "", "{removed}");
     }
 }
 
@@ -179,7 +186,7 @@
 async fn test_serve_body_streams() {
     let rig = rig(&[], |_| {}).await;
     let url = format!("http://{}/echo", rig.gateway.http());
-    // Over the bound of kept bodies, so it passes through.
+    // Larger than the buffering limit, so the body is streamed.
     let body = vec![b'a'; 300_000];
     let response = client()
         .post(url)
@@ -187,7 +194,7 @@
         .body(body.clone())
         .send()
         .await
-        .expect("an answer");
+        .expect("a response");
     assert_eq!(response.bytes().await.expect("whole"), body);
 }
 
@@ -202,14 +209,14 @@
         .header("rwr-deadline-ms", "100")
         .send()
         .await
-        .expect("an answer");
+        .expect("a response");
     assert_eq!(first.status(), 504);
     for _ in 0..4 {
         let next = client.get(url("/ok")).header("rwr-service", "once").send();
-        let next = next.await.expect("an answer");
+        let next = next.await.expect("a response");
         assert_eq!(next.text().await.expect("a body"), "ok");
     }
-    // The connection with the late answer was left, so there is a second one.
+    // The connection with the late response was discarded, so there is a second one.
     assert_eq!(rig.upstream.connections(), 2);
 }
 
@@ -220,10 +227,10 @@
         let url = format!("http://{}/stall", rig.gateway.http());
         let call = client().get(url).header("rwr-service", service).send();
         let call = tokio::spawn(call);
-        until(|| rig.upstream.seen().len() == 1).await;
+        wait_until(|| rig.upstream.received().len() == 1).await;
         call.abort();
-        until(|| rig.upstream.cut() == cuts).await;
-        until(|| rig.gateway.core().flying.count() == 0).await;
+        wait_until(|| rig.upstream.aborted_connections() == cuts).await;
+        wait_until(|| rig.gateway.core().in_flight.count() == 0).await;
     }
 }
 
@@ -234,16 +241,16 @@
         let url = format!("http://{}/hold", rig.gateway.http());
         let call = client().post(url).header("rwr-service", service).send();
         let call = tokio::spawn(call);
-        until(|| rig.upstream.seen().len() == 1).await;
+        wait_until(|| rig.upstream.received().len() == 1).await;
         call.abort();
-        until(|| rig.lines.has(&["msg=\"caller left\"", "ended=false"])).await;
-        assert_eq!(rig.gateway.core().flying.count(), 1, "{service}");
+        wait_until(|| rig.lines.has(&["msg=\"caller left\"", "ended=false"])).await;
+        assert_eq!(rig.gateway.core().in_flight.count(), 1, "{service}");
         rig.upstream.release.notify_one();
-        until(|| rig.gateway.core().flying.count() == 0).await;
-        // The answer was read to its end, so the connection is still good.
+        wait_until(|| rig.gateway.core().in_flight.count() == 0).await;
+        // The response was read to its end, so the connection is reused.
         let url = format!("http://{}/ok", rig.gateway.http());
         let next = client().get(url).header("rwr-service", service).send();
-        assert_eq!(next.await.expect("an answer").status(), 200);
+        assert_eq!(next.await.expect("a response").status(), 200);
         assert_eq!(rig.upstream.connections(), 1, "{service}");
     }
 }
@@ -261,8 +268,8 @@
         if let Some(service) = service {
             request = request.header("rwr-service", service);
         }
-        let answer = request.send().await.expect("an answer");
-        let request = format!("request={}", header(&answer, "rwr-request-id"));
-        until(|| rig.lines.has(&["msg=refuse", &request, named, reason])).await;
+        let response = request.send().await.expect("a response");
+        let request = format!("request={}", header(&response, "rwr-request-id"));
+        wait_until(|| rig.lines.has(&["msg=refuse", &request, named, reason])).await;
     }
 }
--- a/crates/gateway/tests/test_settings.rs
+++ b/crates/gateway/tests/test_settings.rs
@@ -1,10 +1,11 @@
-//! Settings: defaults, the round of `--check`, and every fault at once.
+//! Guards against wrong defaults, settings that `--check` prints in an unreadable form,
+//! and unreported faults.
 
 use conf::ConfError;
 use conf::Reader;
 use gateway::settings::Settings;
 
-const LEAST: &str = "[gateway]\nhost = host-1\ndomain = milano\nhttp = 127.0.0.1:8080\n\
+const MINIMAL: &str = "[gateway]\nhost = host-1\ndomain = milano\nhttp = 127.0.0.1:8080\n\
                      rpc = 127.0.0.1:8081\n[directory]\naddresses = 127.0.0.1:7081\n\
                      [control]\nreplicas = 127.0.0.1:7100, 127.0.0.1:7101\n";
 
@@ -14,14 +15,14 @@
 
 #[test]
 fn test_settings_round() {
-    let settings = read(LEAST).expect("the least settings");
+    let settings = read(MINIMAL).expect("the minimal settings");
     let text = settings.to_string();
     assert!(text.contains("length = 3000ms"), "{text}");
     let again = read(&text).expect("what --check prints");
     assert_eq!(again.to_string(), text);
 }
 
-/// A line added to the least settings, and the fault that it makes.
+/// A line added to the minimal settings, and the resulting fault.
 const FAULTS: [(&str, &str); 10] = [
     ("[lease]\npoll = 2s\n", "[lease] poll: contradicts length"),
     ("[lease]\npoll = 0ms\n", "[lease] poll: contradicts length"),
@@ -56,7 +57,9 @@
 #[test]
 fn test_settings_faults() {
     for (line, fault) in FAULTS {
-        let err = read(&format!("{LEAST}{line}")).expect_err(line).to_string();
+        let err = read(&format!("{MINIMAL}{line}"))
+            .expect_err(line)
+            .to_string();
         assert!(err.contains(fault), "{line}: {err}");
         assert!(err.starts_with("gateway.ini: "), "{err}");
     }
--- a/crates/gateway/tests/test_view.rs
+++ b/crates/gateway/tests/test_view.rs
@@ -1,4 +1,4 @@
-//! Which confirmations a gateway takes, as plain values.
+//! Guards against confirmations that are accepted although they prove nothing.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// One reply to a request, and whether it lets the gateway work.
+/// A confirmation, and whether the gateway is fenced with it.
 struct Case {
     name: &'static str,
     sent_ms: u64,
@@ -29,8 +29,8 @@
     fenced: bool,
 }
 
-/// Before its start the process may have had version 5 in force, accepted after
-/// version 4 was confirmed: only a confirmation from after the start rules it out.
+/// A previous process may have used version 5, accepted after version 4 was confirmed,
+/// so only a confirmation from after the start shows that version 4 is current.
 #[test]
 fn test_view_takes_no_confirmation_from_before_the_start() {
     let cases = [
@@ -60,9 +60,9 @@
         },
     ];
     for case in cases {
-        let sent = Moment::from_millis(case.sent_ms);
-        let view = View::default().after(sent, reply(case.age_ms));
+        let sent_at = Moment::from_millis(case.sent_ms);
+        let view = View::default().updated(sent_at, reply(case.age_ms));
         assert_eq!(view.version(), 4, "{}", case.name);
-        assert_eq!(view.is_fenced(sent, LEASE), case.fenced, "{}", case.name);
+        assert_eq!(view.is_fenced(sent_at, LEASE), case.fenced, "{}", case.name);
     }
 }
