--- /dev/null
+++ b/crates/gateway/src/call/responses.rs
@@ -0,0 +1,254 @@
+//! Handling of responses: checks them, relays them, and fails calls.
+
+use std::time::Duration;
+
+use admit::Finish;
+use attempt::AttemptError;
+use attempt::Event;
+use attempt::Failure;
+use attempt::event::AttemptNumber;
+use base::header;
+use base::prelude::*;
+use bytes::Bytes;
+use http::HeaderValue;
+use http::Method;
+use http::StatusCode;
+use http::header::ACCEPT_RANGES;
+use http::header::ETAG;
+use http::header::RANGE;
+use route::OutcomeKind;
+use slog::info;
+
+use crate::call::classify::ending_of;
+use crate::call::classify::kind_of;
+use crate::call::classify::kind_of_response;
+use crate::call::classify::range_start;
+use crate::call::classify::reason_of;
+use crate::call::driver::Driver;
+use crate::call::state::AnsweredAttempt;
+use crate::call::state::CallerChannel;
+use crate::call::state::RelayingAttempt;
+use crate::instance_clients::SendError;
+use crate::refusal::Reason;
+use crate::refusal::Refusal;
+use crate::relay::RelayedResponse;
+use crate::relay::UpstreamResponse;
+
+impl Driver {
+    pub(super) fn on_response_head(
+        &mut self,
+        number: AttemptNumber,
+        result: std::result::Result<UpstreamResponse, SendError>,
+    ) {
+        let Some(index) = self.pending.iter().position(|a| a.number == number) else {
+            return;
+        };
+        let mut guard = self.pending.swap_remove(index).guard;
+        let response = match result {
+            Ok(response) => response,
+            Err(err) => {
+                guard.set_kind(kind_of(&err));
+                drop(guard);
+                info!(self.log, "attempt failed"; "attempt" => number, "error" => %err);
+                self.step(Event::AttemptFailed(number, ending_of(&err)));
+                return;
+            }
+        };
+        guard.record_head(&response.headers);
+        if let Some(ending) = self.reject_response(&response) {
+            guard.set_kind(OutcomeKind::Error);
+            drop(guard);
+            info!(self.log, "answer refused"; "attempt" => number, "ending" => <&str>::from(ending));
+            self.step(Event::AttemptFailed(number, ending));
+            return;
+        }
+        guard.set_kind(kind_of_response(&response));
+        let head = self.response_head(&response);
+        if head.shed {
+            self.core.queue.shed(&self.request.head.service.name);
+        }
+        self.answered.push(AnsweredAttempt {
+            number,
+            guard,
+            response,
+        });
+        self.step(Event::Head(number, head));
+    }
+
+    /// How the attempt ends if the response is unusable: it belongs to another request,
+    /// its end is undefined, or it doesn't resume the body where it broke off.
+    pub(super) fn reject_response(&self, response: &UpstreamResponse) -> Option<AttemptError> {
+        if response.is_mismatched(&self.request.head.id) {
+            return Some(AttemptError::Mismatch);
+        }
+        if !response.framed {
+            return Some(AttemptError::NoAnswer);
+        }
+        let resumed = self.received_bytes > 0 && response.status == StatusCode::PARTIAL_CONTENT;
+        if resumed && range_start(&response.headers) != Some(self.received_bytes) {
+            return Some(AttemptError::Mismatch);
+        }
+        None
+    }
+
+    pub(super) fn response_head(&self, response: &UpstreamResponse) -> attempt::Head {
+        attempt::Head {
+            status: response.status.as_u16(),
+            shed: response.is_shed(),
+            retried: response.headers.contains_key(header::RETRIED),
+            resumable: self.is_resumable(response),
+        }
+    }
+
+    /// Whether a truncated body can be resumed by a range request.
+    pub(super) fn is_resumable(&self, response: &UpstreamResponse) -> bool {
+        let is_range_request = self.request.headers.contains_key(RANGE);
+        let accepts_ranges = response
+            .headers
+            .get(ACCEPT_RANGES)
+            .is_some_and(|v| v == "bytes");
+        let has_strong_etag = response
+            .headers
+            .get(ETAG)
+            .is_some_and(|v| v.as_bytes().starts_with(b"\""));
+        let is_status_ok = response.status == StatusCode::OK
+            || (response.status == StatusCode::PARTIAL_CONTENT && self.received_bytes > 0);
+        self.request.method == Method::GET
+            && !is_range_request
+            && accepts_ranges
+            && has_strong_etag
+            && is_status_ok
+    }
+
+    pub(super) fn cancel_attempt(&mut self, number: AttemptNumber, cause: Option<Event>) {
+        // An attempt that is cancelled by a timer counts as timed out.
+        let timed_out = matches!(cause, Some(Event::Tick));
+        if let Some(index) = self.pending.iter().position(|a| a.number == number) {
+            let mut pending = self.pending.swap_remove(index);
+            if timed_out {
+                pending.guard.set_kind(OutcomeKind::Timeout);
+            }
+        }
+        self.answered.retain(|a| a.number != number);
+        if self.relaying.as_ref().is_some_and(|a| a.number == number) {
+            let relaying = self.relaying.take();
+            if let Some(mut relaying) = relaying.filter(|_| timed_out && self.chunk.is_none()) {
+                relaying.guard.set_kind(OutcomeKind::Timeout);
+            }
+        }
+    }
+
+    pub(super) fn relay(&mut self, number: AttemptNumber, marked: bool) {
+        let Some(index) = self.answered.iter().position(|a| a.number == number) else {
+            return;
+        };
+        let AnsweredAttempt {
+            guard, response, ..
+        } = self.answered.swap_remove(index);
+        self.etag = response.headers.get(ETAG).cloned();
+        let caller = std::mem::replace(&mut self.caller, CallerChannel::Closed);
+        self.caller = match caller {
+            CallerChannel::Head(send) => {
+                let (sender, mut relayed) = RelayedResponse::begin(&response);
+                if marked {
+                    let mark = HeaderValue::from_static("1");
+                    relayed.headers.insert(header::RETRIED, mark);
+                }
+                // If the caller has disconnected, the channel of the body shows it.
+                let _ = send.send(Ok(relayed));
+                CallerChannel::Body(sender)
+            }
+            resumed => resumed,
+        };
+        self.relaying = Some(RelayingAttempt {
+            number,
+            guard,
+            chunks: response.body,
+        });
+    }
+
+    pub(super) fn on_chunk(&mut self, bytes: Bytes) {
+        self.received_bytes += bytes.len() as u64;
+        if matches!(self.caller, CallerChannel::Body(_)) && !bytes.is_empty() {
+            self.chunk = Some(bytes);
+        }
+    }
+
+    pub(super) fn on_truncated(&mut self) {
+        let Some(mut relaying) = self.relaying.take() else {
+            return;
+        };
+        relaying.guard.set_kind(OutcomeKind::Error);
+        let number = relaying.number;
+        drop(relaying);
+        info!(self.log, "answer short"; "attempt" => number, "bytes" => self.received_bytes);
+        self.step(Event::AttemptFailed(
+            number,
+            AttemptError::ShortBody(self.received_bytes),
+        ));
+    }
+
+    pub(super) fn on_complete(&mut self) {
+        let Some(relaying) = self.relaying.take() else {
+            return;
+        };
+        let number = relaying.number;
+        drop(relaying);
+        if let CallerChannel::Body(send) = &self.caller {
+            // The empty chunk marks a complete body; `relay_step` released capacity for it.
+            let _ = send.try_send(Ok(Bytes::new()));
+        }
+        self.set_finish(Finish::Answered);
+        self.step(Event::Complete(number));
+    }
+
+    pub(super) fn set_finish(&mut self, finish: Finish) {
+        if let Some(permit) = &mut self.request.permit {
+            permit.set_finish(finish);
+        }
+    }
+
+    pub(super) fn fail(&mut self, failure: Failure) {
+        let mut reason = reason_of(failure.reason);
+        if let (Reason::NoUpstream, Some(start_failure)) = (reason, self.start_failure) {
+            reason = start_failure;
+        }
+        let mut status = StatusCode::from_u16(failure.status()).unwrap_or(StatusCode::BAD_GATEWAY);
+        if self.request.body.is_over_limit() {
+            status = StatusCode::PAYLOAD_TOO_LARGE;
+            reason = Reason::BodyTooLarge;
+        }
+        let refusal = Refusal {
+            status,
+            outcome: failure.outcome,
+            reason,
+            retry_after: (failure.outcome == Outcome::NotRun).then(|| self.retry_after()),
+            retried: true,
+        };
+        self.set_finish(if reason == Reason::Shed {
+            Finish::Shed
+        } else {
+            Finish::Failed
+        });
+        info!(self.log, "call failed";
+            "outcome" => <&str>::from(refusal.outcome),
+            "reason" => <&str>::from(refusal.reason),
+        );
+        if let CallerChannel::Head(send) =
+            std::mem::replace(&mut self.caller, CallerChannel::Closed)
+        {
+            let _ = send.send(Err(refusal));
+        }
+    }
+
+    pub(super) fn retry_after(&self) -> Duration {
+        self.core.queue.retry_after(&self.request.head.service.name)
+    }
+
+    pub(super) fn abort_response(&mut self, failure: Failure) {
+        self.set_finish(Finish::Failed);
+        info!(self.log, "call broken"; "reason" => <&str>::from(failure.reason));
+        // Without the end mark the caller sees a truncated response.
+        self.caller = CallerChannel::Closed;
+    }
+}
