--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -337,7 +337,7 @@
     }
 
     fn pending_reply(&self, id: ReplicaId) -> AskReply {
-        let behind = self.node.behind(id).unwrap_or_default();
+        let behind = self.node.replication_lag(id).unwrap_or_default();
         membership(membership_reply::Kind::Pending(MembershipPending {
             behind,
         }))
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -256,8 +256,8 @@
         let snapshot_bytes = usize::try_from(sizes.snapshot.0).unwrap_or(usize::MAX);
         let defaults = consensus::Settings::default();
         let settings = consensus::Settings {
-            heartbeat: self.settings.timing.heartbeat,
-            election: self.settings.timing.election,
+            heartbeat_interval: self.settings.timing.heartbeat,
+            election_timeout: self.settings.timing.election,
             max_retained_bytes: defaults.max_retained_bytes.min(snapshot_bytes / 2),
             ..defaults
         };
--- a/crates/control/src/state_machine.rs
+++ b/crates/control/src/state_machine.rs
@@ -228,7 +228,7 @@
     /// The reply to a change that is already known and so needs no log entry.
     #[must_use]
     pub fn known(&self, change: &Change) -> Option<ChangeReply> {
-        self.catalogue_state.known(change)
+        self.catalogue_state.immediate_reply(change)
     }
 
     /// The catalogue and its history.
