--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -19,7 +19,7 @@
 
 use strum::EnumString;
 
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::Flag;
 use crate::flags::UsageError;
 use crate::flags::Words;
--- a/crates/cli/src/command/apply.rs
+++ b/crates/cli/src/command/apply.rs
@@ -15,7 +15,7 @@
 
 use crate::command::hosts;
 use crate::command::plan;
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::Flag;
 use crate::flags::UsageError;
 use crate::flags::Words;
--- a/crates/cli/src/command/drain.rs
+++ b/crates/cli/src/command/drain.rs
@@ -1,6 +1,6 @@
 //! `drain`: stops one gateway gracefully.
 
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::Words;
 use crate::output::Output;
 use crate::remote;
--- a/crates/cli/src/command/evacuate.rs
+++ b/crates/cli/src/command/evacuate.rs
@@ -6,7 +6,7 @@
 use wire::hub::EvacuationOutcome;
 
 use super::links::hubs;
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::UsageError;
 use crate::flags::Words;
 use crate::output::Output;
--- a/crates/cli/src/command/explain.rs
+++ b/crates/cli/src/command/explain.rs
@@ -3,7 +3,7 @@
 use wire::gateway::Explain;
 use wire::gateway::ExplainReply;
 
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::Words;
 use crate::output::Output;
 use crate::remote;
--- a/crates/cli/src/command/history.rs
+++ b/crates/cli/src/command/history.rs
@@ -5,7 +5,7 @@
 use wire::catalogue::edit::Kind;
 use wire::control::HistoryQuery;
 
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::Flag;
 use crate::flags::Words;
 use crate::output::Output;
--- a/crates/cli/src/command/hosts.rs
+++ b/crates/cli/src/command/hosts.rs
@@ -7,7 +7,7 @@
 use wire::directory::Host;
 use wire::directory::HostPhase;
 
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::Words;
 use crate::output::Output;
 use crate::remote::Directories;
--- a/crates/cli/src/command/links.rs
+++ b/crates/cli/src/command/links.rs
@@ -3,7 +3,7 @@
 use wire::peer;
 use wire::peer::HubLink;
 
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::settings::Settings;
 
 /// A link to each hub of `settings`.
--- a/crates/cli/src/command/plan.rs
+++ b/crates/cli/src/command/plan.rs
@@ -7,7 +7,7 @@
 use catalogue::diff::Difference;
 use catalogue::file;
 
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::Words;
 use crate::output::Output;
 use crate::remote::Control;
--- a/crates/cli/src/command/quarantine.rs
+++ b/crates/cli/src/command/quarantine.rs
@@ -8,7 +8,7 @@
 use wire::hub::Report;
 
 use super::links::hubs;
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::Words;
 use crate::output::Output;
 use crate::remote;
--- a/crates/cli/src/command/replica.rs
+++ b/crates/cli/src/command/replica.rs
@@ -13,7 +13,7 @@
 use wire::control::membership;
 use wire::control::membership_reply::Kind;
 
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::Flag;
 use crate::flags::UsageError;
 use crate::flags::Words;
--- a/crates/cli/src/command/routes.rs
+++ b/crates/cli/src/command/routes.rs
@@ -8,7 +8,7 @@
 use wire::hub::TableReply;
 
 use super::links::hubs;
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::UsageError;
 use crate::flags::Words;
 use crate::output::Output;
--- a/crates/cli/src/command/show.rs
+++ b/crates/cli/src/command/show.rs
@@ -3,7 +3,7 @@
 use catalogue::Catalogue;
 use catalogue::file;
 
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::Flag;
 use crate::flags::Words;
 use crate::output::Output;
--- a/crates/cli/src/command/story.rs
+++ b/crates/cli/src/command/story.rs
@@ -2,7 +2,7 @@
 
 use std::fs;
 
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::Words;
 use crate::output::Output;
 use crate::story;
--- a/crates/cli/src/command/upstreams.rs
+++ b/crates/cli/src/command/upstreams.rs
@@ -3,7 +3,7 @@
 use wire::directory::InstanceChange;
 use wire::directory::Phase;
 
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::Words;
 use crate::output::Output;
 use crate::remote;
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -4,8 +4,8 @@
 //! streams are arguments of [`run`], so that tests read what an operator would.
 
 pub mod command;
+pub mod error;
 pub mod exit;
-pub mod fault;
 pub mod flags;
 pub mod output;
 pub mod pending;
@@ -21,7 +21,7 @@
 pub use exit::Exit;
 pub use settings::Defaults;
 
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::Flag;
 use crate::flags::Words;
 use crate::output::Output;
@@ -39,9 +39,9 @@
 ) -> io::Result<Exit> {
     match perform(args, defaults, out).await {
         Ok(()) => Ok(Exit::Done),
-        Err(fault) => {
-            report(&fault, err)?;
-            Ok(fault.exit())
+        Err(error) => {
+            report(&error, err)?;
+            Ok(error.exit())
         }
     }
 }
@@ -56,11 +56,11 @@
     command::perform(words, defaults, &mut Output::new(out, plain)).await
 }
 
-fn report(fault: &CliError, err: &mut (dyn Write + Send)) -> io::Result<()> {
-    for line in fault.to_string().lines() {
+fn report(error: &CliError, err: &mut (dyn Write + Send)) -> io::Result<()> {
+    for line in error.to_string().lines() {
         writeln!(err, "rwrctl: {line}")?;
     }
-    if let Some(hint) = fault.hint() {
+    if let Some(hint) = error.hint() {
         writeln!(err, "hint: {hint}")?;
     }
     err.flush()
--- a/crates/cli/src/pending.rs
+++ b/crates/cli/src/pending.rs
@@ -12,7 +12,7 @@
 use prost::Message;
 use wire::catalogue::Change;
 
-use crate::fault::CliError;
+use crate::error::CliError;
 
 /// Last part of a saved change's name.
 const SUFFIX: &str = "change";
--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -23,7 +23,7 @@
 use wire::peer::ControlLink;
 use wire::peer::DirectoryLink;
 
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::pending::Pending;
 use crate::settings::Settings;
 
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -7,7 +7,7 @@
 use conf::Reader;
 use conf::value::Text;
 
-use crate::fault::CliError;
+use crate::error::CliError;
 use crate::flags::Flag;
 use crate::flags::UsageError;
 use crate::flags::Words;
