--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands, one module each.
+//! The commands of `rwrctl`.
 
 mod apply;
 mod drain;
@@ -20,20 +20,20 @@
 use strum::EnumString;
 
 use crate::error::CliError;
+use crate::flags::Arguments;
 use crate::flags::Flag;
 use crate::flags::UsageError;
-use crate::flags::Words;
 use crate::output::Output;
 use crate::settings::Defaults;
 use crate::settings::Settings;
 
-/// The usage text.
+/// The usage text, printed by `--help`.
 pub const USAGE: &str = include_str!("usage.txt");
 
 /// A command's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumString)]
 #[strum(serialize_all = "kebab-case")]
-enum Verb {
+enum Command {
     Plan,
     Apply,
     Show,
@@ -51,40 +51,40 @@
     Story,
 }
 
-/// Performs the command that `words` name.
+/// Runs the command that `arguments` name.
 ///
 /// # Errors
 ///
-/// Fails as the command does.
-pub async fn perform(
-    mut words: Words,
+/// Fails when the arguments are invalid or the command fails.
+pub async fn run(
+    mut arguments: Arguments,
     defaults: &Defaults,
     out: &mut Output<'_>,
 ) -> Result<(), CliError> {
-    if words.has(Flag::Help) {
+    if arguments.take_switch(Flag::Help) {
         return Ok(out.raw(USAGE)?);
     }
-    if words.has(Flag::Version) {
+    if arguments.take_switch(Flag::Version) {
         return Ok(out.raw(concat!("rwrctl ", env!("CARGO_PKG_VERSION"), "\n"))?);
     }
-    let name = words.word().ok_or(UsageError::NoCommand)?;
-    let verb = Verb::from_str(&name).map_err(|_| UsageError::Command(name))?;
-    let settings = Settings::take(&mut words, defaults)?;
-    match verb {
-        Verb::Plan => plan::perform(words, &settings, out).await,
-        Verb::Apply => apply::perform(words, &settings, out).await,
-        Verb::Show => show::perform(words, &settings, out).await,
-        Verb::History => history::perform(words, &settings, out).await,
-        Verb::Hosts => hosts::perform(words, &settings, out).await,
-        Verb::Upstreams => upstreams::perform(words, &settings, out).await,
-        Verb::Explain => explain::perform(words, &settings, out).await,
-        Verb::Drain => drain::perform(words, &settings, out).await,
-        Verb::Evacuate => evacuate::order(words, true, &settings, out).await,
-        Verb::Return => evacuate::order(words, false, &settings, out).await,
-        Verb::Evacuations => evacuate::show(words, &settings, out).await,
-        Verb::Quarantine => quarantine::show(words, &settings, out).await,
-        Verb::Replica => replica::perform(words, &settings, out).await,
-        Verb::Routes => routes::perform(words, &settings, out).await,
-        Verb::Story => story::perform(words, out),
+    let name = arguments.positional().ok_or(UsageError::MissingCommand)?;
+    let command = Command::from_str(&name).map_err(|_| UsageError::UnknownCommand(name))?;
+    let settings = Settings::resolve(&mut arguments, defaults)?;
+    match command {
+        Command::Plan => plan::run(arguments, &settings, out).await,
+        Command::Apply => apply::run(arguments, &settings, out).await,
+        Command::Show => show::run(arguments, &settings, out).await,
+        Command::History => history::run(arguments, &settings, out).await,
+        Command::Hosts => hosts::run(arguments, &settings, out).await,
+        Command::Upstreams => upstreams::run(arguments, &settings, out).await,
+        Command::Explain => explain::run(arguments, &settings, out).await,
+        Command::Drain => drain::run(arguments, &settings, out).await,
+        Command::Evacuate => evacuate::set_evacuated(arguments, true, &settings, out).await,
+        Command::Return => evacuate::set_evacuated(arguments, false, &settings, out).await,
+        Command::Evacuations => evacuate::show(arguments, &settings, out).await,
+        Command::Quarantine => quarantine::show(arguments, &settings, out).await,
+        Command::Replica => replica::run(arguments, &settings, out).await,
+        Command::Routes => routes::run(arguments, &settings, out).await,
+        Command::Story => story::run(arguments, out),
     }
 }
--- a/crates/cli/src/command/apply.rs
+++ b/crates/cli/src/command/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: makes the catalogue what a file says, in one atomic change.
+//! `apply`: replaces the catalogue with the contents of a file, in one atomic change.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -16,9 +16,9 @@
 use crate::command::hosts;
 use crate::command::plan;
 use crate::error::CliError;
+use crate::flags::Arguments;
 use crate::flags::Flag;
 use crate::flags::UsageError;
-use crate::flags::Words;
 use crate::output::Output;
 use crate::pending::Pending;
 use crate::remote::Control;
@@ -26,88 +26,92 @@
 use crate::settings::Settings;
 use crate::table::Table;
 
-/// How long `--wait` waits, unless told.
-const WITHIN: Duration = Duration::from_secs(10);
-/// Pause between two looks at the hosts.
-const POLL: Duration = Duration::from_millis(200);
+/// Maximum time that `--wait` waits, unless `--within` is given.
+const DEFAULT_WAIT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval at which `--wait` queries the hosts.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-struct Args {
+struct ApplyArgs {
     path: PathBuf,
     id: Option<ChangeId>,
     base: Option<u64>,
     wait: bool,
-    within: Duration,
+    wait_timeout: Duration,
 }
 
-impl Args {
-    fn take(mut words: Words) -> Result<Self, UsageError> {
-        let id = words.text(Flag::Id);
+impl ApplyArgs {
+    fn parse(mut arguments: Arguments) -> Result<Self, UsageError> {
+        let id = arguments.take_text(Flag::Id);
         let form = "1 to 128 letters, digits, '-', '_', '.' or ':'";
         let id = id
-            .map(|text| ChangeId::new(&text).map_err(|_| UsageError::Form(Flag::Id, text, form)))
+            .map(|text| {
+                ChangeId::new(&text).map_err(|_| UsageError::InvalidValue(Flag::Id, text, form))
+            })
             .transpose()?;
         let args = Self {
-            path: words.required("FILE")?.into(),
+            path: arguments.required("FILE")?.into(),
             id,
-            base: words.value(Flag::Base)?,
-            wait: words.has(Flag::Wait),
-            within: words.value(Flag::Within)?.unwrap_or(WITHIN),
+            base: arguments.take_value(Flag::Base)?,
+            wait: arguments.take_switch(Flag::Wait),
+            wait_timeout: arguments
+                .take_value(Flag::Within)?
+                .unwrap_or(DEFAULT_WAIT_TIMEOUT),
         };
-        words.finish("apply")?;
+        arguments.finish("apply")?;
         Ok(args)
     }
 }
 
-pub(super) async fn perform(
-    words: Words,
+pub(super) async fn run(
+    arguments: Arguments,
     settings: &Settings,
     out: &mut Output<'_>,
 ) -> Result<(), CliError> {
-    let args = Args::take(words)?;
+    let args = ApplyArgs::parse(arguments)?;
     let directories = args.wait.then(|| Directories::new(settings)).transpose()?;
     let control = Control::new(settings)?;
     let Some(pending) = prepare(&args, settings, &control, out).await? else {
         return Ok(());
     };
-    tell_sending(&pending.change, out)?;
+    print_sending(&pending.change, out)?;
     pending.save()?;
-    let answer = control.propose(&pending).await;
-    if !matches!(answer, Err(CliError::Uncertain(..))) {
-        pending.forget()?;
+    let reply = control.propose(&pending).await;
+    if !matches!(reply, Err(CliError::Uncertain(..))) {
+        pending.remove()?;
     }
-    let version = judge(&pending.change, answer?)?;
-    tell_accepted(&pending.change, version, out)?;
+    let version = accepted_version(&pending.change, reply?)?;
+    print_accepted(&pending.change, version, out)?;
     match directories {
         Some(directories) => wait(&args, &control, &directories, version, out).await,
         None => Ok(()),
     }
 }
 
-/// The change to send: the saved one of the same id, else a new one; `None`
-/// when there is nothing to change.
+/// Loads the saved change with the given id, or else computes a new one; `None` when there is
+/// nothing to change.
 async fn prepare(
-    args: &Args,
+    args: &ApplyArgs,
     settings: &Settings,
     control: &Control,
     out: &mut Output<'_>,
 ) -> Result<Option<Pending>, CliError> {
     if let Some(id) = &args.id
-        && let Some(pending) = Pending::find(&args.path, id.as_str())?
+        && let Some(pending) = Pending::load(&args.path, id.as_str())?
     {
         return Ok(Some(pending));
     }
-    let wanted = file::open(&args.path).map_err(CliError::Catalogue)?;
+    let desired = file::open(&args.path).map_err(CliError::Catalogue)?;
     let current = control.catalogue().await?;
-    plan::show(&current, &wanted, out)?;
-    let edits = diff::edits(&current, &wanted);
+    plan::print(&current, &desired, out)?;
+    let edits = diff::edits(&current, &desired);
     if edits.is_empty() {
         return Ok(None);
     }
     let id = args.id.as_ref().map(ToString::to_string);
-    let stated = (wanted.version > 0).then_some(wanted.version);
+    let file_version = (desired.version > 0).then_some(desired.version);
     let change = Change {
         id: id.unwrap_or_else(|| Uuid::new_v4().to_string()),
-        base: args.base.or(stated).unwrap_or(current.version),
+        base: args.base.or(file_version).unwrap_or(current.version),
         author: settings.author.clone(),
         edits,
     };
@@ -115,57 +119,57 @@
     Ok(Some(Pending { change, file }))
 }
 
-fn tell_sending(change: &Change, out: &mut Output<'_>) -> std::io::Result<()> {
+fn print_sending(change: &Change, out: &mut Output<'_>) -> std::io::Result<()> {
     let mut table = Table::new("change", &["id", "base", "edits"]);
-    table.row([&change.id, &change.base, &change.edits.len()]);
+    table.push_row([&change.id, &change.base, &change.edits.len()]);
     let sentence = format!(
         "sending change {} on version {} ({} edits)",
         change.id,
         change.base,
         change.edits.len()
     );
-    out.fact(&sentence, &table)
+    out.item(&sentence, &table)
 }
 
-fn tell_accepted(change: &Change, version: u64, out: &mut Output<'_>) -> std::io::Result<()> {
+fn print_accepted(change: &Change, version: u64, out: &mut Output<'_>) -> std::io::Result<()> {
     let mut table = Table::new("accepted", &["id", "version"]);
-    table.row([&change.id, &version]);
-    out.fact(&format!("accepted as version {version}"), &table)
+    table.push_row([&change.id, &version]);
+    out.item(&format!("accepted as version {version}"), &table)
 }
 
-fn judge(change: &Change, answer: Kind) -> Result<u64, CliError> {
-    match answer {
+fn accepted_version(change: &Change, reply: Kind) -> Result<u64, CliError> {
+    match reply {
         Kind::Accepted(accepted) => Ok(accepted.version),
         Kind::Conflict(conflict) => Err(CliError::Conflict(conflict)),
         Kind::Invalid(invalid) => Err(CliError::Invalid(invalid)),
-        Kind::Reused(reused) => Err(CliError::Reused(change.id.clone(), reused.version)),
+        Kind::Reused(reused) => Err(CliError::IdReused(change.id.clone(), reused.version)),
         Kind::Expired(_) => Err(CliError::Expired(change.id.clone())),
-        // The proposal's loop ends only with another answer.
+        // `Control::propose` resends until the reply is not uncertain.
         Kind::Uncertain(_) => Err(CliError::Malformed),
     }
 }
 
 async fn wait(
-    args: &Args,
+    args: &ApplyArgs,
     control: &Control,
     directories: &Directories,
     version: u64,
     out: &mut Output<'_>,
 ) -> Result<(), CliError> {
-    let end = Instant::now() + args.within;
+    let deadline = Instant::now() + args.wait_timeout;
     let catalogue: Catalogue = control.catalogue().await?;
     loop {
         let hosts = directories.hosts().await?;
-        let rows = hosts::in_force(&catalogue, &hosts, version);
-        let lagging: Vec<String> = rows.lagging();
-        let over = Instant::now() + POLL >= end;
-        if lagging.is_empty() || over {
-            out.table(&rows.table())?;
+        let rollout = hosts::rollout(&catalogue, &hosts, version);
+        let lagging: Vec<String> = rollout.lagging();
+        let timed_out = Instant::now() + POLL_INTERVAL >= deadline;
+        if lagging.is_empty() || timed_out {
+            out.table(&rollout.table())?;
         }
-        match (lagging.is_empty(), over) {
+        match (lagging.is_empty(), timed_out) {
             (true, _) => return Ok(()),
             (false, true) => return Err(CliError::Lagging(version, lagging)),
-            (false, false) => tokio::time::sleep(POLL).await,
+            (false, false) => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
--- a/crates/cli/src/command/evacuate.rs
+++ b/crates/cli/src/command/evacuate.rs
@@ -1,4 +1,4 @@
-//! `evacuate`, `return` and `evacuations`: failure domains to which nothing is sent.
+//! `evacuate`, `return` and `evacuations`: failure domains that get no requests.
 
 use base::prelude::*;
 use wire::api::HubApiClient;
@@ -7,24 +7,24 @@
 
 use super::links::hubs;
 use crate::error::CliError;
+use crate::flags::Arguments;
 use crate::flags::UsageError;
-use crate::flags::Words;
 use crate::output::Output;
 use crate::remote;
 use crate::settings::Settings;
 use crate::table::Table;
 
-/// Orders that nothing be sent to a failure domain, or takes that back.
-pub(super) async fn order(
-    mut words: Words,
+/// Evacuates a failure domain, or returns it to use.
+pub(super) async fn set_evacuated(
+    mut arguments: Arguments,
     evacuated: bool,
     settings: &Settings,
     out: &mut Output<'_>,
 ) -> Result<(), CliError> {
-    let verb = if evacuated { "evacuate" } else { "return" };
-    let name = words.required("DOMAIN")?;
-    words.finish(verb)?;
-    let domain = DomainName::new(&name).map_err(|_| UsageError::Command(name))?;
+    let command = if evacuated { "evacuate" } else { "return" };
+    let name = arguments.required("DOMAIN")?;
+    arguments.finish(command)?;
+    let domain = DomainName::new(&name).map_err(|_| UsageError::UnknownCommand(name))?;
     let order = Evacuation {
         domain: domain.to_string(),
         evacuated,
@@ -32,7 +32,7 @@
     };
     let links = hubs(settings)?;
     let call = async |c: HubApiClient, x| c.evacuate(x, order.clone()).await;
-    let reply = remote::first(&links, settings.timeout, call).await?;
+    let reply = remote::call_any(&links, settings.timeout, call).await?;
     match reply.outcome() {
         EvacuationOutcome::Taken | EvacuationOutcome::Held => {
             let state = if evacuated {
@@ -43,28 +43,28 @@
             Ok(out.raw(&format!("{domain} {state}\n"))?)
         }
         EvacuationOutcome::Refused => Err(CliError::TooManyDomains(domain)),
-        EvacuationOutcome::Overtaken => Err(CliError::OrderOvertaken(domain)),
+        EvacuationOutcome::Overtaken => Err(CliError::OrderSuperseded(domain)),
         EvacuationOutcome::Unspecified => Err(CliError::OrderUncertain(domain)),
     }
 }
 
-/// Shows the evacuated failure domains.
+/// Prints the evacuated failure domains.
 pub(super) async fn show(
-    words: Words,
+    arguments: Arguments,
     settings: &Settings,
     out: &mut Output<'_>,
 ) -> Result<(), CliError> {
-    words.finish("evacuations")?;
+    arguments.finish("evacuations")?;
     let links = hubs(settings)?;
     let call = async |c: HubApiClient, x| c.evacuations(x).await;
-    let reply = remote::first(&links, settings.timeout, call).await?;
+    let reply = remote::call_any(&links, settings.timeout, call).await?;
     if !reply.confirmed {
         return Err(CliError::Unconfirmed(0));
     }
-    let held = reply.evacuations.unwrap_or_default();
+    let evacuations = reply.evacuations.unwrap_or_default();
     let mut table = Table::new("evacuation", &["domain", "revision"]);
-    for row in held.rows.iter().filter(|row| row.evacuated) {
-        table.row([&row.domain, &row.revision]);
+    for row in evacuations.rows.iter().filter(|row| row.evacuated) {
+        table.push_row([&row.domain, &row.revision]);
     }
     Ok(out.table(&table)?)
 }
--- a/crates/cli/src/command/explain.rs
+++ b/crates/cli/src/command/explain.rs
@@ -1,39 +1,39 @@
-//! `explain`: why a gateway sends a service's calls where it sends them.
+//! `explain`: how a gateway chooses the instances for a service's calls.
 
 use wire::gateway::Explain;
 use wire::gateway::ExplainReply;
 
 use crate::error::CliError;
-use crate::flags::Words;
+use crate::flags::Arguments;
 use crate::output::Output;
 use crate::remote;
 use crate::settings::Settings;
 use crate::table::Table;
 
-pub(super) async fn perform(
-    mut words: Words,
+pub(super) async fn run(
+    mut arguments: Arguments,
     settings: &Settings,
     out: &mut Output<'_>,
 ) -> Result<(), CliError> {
-    let service = words.required("SERVICE")?;
-    words.finish("explain")?;
+    let service = arguments.required("SERVICE")?;
+    arguments.finish("explain")?;
     let links = [wire::peer::gateway(settings.gateway()?)];
-    let ask = async |c: wire::api::GatewayApiClient, x| {
+    let call = async |c: wire::api::GatewayApiClient, x| {
         let service = service.clone();
         c.explain(x, Explain { service }).await
     };
-    let reply = remote::first(&links, settings.timeout, ask).await?;
-    tell_gateway(&service, &reply, out)?;
+    let reply = remote::call_any(&links, settings.timeout, call).await?;
+    print_gateway(&service, &reply, out)?;
     Ok(out.table(&candidates(&reply))?)
 }
 
-fn tell_gateway(service: &str, reply: &ExplainReply, out: &mut Output<'_>) -> std::io::Result<()> {
+fn print_gateway(service: &str, reply: &ExplainReply, out: &mut Output<'_>) -> std::io::Result<()> {
     let fenced = if reply.fenced { "yes" } else { "no" };
     let mut table = Table::new(
         "gateway",
         &["service", "version", "fenced", "queued", "in-flight"],
     );
-    table.row([
+    table.push_row([
         &service,
         &reply.version,
         &fenced,
@@ -44,7 +44,7 @@
         "{service}: version {}, fenced {fenced}, {} queued, {} in flight",
         reply.version, reply.queued, reply.in_flight
     );
-    out.fact(&sentence, &table)
+    out.item(&sentence, &table)
 }
 
 fn candidates(reply: &ExplainReply) -> Table {
@@ -59,10 +59,9 @@
     ];
     let mut table = Table::new("candidate", columns);
     for candidate in &reply.candidates {
-        // An empty cell is shown as `-`.
         let age = candidate.age_ms.map(|age| age.to_string());
         let age = age.unwrap_or_default();
-        table.row([
+        table.push_row([
             &candidate.instance,
             &candidate.health,
             &candidate.in_flight,
--- a/crates/cli/src/command/history.rs
+++ b/crates/cli/src/command/history.rs
@@ -6,24 +6,24 @@
 use wire::control::HistoryQuery;
 
 use crate::error::CliError;
+use crate::flags::Arguments;
 use crate::flags::Flag;
-use crate::flags::Words;
 use crate::output::Output;
 use crate::remote::Control;
 use crate::settings::Settings;
 use crate::table::Table;
 
-/// How many items, unless told.
-const MOST: u32 = 20;
+/// Number of changes shown, unless `--most` is given.
+const DEFAULT_COUNT: u32 = 20;
 
-pub(super) async fn perform(
-    mut words: Words,
+pub(super) async fn run(
+    mut arguments: Arguments,
     settings: &Settings,
     out: &mut Output<'_>,
 ) -> Result<(), CliError> {
-    let from: Option<u64> = words.value(Flag::From)?;
-    let most: u32 = words.value(Flag::Most)?.unwrap_or(MOST);
-    words.finish("history")?;
+    let from: Option<u64> = arguments.take_value(Flag::From)?;
+    let most: u32 = arguments.take_value(Flag::Most)?.unwrap_or(DEFAULT_COUNT);
+    arguments.finish("history")?;
     let control = Control::new(settings)?;
     let version = control.catalogue().await?.version;
     let from = from.unwrap_or((version + 1).saturating_sub(most.into()));
@@ -32,7 +32,7 @@
     let history = control.history(query, last).await?;
     let mut table = Table::new("change", &["version", "id", "author", "edits"]);
     for item in &history.items {
-        table.row([&item.version, &item.id, &item.author, &edits_text(item)]);
+        table.push_row([&item.version, &item.id, &item.author, &edits_text(item)]);
     }
     Ok(out.table(&table)?)
 }
--- a/crates/cli/src/command/hosts.rs
+++ b/crates/cli/src/command/hosts.rs
@@ -8,24 +8,24 @@
 use wire::directory::HostPhase;
 
 use crate::error::CliError;
-use crate::flags::Words;
+use crate::flags::Arguments;
 use crate::output::Output;
 use crate::remote::Directories;
 use crate::settings::Settings;
 use crate::table::Table;
 
-pub(super) async fn perform(
-    words: Words,
+pub(super) async fn run(
+    arguments: Arguments,
     settings: &Settings,
     out: &mut Output<'_>,
 ) -> Result<(), CliError> {
-    words.finish("hosts")?;
+    arguments.finish("hosts")?;
     let hosts = Directories::new(settings)?.hosts().await?;
     let columns = &["host", "domain", "gateway", "phase", "version", "age-ms"];
     let mut table = Table::new("host", columns);
     for host in &hosts {
-        let phase = phase_word(host.phase());
-        table.row([
+        let phase = phase_name(host.phase());
+        table.push_row([
             &host.host,
             &host.domain,
             &host.gateway,
@@ -37,18 +37,19 @@
     Ok(out.table(&table)?)
 }
 
-/// The gateways of a catalogue, each with what a directory heard of it.
-pub(super) struct InForce {
+/// How far a catalogue version has reached the hosts. A registered gateway without a report is
+/// `None`.
+pub(super) struct Rollout {
     version: u64,
     hosts: BTreeMap<String, Option<Host>>,
 }
 
-/// Looks up each registered gateway, and each host that was heard, in `heard`.
-pub(super) fn in_force(catalogue: &Catalogue, heard: &[Host], version: u64) -> InForce {
+/// Combines the registered gateways of `catalogue` with the hosts reported by a directory.
+pub(super) fn rollout(catalogue: &Catalogue, reported: &[Host], version: u64) -> Rollout {
     let registered = catalogue.gateways.iter().map(ToString::to_string);
-    let heard_names = heard.iter().map(|host| host.host.clone());
-    let names: BTreeSet<String> = registered.chain(heard_names).collect();
-    let find = |name: &str| heard.iter().find(|host| host.host == name).cloned();
+    let reported_names = reported.iter().map(|host| host.host.clone());
+    let names: BTreeSet<String> = registered.chain(reported_names).collect();
+    let find = |name: &str| reported.iter().find(|host| host.host == name).cloned();
     let hosts = names
         .into_iter()
         .map(|name| {
@@ -56,19 +57,20 @@
             (name, host)
         })
         .collect();
-    InForce { version, hosts }
+    Rollout { version, hosts }
 }
 
-impl InForce {
-    /// The hosts that are still waited for.
+impl Rollout {
+    /// The hosts that may still serve an older version.
     ///
-    /// A fenced host serves no older version, so it is waited for only while no
-    /// host at all has this one; one that nobody heard may serve an older one.
+    /// A fenced host serves no older version, so it counts as lagging only while no host has this
+    /// one.
+    /// A host without a report may serve an older version.
     pub(super) fn lagging(&self) -> Vec<String> {
-        let has = |host: &Host| host.version >= self.version;
-        let served = self.hosts.values().flatten().any(has);
-        let excused = |host: &Host| served && host.phase() == HostPhase::Fenced;
-        let lags = |host: &Option<Host>| host.as_ref().is_none_or(|h| !has(h) && !excused(h));
+        let up_to_date = |host: &Host| host.version >= self.version;
+        let any_up_to_date = self.hosts.values().flatten().any(up_to_date);
+        let exempt = |host: &Host| any_up_to_date && host.phase() == HostPhase::Fenced;
+        let lags = |host: &Option<Host>| host.as_ref().is_none_or(|h| !up_to_date(h) && !exempt(h));
         let lagging = self.hosts.iter().filter(|(_, host)| lags(host));
         lagging.map(|(name, _)| name.clone()).collect()
     }
@@ -77,21 +79,21 @@
         let mut table = Table::new("host", &["host", "phase", "version", "in-force"]);
         for (name, host) in &self.hosts {
             let Some(host) = host else {
-                table.row([name, &"not-heard", &"", &"no"]);
+                table.push_row([name, &"not-heard", &"", &"no"]);
                 continue;
             };
-            let has = if host.version >= self.version {
+            let up_to_date = if host.version >= self.version {
                 "yes"
             } else {
                 "no"
             };
-            table.row([name, &phase_word(host.phase()), &host.version, &has]);
+            table.push_row([name, &phase_name(host.phase()), &host.version, &up_to_date]);
         }
         table
     }
 }
 
-fn phase_word(phase: HostPhase) -> &'static str {
+fn phase_name(phase: HostPhase) -> &'static str {
     match phase {
         HostPhase::Unspecified => "unknown",
         HostPhase::Serving => "serving",
--- a/crates/cli/src/command/links.rs
+++ b/crates/cli/src/command/links.rs
@@ -1,4 +1,4 @@
-//! Whom the commands ask that go to hubs.
+//! Links for the commands that call hubs.
 
 use wire::peer;
 use wire::peer::HubLink;
@@ -6,7 +6,7 @@
 use crate::error::CliError;
 use crate::settings::Settings;
 
-/// A link to each hub of `settings`.
+/// Creates a link to each hub in `settings`.
 pub(super) fn hubs(settings: &Settings) -> Result<Vec<HubLink>, CliError> {
     let addresses = settings.hub()?;
     Ok(addresses.iter().map(|a| peer::hub(*a)).collect())
--- a/crates/cli/src/command/plan.rs
+++ b/crates/cli/src/command/plan.rs
@@ -1,4 +1,4 @@
-//! `plan`: what applying a file would change.
+//! `plan`: shows what applying a file would change.
 
 use std::path::Path;
 
@@ -8,61 +8,71 @@
 use catalogue::file;
 
 use crate::error::CliError;
-use crate::flags::Words;
+use crate::flags::Arguments;
 use crate::output::Output;
 use crate::remote::Control;
 use crate::settings::Settings;
 use crate::table::Table;
 
-pub(super) async fn perform(
-    mut words: Words,
+pub(super) async fn run(
+    mut arguments: Arguments,
     settings: &Settings,
     out: &mut Output<'_>,
 ) -> Result<(), CliError> {
-    let path = words.required("FILE")?;
-    words.finish("plan")?;
-    let wanted = file::open(Path::new(&path)).map_err(CliError::Catalogue)?;
+    let path = arguments.required("FILE")?;
+    arguments.finish("plan")?;
+    let desired = file::open(Path::new(&path)).map_err(CliError::Catalogue)?;
     let current = Control::new(settings)?.catalogue().await?;
-    Ok(show(&current, &wanted, out)?)
+    Ok(print(&current, &desired, out)?)
 }
 
-/// Writes the version planned against, and each difference.
-pub(super) fn show(
+/// Prints the version that the plan is based on, and each difference.
+pub(super) fn print(
     current: &Catalogue,
-    wanted: &Catalogue,
+    desired: &Catalogue,
     out: &mut Output<'_>,
 ) -> std::io::Result<()> {
-    let rows = diff::differences(current, wanted);
+    let differences = diff::differences(current, desired);
     let mut plan = Table::new("plan", &["base", "differences"]);
-    plan.row([&current.version, &rows.len()]);
-    let sentence = match rows.len() {
+    plan.push_row([&current.version, &differences.len()]);
+    let sentence = match differences.len() {
         0 => format!("version {}: nothing to change", current.version),
         count => format!("against version {}, {count} differences:", current.version),
     };
-    out.fact(&sentence, &plan)?;
-    if wanted.version > 0 && wanted.version != current.version {
-        tell_old(current, wanted, out)?;
+    out.item(&sentence, &plan)?;
+    if desired.version > 0 && desired.version != current.version {
+        print_outdated(current, desired, out)?;
     }
-    if rows.is_empty() {
+    if differences.is_empty() {
         return Ok(());
     }
-    out.table(&table(&rows))
+    out.table(&table(&differences))
 }
 
-fn tell_old(current: &Catalogue, wanted: &Catalogue, out: &mut Output<'_>) -> std::io::Result<()> {
+fn print_outdated(
+    current: &Catalogue,
+    desired: &Catalogue,
+    out: &mut Output<'_>,
+) -> std::io::Result<()> {
     let mut table = Table::new("overtaken", &["file", "current"]);
-    table.row([&wanted.version, &current.version]);
+    table.push_row([&desired.version, &current.version]);
     let sentence = format!(
-        "the file was made from version {}, so applying it will be a conflict",
-        wanted.version
+        "the file was made from version {}, so applying it will end in a conflict",
+        desired.version
     );
-    out.fact(&sentence, &table)
+    out.item(&sentence, &table)
 }
 
-fn table(rows: &[Difference]) -> Table {
+fn table(differences: &[Difference]) -> Table {
     let mut table = Table::new("difference", &["effect", "name", "field", "from", "to"]);
-    for row in rows {
-        table.row([&row.effect, &row.subject, &row.field, &row.from, &row.to]);
+    for difference in differences {
+        table.push_row([
+            &difference.effect,
+            &difference.subject,
+            &difference.field,
+            &difference.from,
+            &difference.to,
+        ]);
     }
     table
 }
--- a/crates/cli/src/command/quarantine.rs
+++ b/crates/cli/src/command/quarantine.rs
@@ -1,4 +1,4 @@
-//! `quarantine`: requests that are refused, as they crash the instances that run them.
+//! `quarantine`: requests that are refused because they crash instances.
 
 use std::time::Duration;
 
@@ -9,31 +9,34 @@
 
 use super::links::hubs;
 use crate::error::CliError;
-use crate::flags::Words;
+use crate::flags::Arguments;
 use crate::output::Output;
 use crate::remote;
 use crate::settings::Settings;
 use crate::table::Table;
 
-/// Of a second.
-const MILLIS: u64 = 1_000;
+const MS_PER_SECOND: u64 = 1_000;
 
-/// Shows the requests that one hub refuses.
+/// Prints the requests that one hub refuses.
 pub(super) async fn show(
-    words: Words,
+    arguments: Arguments,
     settings: &Settings,
     out: &mut Output<'_>,
 ) -> Result<(), CliError> {
-    words.finish("quarantine")?;
+    arguments.finish("quarantine")?;
     let links = hubs(settings)?;
-    // A report of nothing is answered as any other.
+    // The reply to an empty report lists the suspects, as for any other report.
     let call = async |c: HubApiClient, x| c.report(x, Report::default()).await;
-    let suspects = remote::first(&links, settings.timeout, call).await?;
+    let suspects = remote::call_any(&links, settings.timeout, call).await?;
     let mut table = Table::new("request", &["fingerprint", "left"]);
-    for row in suspects.rows.iter().filter(|row| row.refused_ms > 0) {
-        let request = Fingerprint::from(row.request.unwrap_or_default());
-        let left = Duration::from_secs(row.refused_ms.div_ceil(MILLIS));
-        table.row([&request, &duration_text(left)]);
+    for suspect in suspects
+        .rows
+        .iter()
+        .filter(|suspect| suspect.refused_ms > 0)
+    {
+        let request = Fingerprint::from(suspect.request.unwrap_or_default());
+        let remaining = Duration::from_secs(suspect.refused_ms.div_ceil(MS_PER_SECOND));
+        table.push_row([&request, &duration_text(remaining)]);
     }
     Ok(out.table(&table)?)
 }
--- a/crates/cli/src/command/replica.rs
+++ b/crates/cli/src/command/replica.rs
@@ -1,4 +1,4 @@
-//! `replica`: the group of control replicas, changed one at a time.
+//! `replica`: lists, adds and removes control replicas, one at a time.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -14,9 +14,9 @@
 use wire::control::membership_reply::Kind;
 
 use crate::error::CliError;
+use crate::flags::Arguments;
 use crate::flags::Flag;
 use crate::flags::UsageError;
-use crate::flags::Words;
 use crate::output::Output;
 use crate::remote;
 use crate::remote::Control;
@@ -25,38 +25,41 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumString)]
 #[strum(serialize_all = "kebab-case")]
-enum Verb {
+enum Subcommand {
     List,
     Add,
     Remove,
 }
 
-pub(super) async fn perform(
-    mut words: Words,
+pub(super) async fn run(
+    mut arguments: Arguments,
     settings: &Settings,
     out: &mut Output<'_>,
 ) -> Result<(), CliError> {
-    let name = words.required("list, add or remove")?;
-    let verb = Verb::from_str(&name).map_err(|_| UsageError::Command(format!("replica {name}")))?;
+    let name = arguments.required("list, add or remove")?;
+    let subcommand = Subcommand::from_str(&name)
+        .map_err(|_| UsageError::UnknownCommand(format!("replica {name}")))?;
     let control = Control::new(settings)?;
-    let change = match verb {
-        Verb::List => {
-            words.finish("replica list")?;
+    let change = match subcommand {
+        Subcommand::List => {
+            arguments.finish("replica list")?;
             return list(&control, settings, out).await;
         }
-        Verb::Add => membership::Kind::Add(take_replica(&mut words)?),
-        Verb::Remove => membership::Kind::Remove(required(&mut words, Flag::Id, "--id ID")?),
+        Subcommand::Add => membership::Kind::Add(parse_replica(&mut arguments)?),
+        Subcommand::Remove => {
+            membership::Kind::Remove(required(&mut arguments, Flag::Id, "--id ID")?)
+        }
     };
-    words.finish(&format!("replica {name}"))?;
-    change_group(&control, change, out).await
+    arguments.finish(&format!("replica {name}"))?;
+    change_membership(&control, change, out).await
 }
 
-fn take_replica(words: &mut Words) -> Result<Replica, UsageError> {
-    let address: SocketAddr = required(words, Flag::Address, "--address ADDRESS")?;
-    let domain: DomainName = required(words, Flag::Domain, "--domain NAME")?;
-    let region: RegionName = required(words, Flag::Region, "--region NAME")?;
+fn parse_replica(arguments: &mut Arguments) -> Result<Replica, UsageError> {
+    let address: SocketAddr = required(arguments, Flag::Address, "--address ADDRESS")?;
+    let domain: DomainName = required(arguments, Flag::Domain, "--domain NAME")?;
+    let region: RegionName = required(arguments, Flag::Region, "--region NAME")?;
     Ok(Replica {
-        id: required(words, Flag::Id, "--id ID")?,
+        id: required(arguments, Flag::Id, "--id ID")?,
         address: address.to_string(),
         domain: domain.to_string(),
         region: region.to_string(),
@@ -65,34 +68,36 @@
 }
 
 fn required<T: conf::Value>(
-    words: &mut Words,
+    arguments: &mut Arguments,
     flag: Flag,
     what: &'static str,
 ) -> Result<T, UsageError> {
-    words.value(flag)?.ok_or(UsageError::Missing(what))
+    arguments
+        .take_value(flag)?
+        .ok_or(UsageError::MissingArgument(what))
 }
 
-async fn change_group(
+async fn change_membership(
     control: &Control,
     kind: membership::Kind,
     out: &mut Output<'_>,
 ) -> Result<(), CliError> {
     let change = Membership { kind: Some(kind) };
-    let ask =
+    let call =
         async |c: wire::api::ControlApiClient, x| c.change_membership(x, change.clone()).await;
-    let reply = control.first(ask).await?;
+    let reply = control.call_any(call).await?;
     match reply.kind.ok_or(CliError::Malformed)? {
         Kind::Done(_) => {
             let mut table = Table::new("membership", &["state"]);
-            table.row([&"done"]);
-            Ok(out.fact("done: the group has changed", &table)?)
+            table.push_row([&"done"]);
+            Ok(out.item("done: the group has changed", &table)?)
         }
-        Kind::Pending(pending) => Err(CliError::Pending(pending.behind)),
-        Kind::Refused(refused) => Err(CliError::Membership(refused.reason)),
+        Kind::Pending(pending) => Err(CliError::CatchingUp(pending.behind)),
+        Kind::Refused(refused) => Err(CliError::MembershipRefused(refused.reason)),
     }
 }
 
-/// Asks every replica, as a cut one must show in the list.
+/// Prints the status of every replica, including those that don't reply.
 async fn list(
     control: &Control,
     settings: &Settings,
@@ -101,14 +106,14 @@
     let columns = &[
         "asked", "id", "role", "term", "leader", "commit", "applied", "version", "keys", "error",
     ];
-    let mut seen = Table::new("status", columns);
+    let mut statuses = Table::new("status", columns);
     let mut newest: Option<Status> = None;
     let mut errors = Vec::new();
     for link in &control.links {
-        let asked = link.address();
-        match remote::one(link, settings.timeout, async |c, x| c.status(x).await).await {
+        let address = link.address();
+        match remote::call_one(link, settings.timeout, async |c, x| c.status(x).await).await {
             Ok(status) => {
-                status_row(&mut seen, asked, &status);
+                push_status(&mut statuses, address, &status);
                 if newest
                     .as_ref()
                     .is_none_or(|n| (n.term, n.commit) < (status.term, status.commit))
@@ -117,17 +122,17 @@
                 }
             }
             Err(err) => {
-                seen.row([&asked, &"", &"", &"", &"", &"", &"", &"", &"", &err]);
+                statuses.push_row([&address, &"", &"", &"", &"", &"", &"", &"", &"", &err]);
                 errors.push(err);
             }
         }
     }
-    out.table(&seen)?;
+    out.table(&statuses)?;
     let newest = newest.ok_or(CliError::Unreachable(errors))?;
-    Ok(out.table(&group(&newest))?)
+    Ok(out.table(&membership_table(&newest))?)
 }
 
-fn status_row(table: &mut Table, asked: SocketAddr, status: &Status) {
+fn push_status(table: &mut Table, address: SocketAddr, status: &Status) {
     let role = match status.role() {
         Role::Unspecified => "unknown",
         Role::Follower => "follower",
@@ -135,8 +140,8 @@
         Role::Leader => "leader",
         Role::Learner => "learner",
     };
-    table.row([
-        &asked,
+    table.push_row([
+        &address,
         &status.id,
         &role,
         &status.term,
@@ -149,11 +154,11 @@
     ]);
 }
 
-fn group(status: &Status) -> Table {
+fn membership_table(status: &Status) -> Table {
     let mut table = Table::new("replica", &["id", "address", "domain", "region", "voter"]);
     for replica in &status.replicas {
         let voter = if replica.voter { "yes" } else { "no" };
-        table.row([
+        table.push_row([
             &replica.id,
             &replica.address,
             &replica.domain,
--- a/crates/cli/src/command/routes.rs
+++ b/crates/cli/src/command/routes.rs
@@ -1,4 +1,4 @@
-//! `routes`: the route table.
+//! `routes`: shows, checks and replaces the route table.
 
 use std::path::Path;
 
@@ -9,54 +9,54 @@
 
 use super::links::hubs;
 use crate::error::CliError;
+use crate::flags::Arguments;
 use crate::flags::UsageError;
-use crate::flags::Words;
 use crate::output::Output;
 use crate::remote;
 use crate::settings::Settings;
 
-pub(super) async fn perform(
-    mut words: Words,
+pub(super) async fn run(
+    mut arguments: Arguments,
     settings: &Settings,
     out: &mut Output<'_>,
 ) -> Result<(), CliError> {
-    let verb = words.required("show, check or put")?;
-    match verb.as_str() {
+    let subcommand = arguments.required("show, check or put")?;
+    match subcommand.as_str() {
         "show" => {
-            words.finish("routes show")?;
+            arguments.finish("routes show")?;
             show(settings, out).await
         }
         "check" => {
-            let path = words.required("FILE")?;
-            words.finish("routes check")?;
-            let table = open(&path)?;
+            let path = arguments.required("FILE")?;
+            arguments.finish("routes check")?;
+            let table = load_table(&path)?;
             Ok(out.raw(&format!("version {}: valid\n", table.version))?)
         }
         "put" => {
-            let path = words.required("FILE")?;
-            words.finish("routes put")?;
-            put(&open(&path)?, settings, out).await
+            let path = arguments.required("FILE")?;
+            arguments.finish("routes put")?;
+            put(&load_table(&path)?, settings, out).await
         }
-        _ => Err(UsageError::Command(format!("routes {verb}")).into()),
+        _ => Err(UsageError::UnknownCommand(format!("routes {subcommand}")).into()),
     }
 }
 
-/// Reads and checks a file.
-fn open(path: &str) -> Result<Table, CliError> {
+/// Reads and validates a route table file.
+fn load_table(path: &str) -> Result<Table, CliError> {
     let reader = Reader::open(Path::new(path)).map_err(CliError::Catalogue)?;
     let table = table::file::read(reader).map_err(CliError::Catalogue)?;
     let faults = table::check(&table);
     if faults.is_empty() {
         Ok(table)
     } else {
-        Err(CliError::Routes(faults))
+        Err(CliError::InvalidRouteTable(faults))
     }
 }
 
 async fn show(settings: &Settings, out: &mut Output<'_>) -> Result<(), CliError> {
     let links = hubs(settings)?;
     let call = async |c: wire::api::HubApiClient, x| c.read_table(x).await;
-    let reply = remote::first(&links, settings.timeout, call).await?;
+    let reply = remote::call_any(&links, settings.timeout, call).await?;
     if !reply.confirmed {
         return Err(CliError::Unconfirmed(0));
     }
@@ -74,11 +74,13 @@
         source: Vec::new().into(),
     };
     let call = async |c: wire::api::HubApiClient, x| c.put_table(x, row.clone()).await;
-    let reply: TableReply = remote::first(&links, settings.timeout, call).await?;
+    let reply: TableReply = remote::call_any(&links, settings.timeout, call).await?;
     match reply.outcome() {
         TableOutcome::Taken => Ok(out.raw(&format!("version {} is in force\n", reply.version))?),
         TableOutcome::Held => Ok(out.raw(&format!("version {} was in force\n", reply.version))?),
-        TableOutcome::Older | TableOutcome::Differs => Err(CliError::Overtaken(reply.version)),
+        TableOutcome::Older | TableOutcome::Differs => {
+            Err(CliError::NewerTableInForce(reply.version))
+        }
         TableOutcome::Unspecified => Err(CliError::Unconfirmed(reply.version)),
     }
 }
--- a/crates/cli/src/command/show.rs
+++ b/crates/cli/src/command/show.rs
@@ -4,14 +4,14 @@
 use catalogue::file;
 
 use crate::error::CliError;
+use crate::flags::Arguments;
 use crate::flags::Flag;
-use crate::flags::Words;
 use crate::output::Output;
 use crate::remote::Control;
 use crate::settings::Settings;
 use crate::table::Table;
 
-/// An entry's columns, in the order of [`file::fields`].
+/// The columns of a service, in the order of [`file::fields`].
 const COLUMNS: &[&str] = &[
     "service",
     "owner",
@@ -24,30 +24,30 @@
     "probes",
 ];
 
-pub(super) async fn perform(
-    mut words: Words,
+pub(super) async fn run(
+    mut arguments: Arguments,
     settings: &Settings,
     out: &mut Output<'_>,
 ) -> Result<(), CliError> {
-    let service = words.word();
-    let ini = words.has(Flag::Ini);
-    words.finish("show")?;
+    let service = arguments.positional();
+    let ini = arguments.take_switch(Flag::Ini);
+    arguments.finish("show")?;
     let mut catalogue = Control::new(settings)?.catalogue().await?;
     if let Some(service) = service {
         catalogue.entries.retain(|name, _| name.as_str() == service);
         catalogue.gateways.clear();
         if catalogue.entries.is_empty() {
-            return Err(CliError::Absent("service", service));
+            return Err(CliError::NotFound("service", service));
         }
     }
     if ini {
         return Ok(out.raw(&file::write(&catalogue))?);
     }
-    tell_version(&catalogue, out)?;
+    print_version(&catalogue, out)?;
     out.table(&entries(&catalogue))?;
     let mut gateways = Table::new("gateway", &["gateway"]);
     for host in &catalogue.gateways {
-        gateways.row([host]);
+        gateways.push_row([host]);
     }
     if !gateways.is_empty() {
         out.table(&gateways)?;
@@ -55,15 +55,15 @@
     Ok(())
 }
 
-fn tell_version(catalogue: &Catalogue, out: &mut Output<'_>) -> std::io::Result<()> {
+fn print_version(catalogue: &Catalogue, out: &mut Output<'_>) -> std::io::Result<()> {
     let mut table = Table::new("catalogue", &["version", "services", "gateways"]);
     let (services, gateways) = (catalogue.entries.len(), catalogue.gateways.len());
-    table.row([&catalogue.version, &services, &gateways]);
+    table.push_row([&catalogue.version, &services, &gateways]);
     let sentence = format!(
         "version {}, {services} services, {gateways} gateways",
         catalogue.version
     );
-    out.fact(&sentence, &table)
+    out.item(&sentence, &table)
 }
 
 fn entries(catalogue: &Catalogue) -> Table {
@@ -79,7 +79,7 @@
             retries,
             probes,
         ] = file::fields(entry).map(|(_, text)| text);
-        table.row([
+        table.push_row([
             &entry.service,
             &owner,
             &class,
--- a/crates/cli/src/command/upstreams.rs
+++ b/crates/cli/src/command/upstreams.rs
@@ -1,28 +1,28 @@
-//! `upstreams`: the instances as a directory knows them.
+//! `upstreams`: the instances known to a directory.
 
 use wire::directory::InstanceChange;
 use wire::directory::Phase;
 
 use crate::error::CliError;
-use crate::flags::Words;
+use crate::flags::Arguments;
 use crate::output::Output;
 use crate::remote;
 use crate::remote::Directories;
 use crate::settings::Settings;
 use crate::table::Table;
 
-pub(super) async fn perform(
-    mut words: Words,
+pub(super) async fn run(
+    mut arguments: Arguments,
     settings: &Settings,
     out: &mut Output<'_>,
 ) -> Result<(), CliError> {
-    let service = words.word();
-    words.finish("upstreams")?;
+    let service = arguments.positional();
+    arguments.finish("upstreams")?;
     let directories = Directories::new(settings)?;
-    let ask = async |c: wire::api::DirectoryApiClient, x| c.instances(x).await;
-    let reply = remote::first(&directories.links, settings.timeout, ask).await?;
+    let call = async |c: wire::api::DirectoryApiClient, x| c.instances(x).await;
+    let reply = remote::call_any(&directories.links, settings.timeout, call).await?;
     let mut changes = reply.instances;
-    changes.retain(|change| wanted(change, service.as_deref()));
+    changes.retain(|change| matches_service(change, service.as_deref()));
     changes.sort_by_key(|change| {
         let instance = change.instance.clone().unwrap_or_default();
         (instance.service, instance.id)
@@ -30,7 +30,7 @@
     Ok(out.table(&table(&changes))?)
 }
 
-fn wanted(change: &InstanceChange, service: Option<&str>) -> bool {
+fn matches_service(change: &InstanceChange, service: Option<&str>) -> bool {
     let Some(instance) = &change.instance else {
         return false;
     };
@@ -53,8 +53,8 @@
         let Some(instance) = &change.instance else {
             continue;
         };
-        let phase = phase_word(instance.phase(), change.gone);
-        table.row([
+        let phase = phase_name(instance.phase(), change.gone);
+        table.push_row([
             &instance.service,
             &instance.id,
             &instance.address,
@@ -68,7 +68,7 @@
     table
 }
 
-fn phase_word(phase: Phase, gone: bool) -> &'static str {
+fn phase_name(phase: Phase, gone: bool) -> &'static str {
     match phase {
         _ if gone => "gone",
         Phase::Gone => "gone",
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in a command, its exit code, and what to do next.
+//! The errors of the commands, with exit codes and hints.
 
 use std::io;
 use std::path::PathBuf;
@@ -14,21 +14,21 @@
 use crate::flags::UsageError;
 
 quick_error! {
-    /// Why a command didn't do what was asked.
+    /// Why a command failed.
     #[derive(Debug)]
     pub enum CliError {
-        /// The command line is wrong.
+        /// The command line is invalid.
         Usage(err: UsageError) {
             from()
             source(err)
             display("{err}")
         }
-        /// The client's settings are wrong.
+        /// The client's settings are invalid.
         Settings(err: ConfError) {
             source(err)
             display("{err}")
         }
-        /// The catalogue file is wrong.
+        /// The catalogue or route table file is invalid.
         Catalogue(err: ConfError) {
             source(err)
             display("{err}")
@@ -44,79 +44,79 @@
             source(err)
             display("{}: {err}", path.display())
         }
-        /// A saved change can't be read.
-        Saved(path: PathBuf) {
-            display("{}: is no saved change", path.display())
+        /// The file is not a saved change, or its id differs.
+        InvalidSavedChange(path: PathBuf) {
+            display("{}: not a valid saved change", path.display())
         }
-        /// No log names the request.
-        NoStory(id: String) {
-            display("no line names request {id}; were the logs of all entry hosts given?")
+        /// No log line has the request's id.
+        RequestNotInLogs(id: String) {
+            display("no line names request {id}; check that the logs of all entry hosts were given")
         }
-        /// No address answered.
+        /// No address replied.
         Unreachable(errors: Vec<LinkError>) {
-            display("no answer{}", list(errors))
+            display("no answer{}", error_lines(errors))
         }
         /// No replica had its version confirmed by a majority.
         Unconfirmed(version: u64) {
             display("control could not confirm version {version} by a majority; nothing was changed")
         }
-        /// A change was sent and its answer lost.
+        /// A change was sent, but its result is unknown.
         Uncertain(id: String, file: PathBuf, errors: Vec<LinkError>) {
-            display("change {id} may or may not have been accepted{}", list(errors))
+            display("change {id} may or may not have been accepted{}", error_lines(errors))
         }
-        /// Another change won.
+        /// Another change was accepted on the same base version.
         Conflict(conflict: Conflict) {
             display("{}", conflict_text(conflict))
         }
-        /// The change is refused as a whole.
+        /// The change is invalid and was refused as a whole.
         Invalid(invalid: Invalid) {
             display("{}", invalid_text(invalid))
         }
-        /// The id stands for another change.
-        Reused(id: String, version: u64) {
-            display("id {id} was used for another change{}", made(*version))
+        /// The id belongs to another change.
+        IdReused(id: String, version: u64) {
+            display("id {id} was used for another change{}", reused_result(*version))
         }
-        /// The change is from before the window of kept answers.
+        /// The change is older than the retained history, so its result is unknown.
         Expired(id: String) {
             display("change {id} is older than the kept history; it was not run now, and whether it was before can't be told")
         }
-        /// Hosts don't have the version yet.
+        /// Some hosts have not applied the version yet.
         Lagging(version: u64, hosts: Vec<String>) {
             display("version {version} is accepted, but not yet in force on {}", hosts.join(", "))
         }
-        /// A replica can't be added or removed.
-        Membership(reason: String) {
+        /// The control group refused to add or remove a replica.
+        MembershipRefused(reason: String) {
             display("refused: {reason}")
         }
-        /// A replica that is being added is behind.
-        Pending(behind: u64) {
+        /// A replica that is being added has not caught up with the log.
+        CatchingUp(behind: u64) {
             display("the replica still learns, {behind} entries behind; it doesn't count yet")
         }
-        /// There is nothing of that name.
-        Absent(what: &'static str, name: String) {
+        /// No object of this kind has this name.
+        NotFound(what: &'static str, name: String) {
             display("there is no {what} {name}")
         }
-        /// A route table has faults.
-        Routes(faults: Vec<table::Fault>) {
+        /// The route table is invalid.
+        InvalidRouteTable(faults: Vec<table::Fault>) {
             display("{}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
         }
-        /// A newer route table is in force, or another one under the same version.
-        Overtaken(version: u64) {
-            display("version {version} of the route table is in force")
+        /// A newer route table, or a different one with the same version, is in force.
+        NewerTableInForce(version: u64) {
+            display("version {version} of the route table is already in force")
         }
-        /// Orders have named too many failure domains.
+        /// Evacuation orders have already named the maximum number of failure domains.
         TooManyDomains(domain: DomainName) {
-            display("failure domain {domain}: orders have named too many others")
+            display("failure domain {domain}: evacuation orders have already named too many others")
         }
-        /// Another order on the failure domain came first.
-        OrderOvertaken(domain: DomainName) {
+        /// Another order on the failure domain was accepted first.
+        OrderSuperseded(domain: DomainName) {
             display("another order on failure domain {domain} was taken meanwhile; this one changed nothing")
         }
-        /// An order on a failure domain may or may not have been taken.
+        /// Whether an order on a failure domain was accepted is unknown.
         OrderUncertain(domain: DomainName) {
             display("the order on failure domain {domain} may or may not have been taken")
         }
-        /// An answer has no content.
+        /// A reply is empty or can't be decoded.
         Malformed {
             display("the answer has no content")
         }
@@ -124,33 +124,34 @@
 }
 
 impl CliError {
-    /// The exit code.
+    /// The exit code for this error.
     #[must_use]
     pub fn exit(&self) -> Exit {
         match self {
             Self::Usage(_) | Self::Settings(_) => Exit::Usage,
-            Self::Conflict(_) | Self::Expired(_) | Self::Overtaken(_) | Self::OrderOvertaken(_) => {
-                Exit::Conflict
-            }
+            Self::Conflict(_)
+            | Self::Expired(_)
+            | Self::NewerTableInForce(_)
+            | Self::OrderSuperseded(_) => Exit::Conflict,
             Self::Catalogue(_)
             | Self::Invalid(_)
-            | Self::Reused(..)
-            | Self::Membership(_)
+            | Self::IdReused(..)
+            | Self::MembershipRefused(_)
             | Self::TooManyDomains(_)
-            | Self::Routes(_) => Exit::Invalid,
+            | Self::InvalidRouteTable(_) => Exit::Invalid,
             Self::Uncertain(..) | Self::OrderUncertain(_) => Exit::Uncertain,
             Self::Unreachable(_) | Self::Unconfirmed(_) => Exit::Unreachable,
-            Self::Lagging(..) | Self::Pending(_) => Exit::Unfinished,
+            Self::Lagging(..) | Self::CatchingUp(_) => Exit::Unfinished,
             Self::Output(_)
             | Self::File(..)
-            | Self::Saved(_)
-            | Self::Absent(..)
-            | Self::NoStory(_)
+            | Self::InvalidSavedChange(_)
+            | Self::NotFound(..)
+            | Self::RequestNotInLogs(_)
             | Self::Malformed => Exit::Failure,
         }
     }
 
-    /// What the operator can do next.
+    /// What the operator can do next, if there is advice.
     #[must_use]
     pub fn hint(&self) -> Option<String> {
         let text = match self {
@@ -174,38 +175,40 @@
                 "rwrctl show --ini writes the present catalogue; edit that, plan and apply it"
                     .into()
             }
-            Self::Reused(..) => "leave --id out, and a new one is chosen".into(),
-            Self::Routes(_) => "nothing was changed; correct the file, then check it again".into(),
-            Self::Overtaken(_) => {
+            Self::IdReused(..) => "omit --id to have a new id generated".into(),
+            Self::InvalidRouteTable(_) => {
+                "nothing was changed; correct the file, then check it again".into()
+            }
+            Self::NewerTableInForce(_) => {
                 "rwrctl routes show writes the table in force; give a higher version".into()
             }
-            Self::Expired(_) => "rwrctl history and rwrctl show tell what is in force".into(),
+            Self::Expired(_) => "rwrctl history and rwrctl show list what is in force".into(),
             Self::Lagging(..) => {
-                "rwrctl hosts shows each host; one that can't follow is fenced within seconds"
+                "rwrctl hosts shows each host; a host that cannot catch up is fenced within seconds"
                     .into()
             }
-            Self::Membership(_) => "rwrctl replica list shows the group".into(),
-            Self::Pending(_) => "repeat the same command until it says done".into(),
-            Self::Saved(_) => "apply with a new id".into(),
-            Self::NoStory(_) => {
-                "a request that no entry host took has no line; a full log leaves lines out".into()
+            Self::MembershipRefused(_) => "rwrctl replica list shows the group".into(),
+            Self::CatchingUp(_) => "repeat the same command until it reports done".into(),
+            Self::InvalidSavedChange(_) => "apply with a new id".into(),
+            Self::RequestNotInLogs(_) => {
+                "requests that no entry host accepted are not logged; under load, log lines may be dropped".into()
             }
-            Self::OrderOvertaken(_) | Self::OrderUncertain(_) => {
-                "rwrctl evacuations shows what is in force; then order again".into()
+            Self::OrderSuperseded(_) | Self::OrderUncertain(_) => {
+                "rwrctl evacuations shows what is in force; then repeat the order".into()
             }
             Self::TooManyDomains(_) => "check the failure domain's name".into(),
-            Self::Output(_) | Self::File(..) | Self::Absent(..) | Self::Malformed => return None,
+            Self::Output(_) | Self::File(..) | Self::NotFound(..) | Self::Malformed => return None,
         };
         Some(text)
     }
 }
 
-fn list(errors: &[LinkError]) -> String {
+fn error_lines(errors: &[LinkError]) -> String {
     let lines: Vec<String> = errors.iter().map(|err| format!("\n  {err}")).collect();
     lines.concat()
 }
 
-fn made(version: u64) -> String {
+fn reused_result(version: u64) -> String {
     match version {
         0 => ", which was refused".into(),
         version => format!(", which made version {version}"),
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,4 +1,4 @@
-//! The fixed exit codes.
+//! The exit codes of `rwrctl`.
 
 use std::process::ExitCode;
 
@@ -8,21 +8,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumIter)]
 #[repr(u8)]
 pub enum Exit {
-    /// It did what was asked.
+    /// The command succeeded.
     Done = 0,
-    /// A file or an answer couldn't be used.
+    /// A file or a reply couldn't be used.
     Failure = 1,
     /// The command line or the client's settings are wrong.
     Usage = 2,
-    /// Another change took the version first; nothing was changed.
+    /// A concurrent change was accepted first; nothing was changed.
     Conflict = 3,
-    /// Refused as invalid; nothing was changed.
+    /// The change was refused as invalid; nothing was changed.
     Invalid = 4,
-    /// It may have been accepted: resend it with the same id.
+    /// The change may have been accepted; it can be resent with the same id.
     Uncertain = 5,
-    /// Nobody answered, or no majority confirmed; nothing was changed.
+    /// No process answered, or no majority confirmed; nothing was changed.
     Unreachable = 6,
-    /// It is under way, but not finished within the time given.
+    /// The operation did not finish within the given time.
     Unfinished = 7,
 }
 
--- a/crates/cli/src/flags.rs
+++ b/crates/cli/src/flags.rs
@@ -1,4 +1,4 @@
-//! The command line as words and flags, before a command reads them.
+//! Splits the command line into positional arguments and options.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -15,58 +15,58 @@
 use strum::EnumString;
 use strum::IntoStaticStr;
 
-/// Every option of every command.
+/// The options of all commands.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display, EnumIter, EnumString, IntoStaticStr,
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum Flag {
-    /// A replica's or a gateway's address.
+    /// Address of a control replica.
     Address,
-    /// Who makes a change.
+    /// Author of a change.
     Author,
-    /// The version that a change is based on.
+    /// Catalogue version that a change is based on.
     Base,
-    /// The client's settings.
+    /// Path of the client's settings file.
     Config,
-    /// Control replicas.
+    /// Addresses of the control replicas.
     Control,
-    /// Directories.
+    /// Addresses of the directories.
     Directory,
-    /// A replica's failure domain.
+    /// Failure domain of a control replica.
     Domain,
-    /// First version of a history.
+    /// First version shown by `history`.
     From,
-    /// A gateway's own address for operators.
+    /// Operator address of one gateway.
     Gateway,
-    /// The usage text.
+    /// Prints the usage text.
     Help,
-    /// Hubs.
+    /// Addresses of the hubs.
     Hub,
-    /// A change's or replica's id.
+    /// Id of a change or of a control replica.
     Id,
-    /// The catalogue as a file.
+    /// Prints the catalogue as an INI file.
     Ini,
-    /// Most items of a history.
+    /// Maximum number of changes shown by `history`.
     Most,
-    /// One key=value line an item.
+    /// Prints one `key=value` line per item.
     Plain,
-    /// A replica's region.
+    /// Region of a control replica.
     Region,
-    /// Longest wait for one answer.
+    /// Maximum time to wait for one reply.
     Timeout,
-    /// The version of the program.
+    /// Prints the program's version.
     Version,
     /// Waits until a change is in force.
     Wait,
-    /// How long `--wait` waits.
+    /// Maximum time that `--wait` waits.
     Within,
 }
 
 impl Flag {
-    /// Whether it stands alone.
+    /// Whether the option takes no value.
     #[must_use]
-    pub fn is_bare(self) -> bool {
+    pub fn is_switch(self) -> bool {
         matches!(
             self,
             Self::Help | Self::Ini | Self::Plain | Self::Version | Self::Wait
@@ -75,165 +75,164 @@
 }
 
 quick_error! {
-    /// What is wrong with a command line.
+    /// A command line that can't be parsed or isn't valid for its command.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum UsageError {
-        /// It names no command.
-        NoCommand {
+        /// The command line names no command.
+        MissingCommand {
             display("no command given")
         }
-        /// There is no such command.
-        Command(name: String) {
+        /// No command has this name.
+        UnknownCommand(name: String) {
             display("{name:?} is no command")
         }
-        /// There is no such option.
-        Option(name: String) {
+        /// No option has this name.
+        UnknownOption(name: String) {
             display("{name} is no option")
         }
-        /// The option is not one of this command.
-        Foreign(flag: Flag, command: String) {
+        /// The command doesn't accept this option.
+        UnsupportedOption(flag: Flag, command: String) {
             display("--{flag} is no option of {command}")
         }
-        /// The option stands twice.
-        Twice(flag: Flag) {
+        /// The option was given more than once.
+        DuplicateOption(flag: Flag) {
             display("--{flag} stands twice")
         }
-        /// The option's value is missing, or one stands where none belongs.
+        /// An option lacks its value, or a switch was given one.
         Syntax(text: String) {
             display("{text}")
         }
-        /// A value has the wrong form.
-        Form(flag: Flag, found: String, form: &'static str) {
+        /// The option's value can't be parsed.
+        InvalidValue(flag: Flag, found: String, form: &'static str) {
             display("--{flag} {found:?} has the wrong form (allowed: {form})")
         }
-        /// A word or option is missing.
-        Missing(what: &'static str) {
+        /// A required argument or option is missing.
+        MissingArgument(what: &'static str) {
             display("{what} is missing")
         }
-        /// A word too many.
-        Extra(word: String) {
+        /// The command takes fewer positional arguments.
+        UnexpectedArgument(word: String) {
             display("{word:?} is one word too many")
         }
     }
 }
 
-/// Words and flags not yet taken.
+/// The positional arguments and options that no command has taken yet.
 #[derive(Debug, Default)]
-pub struct Words {
-    words: VecDeque<String>,
-    flags: BTreeMap<Flag, String>,
+pub struct Arguments {
+    positional: VecDeque<String>,
+    options: BTreeMap<Flag, String>,
 }
 
-impl Words {
+impl Arguments {
     /// Splits a command line.
     ///
     /// # Errors
     ///
-    /// Fails on an unknown option, one that stands twice, or one without its value.
+    /// Fails on an unknown or repeated option, and on an option without its value.
     pub fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Self, UsageError> {
         let mut parser = Parser::from_args(args);
-        let mut words = Self::default();
-        while let Some(arg) = parser.next().map_err(|err| syntax(&err))? {
+        let mut arguments = Self::default();
+        while let Some(arg) = parser.next().map_err(|err| syntax_error(&err))? {
             let flag = match arg {
                 Arg::Value(word) => {
-                    words.words.push_back(text(&word));
+                    arguments.positional.push_back(to_text(&word));
                     continue;
                 }
                 Arg::Short('h') => Flag::Help,
                 Arg::Short('V') => Flag::Version,
-                Arg::Short(letter) => return Err(UsageError::Option(format!("-{letter}"))),
-                Arg::Long(name) => {
-                    Flag::from_str(name).map_err(|_| UsageError::Option(format!("--{name}")))?
-                }
+                Arg::Short(letter) => return Err(UsageError::UnknownOption(format!("-{letter}"))),
+                Arg::Long(name) => Flag::from_str(name)
+                    .map_err(|_| UsageError::UnknownOption(format!("--{name}")))?,
             };
-            let value = if flag.is_bare() {
+            let value = if flag.is_switch() {
                 String::new()
             } else {
-                text(&parser.value().map_err(|err| syntax(&err))?)
+                to_text(&parser.value().map_err(|err| syntax_error(&err))?)
             };
-            if words.flags.insert(flag, value).is_some() {
-                return Err(UsageError::Twice(flag));
+            if arguments.options.insert(flag, value).is_some() {
+                return Err(UsageError::DuplicateOption(flag));
             }
         }
-        Ok(words)
+        Ok(arguments)
     }
 
-    /// The next word.
-    pub fn word(&mut self) -> Option<String> {
-        self.words.pop_front()
+    /// Takes the next positional argument.
+    pub fn positional(&mut self) -> Option<String> {
+        self.positional.pop_front()
     }
 
-    /// The next word, which must be there.
+    /// Takes the next positional argument, called `what` in the error.
     ///
     /// # Errors
     ///
     /// Fails when there is none.
     pub fn required(&mut self, what: &'static str) -> Result<String, UsageError> {
-        self.word().ok_or(UsageError::Missing(what))
+        self.positional().ok_or(UsageError::MissingArgument(what))
     }
 
-    /// Whether `flag` stands, taken.
-    pub fn has(&mut self, flag: Flag) -> bool {
-        self.flags.remove(&flag).is_some()
+    /// Takes `flag` and returns whether it was given.
+    pub fn take_switch(&mut self, flag: Flag) -> bool {
+        self.options.remove(&flag).is_some()
     }
 
-    /// The text of `flag`, taken.
-    pub fn text(&mut self, flag: Flag) -> Option<String> {
-        self.flags.remove(&flag)
+    /// Takes the text of `flag`.
+    pub fn take_text(&mut self, flag: Flag) -> Option<String> {
+        self.options.remove(&flag)
     }
 
-    /// The value of `flag`, taken.
+    /// Takes `flag` and parses its value.
     ///
     /// # Errors
     ///
-    /// Fails on another form.
-    pub fn value<T: Value>(&mut self, flag: Flag) -> Result<Option<T>, UsageError> {
-        let Some(text) = self.text(flag) else {
+    /// Fails when the value can't be parsed.
+    pub fn take_value<T: Value>(&mut self, flag: Flag) -> Result<Option<T>, UsageError> {
+        let Some(text) = self.take_text(flag) else {
             return Ok(None);
         };
         match T::read(&text) {
             Some(value) => Ok(Some(value)),
-            None => Err(UsageError::Form(flag, text, T::FORM)),
+            None => Err(UsageError::InvalidValue(flag, text, T::FORM)),
         }
     }
 
-    /// The values of `flag` apart by commas, taken.
+    /// Takes `flag` and parses its comma-separated values.
     ///
     /// # Errors
     ///
-    /// Fails when one has another form.
-    pub fn list<T: Value>(&mut self, flag: Flag) -> Result<Option<Vec<T>>, UsageError> {
-        let Some(text) = self.text(flag) else {
+    /// Fails when a value can't be parsed.
+    pub fn take_list<T: Value>(&mut self, flag: Flag) -> Result<Option<Vec<T>>, UsageError> {
+        let Some(text) = self.take_text(flag) else {
             return Ok(None);
         };
-        let form = |part: &str| UsageError::Form(flag, part.into(), T::FORM);
+        let invalid = |part: &str| UsageError::InvalidValue(flag, part.into(), T::FORM);
         let parts = text.split(',').map(str::trim);
         parts
-            .map(|part| T::read(part).ok_or_else(|| form(part)))
+            .map(|part| T::read(part).ok_or_else(|| invalid(part)))
             .collect::<Result<_, _>>()
             .map(Some)
     }
 
-    /// Ends the reading.
+    /// Checks that `command` took everything.
     ///
     /// # Errors
     ///
-    /// Fails when `command` left a word or a flag.
+    /// Fails when a positional argument or an option remains.
     pub fn finish(self, command: &str) -> Result<(), UsageError> {
-        if let Some(word) = self.words.front() {
-            return Err(UsageError::Extra(word.clone()));
+        if let Some(word) = self.positional.front() {
+            return Err(UsageError::UnexpectedArgument(word.clone()));
         }
-        match self.flags.keys().next() {
-            Some(flag) => Err(UsageError::Foreign(*flag, command.into())),
+        match self.options.keys().next() {
+            Some(flag) => Err(UsageError::UnsupportedOption(*flag, command.into())),
             None => Ok(()),
         }
     }
 }
 
-fn text(word: &OsStr) -> String {
+fn to_text(word: &OsStr) -> String {
     word.to_string_lossy().into_owned()
 }
 
-fn syntax(err: &lexopt::Error) -> UsageError {
+fn syntax_error(err: &lexopt::Error) -> UsageError {
     UsageError::Syntax(err.to_string())
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' client `rwrctl`: one command a verb.
+//! The operators' command-line client, `rwrctl`.
 //!
-//! A command asks the daemons, writes tables and ends with an [`Exit`]. The
-//! streams are arguments of [`run`], so that tests read what an operator would.
+//! A command queries the daemons, prints tables and ends with an [`Exit`]. [`run`] takes the
+//! output streams as arguments so that tests can read them.
 
 pub mod command;
 pub mod error;
@@ -22,11 +22,11 @@
 pub use settings::Defaults;
 
 use crate::error::CliError;
+use crate::flags::Arguments;
 use crate::flags::Flag;
-use crate::flags::Words;
 use crate::output::Output;
 
-/// Runs one command line, the program's name left out.
+/// Runs one command line; `args` excludes the program's name.
 ///
 /// # Errors
 ///
@@ -37,7 +37,7 @@
     out: &mut (dyn Write + Send),
     err: &mut (dyn Write + Send),
 ) -> io::Result<Exit> {
-    match perform(args, defaults, out).await {
+    match run_command(args, defaults, out).await {
         Ok(()) => Ok(Exit::Done),
         Err(error) => {
             report(&error, err)?;
@@ -46,14 +46,14 @@
     }
 }
 
-async fn perform(
+async fn run_command(
     args: impl IntoIterator<Item = OsString>,
     defaults: &Defaults,
     out: &mut (dyn Write + Send),
 ) -> Result<(), CliError> {
-    let mut words = Words::parse(args)?;
-    let plain = words.has(Flag::Plain);
-    command::perform(words, defaults, &mut Output::new(out, plain)).await
+    let mut arguments = Arguments::parse(args)?;
+    let plain = arguments.take_switch(Flag::Plain);
+    command::run(arguments, defaults, &mut Output::new(out, plain)).await
 }
 
 fn report(error: &CliError, err: &mut (dyn Write + Send)) -> io::Result<()> {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -14,6 +14,6 @@
         author: env::var("USER").ok(),
     };
     let args = env::args_os().skip(1);
-    let done = cli::run(args, &defaults, &mut io::stdout(), &mut io::stderr()).await;
-    done.unwrap_or(Exit::Failure).into()
+    let exit = cli::run(args, &defaults, &mut io::stdout(), &mut io::stderr()).await;
+    exit.unwrap_or(Exit::Failure).into()
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,18 +1,18 @@
-//! Where a command's text goes, as it comes.
+//! Writes the output of a command, aligned for people or as `key=value` lines for programs.
 
 use std::io;
 use std::io::Write;
 
 use crate::table::Table;
 
-/// The text of a command, in one of two forms.
+/// The output of a command.
 pub struct Output<'a> {
     out: &'a mut (dyn Write + Send),
     plain: bool,
 }
 
 impl<'a> Output<'a> {
-    /// Writes to `out`, one key=value line an item when `plain`.
+    /// Writes to `out`; with `plain`, one `key=value` line per item.
     pub fn new(out: &'a mut (dyn Write + Send), plain: bool) -> Self {
         Self { out, plain }
     }
@@ -31,19 +31,19 @@
         self.raw(&text)
     }
 
-    /// Writes one item: `sentence` for people, the table's rows for programs.
+    /// Writes one item: `sentence`, or the rows of `table` with `--plain`.
     ///
     /// # Errors
     ///
     /// Fails when the text can't be written.
-    pub fn fact(&mut self, sentence: &str, table: &Table) -> io::Result<()> {
+    pub fn item(&mut self, sentence: &str, table: &Table) -> io::Result<()> {
         if self.plain {
             return self.raw(&table.plain());
         }
         self.raw(&format!("{sentence}\n"))
     }
 
-    /// Writes text as it is, in both forms.
+    /// Writes `text` unchanged, with and without `--plain`.
     ///
     /// # Errors
     ///
--- a/crates/cli/src/pending.rs
+++ b/crates/cli/src/pending.rs
@@ -1,8 +1,7 @@
-//! A change that was sent and has no answer yet, kept beside its file.
+//! Saves a change next to its catalogue file until its result is known.
 //!
-//! A resend must be the same to the byte, while the catalogue has moved on
-//! since. So the change is saved before it is sent, and removed once its
-//! answer is known.
+//! A resend must be identical to the first send, but the catalogue may have changed in between,
+//! so the change can't be computed again.
 
 use std::fs;
 use std::io;
@@ -14,25 +13,25 @@
 
 use crate::error::CliError;
 
-/// Last part of a saved change's name.
+/// File extension of a saved change.
 const SUFFIX: &str = "change";
 
-/// One change and where it is saved.
+/// A change whose result is not known yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pending {
-    /// The change as it is sent.
+    /// The change to send.
     pub change: Change,
-    /// The catalogue file that it was made of.
+    /// The catalogue file that the change was computed from; the change is saved next to it.
     pub file: PathBuf,
 }
 
 impl Pending {
-    /// The change of `id` that was saved beside `file`, when there is one.
+    /// Loads the change `id` saved next to `file`; `None` when there is none.
     ///
     /// # Errors
     ///
-    /// Fails when it can't be read.
-    pub fn find(file: &Path, id: &str) -> Result<Option<Self>, CliError> {
+    /// Fails when the saved change can't be read or has another id.
+    pub fn load(file: &Path, id: &str) -> Result<Option<Self>, CliError> {
         let path = saved_path(file, id);
         let bytes = match fs::read(&path) {
             Ok(bytes) => bytes,
@@ -44,7 +43,7 @@
                 change,
                 file: file.into(),
             })),
-            _ => Err(CliError::Saved(path)),
+            _ => Err(CliError::InvalidSavedChange(path)),
         }
     }
 
@@ -52,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when it can't be written.
+    /// Fails when the file can't be written.
     pub fn save(&self) -> Result<(), CliError> {
         let path = saved_path(&self.file, &self.change.id);
         fs::write(&path, self.change.encode_to_vec()).map_err(|err| CliError::File(path, err))
@@ -62,8 +61,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when it can't be removed.
-    pub fn forget(&self) -> Result<(), CliError> {
+    /// Fails when the file can't be removed.
+    pub fn remove(&self) -> Result<(), CliError> {
         let path = saved_path(&self.file, &self.change.id);
         fs::remove_file(&path).map_err(|err| CliError::File(path, err))
     }
--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -1,4 +1,4 @@
-//! Questions to the daemons, passed on to the next address when one fails.
+//! Calls the daemons, trying the next address when one fails.
 
 use std::time::Duration;
 
@@ -27,20 +27,19 @@
 use crate::pending::Pending;
 use crate::settings::Settings;
 
-/// Longest wait for one address while there are others: as long as other callers of
-/// control wait.
-const ONE_TRY: Duration = Duration::from_secs(1);
-/// Pause before a change is sent to the same addresses again.
+/// Maximum time to wait for one address while others remain to be tried.
+const MAX_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before a change is sent to the same addresses again.
 const RESEND_PAUSE: Duration = Duration::from_millis(200);
 
-/// Asks the process behind `link`.
+/// Calls the process behind `link`.
 ///
 /// # Errors
 ///
-/// Fails without a connection or an answer within `span`.
-pub async fn one<C, In, Out, T>(
+/// Fails when the connection or the call fails, or no reply comes within `timeout`.
+pub async fn call_one<C, In, Out, T>(
     link: &Link<C, In, Out>,
-    span: Duration,
+    timeout: Duration,
     call: impl AsyncFn(C, Context) -> Result<T, RpcError>,
 ) -> Result<T, LinkError>
 where
@@ -49,17 +48,17 @@
     Out: Serialize,
 {
     let client = link.client().await?;
-    link.judge(call(client, within(span)).await)
+    link.judge(call(client, within(timeout)).await)
 }
 
-/// Asks one process after the other until one answers.
+/// Calls one process after the other until one replies.
 ///
 /// # Errors
 ///
-/// Fails when none does.
-pub async fn first<C, In, Out, T>(
+/// Fails with [`CliError::Unreachable`] when none replies.
+pub async fn call_any<C, In, Out, T>(
     links: &[Link<C, In, Out>],
-    span: Duration,
+    timeout: Duration,
     call: impl AsyncFn(C, Context) -> Result<T, RpcError>,
 ) -> Result<T, CliError>
 where
@@ -69,7 +68,7 @@
 {
     let mut errors = Vec::new();
     for (index, link) in links.iter().enumerate() {
-        match one(link, share(span, links.len() - index), &call).await {
+        match call_one(link, attempt_timeout(timeout, links.len() - index), &call).await {
             Ok(answer) => return Ok(answer),
             Err(err) => errors.push(err),
         }
@@ -77,64 +76,66 @@
     Err(CliError::Unreachable(errors))
 }
 
-/// What one of so many addresses that are left gets of the time: one that hangs
-/// must leave enough for the next.
-fn share(span: Duration, left: usize) -> Duration {
-    if left <= 1 {
-        return span;
+/// The timeout for the next of `remaining` addresses. An address that hangs must leave time for
+/// those after it.
+fn attempt_timeout(timeout: Duration, remaining: usize) -> Duration {
+    if remaining <= 1 {
+        return timeout;
     }
-    span.min(ONE_TRY)
+    timeout.min(MAX_ATTEMPT_TIMEOUT)
 }
 
 /// The control replicas.
 pub struct Control {
-    /// A link to each.
+    /// One link per process.
     pub links: Vec<ControlLink>,
-    span: Duration,
+    timeout: Duration,
 }
 
 impl Control {
-    /// The replicas of `settings`.
+    /// Creates links to the replicas in `settings`.
     ///
     /// # Errors
     ///
-    /// Fails when there is none.
+    /// Fails when `settings` has none.
     pub fn new(settings: &Settings) -> Result<Self, CliError> {
         let addresses = settings.control()?;
         Ok(Self {
             links: addresses.iter().map(|a| peer::control(*a)).collect(),
-            span: settings.timeout,
+            timeout: settings.timeout,
         })
     }
 
-    /// Asks one replica after the other until one answers.
+    /// Calls one replica after the other until one replies.
     ///
     /// # Errors
     ///
-    /// Fails when none does.
-    pub async fn first<T>(
+    /// Fails when none replies.
+    pub async fn call_any<T>(
         &self,
         call: impl AsyncFn(ControlApiClient, Context) -> Result<T, RpcError>,
     ) -> Result<T, CliError> {
-        first(&self.links, self.span, call).await
+        call_any(&self.links, self.timeout, call).await
     }
 
-    /// The catalogue in force, confirmed by a majority.
+    /// Fetches the catalogue in force, confirmed by a majority.
     ///
     /// # Errors
     ///
-    /// Fails when no replica answers, or none is confirmed.
+    /// Fails when no replica replies, or none has its version confirmed.
     pub async fn catalogue(&self) -> Result<Catalogue, CliError> {
-        let ask = Follow {
+        let request = Follow {
             have: 0,
             wait_ms: 0,
         };
         let mut errors = Vec::new();
         let mut unconfirmed = None;
         for (index, link) in self.links.iter().enumerate() {
-            let span = share(self.span, self.links.len() - index);
-            match one(link, span, async |c, x| c.follow(x, ask).await).await {
-                Ok(reply) if reply.confirmed => return typed(&reply.catalogue.unwrap_or_default()),
+            let timeout = attempt_timeout(self.timeout, self.links.len() - index);
+            match call_one(link, timeout, async |c, x| c.follow(x, request).await).await {
+                Ok(reply) if reply.confirmed => {
+                    return decode_catalogue(&reply.catalogue.unwrap_or_default());
+                }
                 Ok(reply) => unconfirmed = unconfirmed.max(Some(reply.version)),
                 Err(err) => errors.push(err),
             }
@@ -142,22 +143,26 @@
         Err(unconfirmed.map_or(CliError::Unreachable(errors), CliError::Unconfirmed))
     }
 
-    /// Accepted changes. A replica that was emptied knows none, so that all are asked
-    /// until one reaches to `last`; else the longest answer counts.
+    /// Fetches the accepted changes.
+    ///
+    /// A replica that lost its data has no history, so replicas are called until one has the
+    /// changes up to version `last`. If none has, the reply with the highest version is returned.
     ///
     /// # Errors
     ///
-    /// Fails when no replica answers.
+    /// Fails when no replica replies.
     pub async fn history(&self, query: HistoryQuery, last: u64) -> Result<History, CliError> {
         let mut errors = Vec::new();
         let mut longest: Option<History> = None;
-        let reach = |history: &History| history.items.last().map_or(0, |item| item.version);
+        let last_version = |history: &History| history.items.last().map_or(0, |item| item.version);
         for (index, link) in self.links.iter().enumerate() {
-            let span = share(self.span, self.links.len() - index);
-            match one(link, span, async |c, x| c.history(x, query).await).await {
-                Ok(history) if reach(&history) >= last => return Ok(history),
+            let timeout = attempt_timeout(self.timeout, self.links.len() - index);
+            match call_one(link, timeout, async |c, x| c.history(x, query).await).await {
+                Ok(history) if last_version(&history) >= last => return Ok(history),
                 Ok(history) => {
-                    let longer = longest.as_ref().is_none_or(|l| reach(l) < reach(&history));
+                    let longer = longest
+                        .as_ref()
+                        .is_none_or(|l| last_version(l) < last_version(&history));
                     if longer {
                         longest = Some(history);
                     }
@@ -168,13 +173,15 @@
         longest.ok_or(CliError::Unreachable(errors))
     }
 
-    /// Sends a change until it has an answer; a resend is harmless, as its id is the same.
+    /// Sends a change until its result is known. Resends have the same id, so the change is
+    /// applied at most once.
     ///
     /// # Errors
     ///
-    /// Fails with [`CliError::Unreachable`] only when no byte of it left.
+    /// Fails with [`CliError::Unreachable`] when the change was never sent, and with
+    /// [`CliError::Uncertain`] when it may have been accepted.
     pub async fn propose(&self, pending: &Pending) -> Result<Kind, CliError> {
-        let end = Instant::now() + self.span;
+        let deadline = Instant::now() + self.timeout;
         let mut sent = false;
         loop {
             let mut errors = Vec::new();
@@ -191,7 +198,7 @@
             if !sent {
                 return Err(CliError::Unreachable(errors));
             }
-            if Instant::now() + RESEND_PAUSE >= end {
+            if Instant::now() + RESEND_PAUSE >= deadline {
                 let id = pending.change.id.clone();
                 return Err(CliError::Uncertain(id, pending.file.clone(), errors));
             }
@@ -201,46 +208,46 @@
 
     async fn propose_to(&self, link: &ControlLink, change: &Change) -> Result<Kind, LinkError> {
         let call = async |c: ControlApiClient, x| c.propose(x, change.clone()).await;
-        let reply = one(link, self.span, call).await?;
-        // An answer without content tells nothing, which is what uncertain means.
+        let reply = call_one(link, self.timeout, call).await?;
+        // An empty reply does not tell whether the change was accepted.
         Ok(reply.kind.unwrap_or(Kind::Uncertain(Uncertain {})))
     }
 }
 
 /// The directories.
 pub struct Directories {
-    /// A link to each.
+    /// One link per process.
     pub links: Vec<DirectoryLink>,
-    span: Duration,
+    timeout: Duration,
 }
 
 impl Directories {
-    /// The directories of `settings`.
+    /// Creates links to the directories in `settings`.
     ///
     /// # Errors
     ///
-    /// Fails when there is none.
+    /// Fails when `settings` has none.
     pub fn new(settings: &Settings) -> Result<Self, CliError> {
         let addresses = settings.directory()?;
         Ok(Self {
             links: addresses.iter().map(|a| peer::directory(*a)).collect(),
-            span: settings.timeout,
+            timeout: settings.timeout,
         })
     }
 
-    /// The hosts that one directory knows, sorted.
+    /// Fetches the hosts known to one directory, sorted by name.
     ///
     /// # Errors
     ///
-    /// Fails when no directory answers.
+    /// Fails when no directory replies.
     pub async fn hosts(&self) -> Result<Vec<Host>, CliError> {
-        let reply = first(&self.links, self.span, async |c, x| c.hosts(x).await).await?;
+        let reply = call_any(&self.links, self.timeout, async |c, x| c.hosts(x).await).await?;
         let mut hosts = reply.hosts;
         hosts.sort_by(|a, b| a.host.cmp(&b.host));
         Ok(hosts)
     }
 }
 
-fn typed(catalogue: &wire::catalogue::Catalogue) -> Result<Catalogue, CliError> {
+fn decode_catalogue(catalogue: &wire::catalogue::Catalogue) -> Result<Catalogue, CliError> {
     Catalogue::from_wire(catalogue).map_err(|_| CliError::Malformed)
 }
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -1,4 +1,4 @@
-//! Whom to ask: from the command line, else from the client's settings file.
+//! Client settings, from the command line or else from the settings file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,18 +8,18 @@
 use conf::value::Text;
 
 use crate::error::CliError;
+use crate::flags::Arguments;
 use crate::flags::Flag;
 use crate::flags::UsageError;
-use crate::flags::Words;
 
 /// The section of the settings file.
 const SECTION: &str = "rwrctl";
-/// Longest wait for one answer, unless set.
-const TIMEOUT: Duration = Duration::from_secs(5);
-/// The author of changes, unless set.
-const AUTHOR: &str = "operator";
+/// Default for [`Settings::timeout`].
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Author of changes when neither an option, the settings file nor the environment names one.
+const DEFAULT_AUTHOR: &str = "operator";
 
-/// What the environment says.
+/// Defaults from the environment.
 #[derive(Clone, Debug, Default)]
 pub struct Defaults {
     /// The settings file.
@@ -28,62 +28,65 @@
     pub author: Option<String>,
 }
 
-/// Whom to ask, and as whom.
+/// The addresses of the daemons, and how to call them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Control replicas; one that answers is enough.
+    /// Control replicas, in the order in which they are called.
     pub control: Vec<SocketAddr>,
-    /// Directories; one that answers is enough.
+    /// Directories, in the order in which they are called.
     pub directory: Vec<SocketAddr>,
-    /// Hubs, in the order in which they are asked.
+    /// Hubs, in the order in which they are called.
     pub hub: Vec<SocketAddr>,
-    /// One gateway's address for operators.
+    /// Operator address of one gateway.
     pub gateway: Option<SocketAddr>,
     /// The author of changes.
     pub author: String,
-    /// Longest wait for one answer.
+    /// Maximum time to wait for one reply.
     pub timeout: Duration,
 }
 
 impl Settings {
-    /// Takes the flags that say whom to ask, and the file for what they leave out.
+    /// Takes the connection options from `arguments`, and the rest from the settings file.
     ///
     /// # Errors
     ///
-    /// Fails on a flag or a file with a wrong form.
-    pub fn take(words: &mut Words, defaults: &Defaults) -> Result<Self, CliError> {
-        let file = words.value::<PathBuf>(Flag::Config)?;
-        let mut settings = Self::read(file.or_else(|| defaults.config.clone()), defaults)?;
-        if let Some(control) = words.list(Flag::Control)? {
+    /// Fails when an option or the file is invalid.
+    pub fn resolve(arguments: &mut Arguments, defaults: &Defaults) -> Result<Self, CliError> {
+        let file = arguments.take_value::<PathBuf>(Flag::Config)?;
+        let mut settings = Self::from_file(file.or_else(|| defaults.config.clone()), defaults)?;
+        if let Some(control) = arguments.take_list(Flag::Control)? {
             settings.control = control;
         }
-        if let Some(directory) = words.list(Flag::Directory)? {
+        if let Some(directory) = arguments.take_list(Flag::Directory)? {
             settings.directory = directory;
         }
-        if let Some(hub) = words.list(Flag::Hub)? {
+        if let Some(hub) = arguments.take_list(Flag::Hub)? {
             settings.hub = hub;
         }
-        if let Some(gateway) = words.value(Flag::Gateway)? {
+        if let Some(gateway) = arguments.take_value(Flag::Gateway)? {
             settings.gateway = Some(gateway);
         }
-        if let Some(author) = words.text(Flag::Author) {
+        if let Some(author) = arguments.take_text(Flag::Author) {
             settings.author = author;
         }
-        if let Some(timeout) = words.value(Flag::Timeout)? {
+        if let Some(timeout) = arguments.take_value(Flag::Timeout)? {
             settings.timeout = timeout;
         }
         Ok(settings)
     }
 
-    fn read(file: Option<PathBuf>, defaults: &Defaults) -> Result<Self, CliError> {
-        let author = defaults.author.clone().unwrap_or_else(|| AUTHOR.into());
+    fn from_file(file: Option<PathBuf>, defaults: &Defaults) -> Result<Self, CliError> {
+        let author = defaults
+            .author
+            .clone()
+            .unwrap_or_else(|| DEFAULT_AUTHOR.into());
         let mut settings = Self {
             control: Vec::new(),
             directory: Vec::new(),
             hub: Vec::new(),
             gateway: None,
             author,
-            timeout: TIMEOUT,
+            timeout: DEFAULT_TIMEOUT,
         };
         let Some(file) = file else {
             return Ok(settings);
@@ -93,7 +96,7 @@
         settings.directory = reader.list(SECTION, "directory");
         settings.hub = reader.list(SECTION, "hub");
         settings.gateway = reader.optional(SECTION, "gateway");
-        settings.timeout = reader.or(SECTION, "timeout", TIMEOUT);
+        settings.timeout = reader.or(SECTION, "timeout", DEFAULT_TIMEOUT);
         if let Some(Text(author)) = reader.optional(SECTION, "author") {
             settings.author = author;
         }
@@ -107,7 +110,7 @@
     ///
     /// Fails when none is set.
     pub fn control(&self) -> Result<&[SocketAddr], UsageError> {
-        some(&self.control, "--control ADDRESS")
+        require_any(&self.control, "--control ADDRESS")
     }
 
     /// The directories, at least one.
@@ -116,7 +119,7 @@
     ///
     /// Fails when none is set.
     pub fn directory(&self) -> Result<&[SocketAddr], UsageError> {
-        some(&self.directory, "--directory ADDRESS")
+        require_any(&self.directory, "--directory ADDRESS")
     }
 
     /// The hubs, at least one.
@@ -125,7 +128,7 @@
     ///
     /// Fails when none is set.
     pub fn hub(&self) -> Result<&[SocketAddr], UsageError> {
-        some(&self.hub, "--hub ADDRESS")
+        require_any(&self.hub, "--hub ADDRESS")
     }
 
     /// The gateway.
@@ -134,16 +137,17 @@
     ///
     /// Fails when none is set.
     pub fn gateway(&self) -> Result<SocketAddr, UsageError> {
-        self.gateway.ok_or(UsageError::Missing("--gateway ADDRESS"))
+        self.gateway
+            .ok_or(UsageError::MissingArgument("--gateway ADDRESS"))
     }
 }
 
-fn some<'a>(
+fn require_any<'a>(
     addresses: &'a [SocketAddr],
     what: &'static str,
 ) -> Result<&'a [SocketAddr], UsageError> {
     if addresses.is_empty() {
-        return Err(UsageError::Missing(what));
+        return Err(UsageError::MissingArgument(what));
     }
     Ok(addresses)
 }
--- a/crates/cli/src/story.rs
+++ b/crates/cli/src/story.rs
@@ -1,70 +1,76 @@
-//! What the logs of several hosts tell of one request.
+//! Extracts the lines about one request from the logs of several hosts.
 //!
-//! The lines that name the request, and what its hosts came to believe of the
-//! instances that it was sent to, shortly before or meanwhile.
+//! These are the lines with the request's id, and what the same hosts logged about the instances
+//! that handled it, during the request and shortly before.
 
 use std::collections::BTreeSet;
 
 use telemetry::logfmt::field;
 
-/// How long before the request's first line other lines still matter, in seconds:
-/// the time in which a leaving instance has to be known everywhere, and as much again.
-const BEFORE: f64 = 5.0;
-/// Messages that tell what a host believes of an instance.
-const BELIEFS: [&str; 3] = ["instance", "address taken over", "connect failed"];
+/// How long before the request's first line instance lines are included, in seconds: twice the
+/// time in which all hosts have to learn that an instance is leaving.
+const LOOKBACK_S: f64 = 5.0;
+/// Values of `msg` that report the state of an instance.
+const INSTANCE_MESSAGES: [&str; 3] = ["instance", "address taken over", "connect failed"];
 
-/// One line of a story.
+/// One log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// When, in seconds.
-    pub at: f64,
-    /// Who wrote it.
+    /// When the line was logged, in seconds since the Unix epoch.
+    pub timestamp: f64,
+    /// The host that logged the line.
     pub host: String,
-    /// What it says, without time, level and process.
+    /// The line without its time, level, host and binary.
     pub text: String,
 }
 
-/// The story of the request `id`, oldest line first; empty where no line names it.
+/// Collects the lines about request `id`, oldest first; empty when no line has this id.
 #[must_use]
-pub fn tell(id: &str, logs: &[String]) -> Vec<Line> {
+pub fn collect_lines(id: &str, logs: &[String]) -> Vec<Line> {
     let lines = || logs.iter().flat_map(|log| log.lines());
-    let own: Vec<&str> = lines()
+    let request_lines: Vec<&str> = lines()
         .filter(|line| field(line, "request") == Some(id))
         .collect();
-    let times = own.iter().filter_map(|line| time(line));
-    let (from, to) = times.fold((f64::MAX, f64::MIN), |(from, to), at| {
-        (from.min(at), to.max(at))
+    let times = request_lines.iter().filter_map(|line| timestamp_of(line));
+    let (from, to) = times.fold((f64::MAX, f64::MIN), |(from, to), timestamp| {
+        (from.min(timestamp), to.max(timestamp))
     });
-    let instances = own.iter().filter_map(|line| field(line, "instance"));
+    let instances = request_lines
+        .iter()
+        .filter_map(|line| field(line, "instance"));
     let instances: BTreeSet<&str> = instances.filter(|id| *id != "-").collect();
-    let hosts: BTreeSet<&str> = own.iter().filter_map(|line| field(line, "host")).collect();
-    let beliefs = lines().filter(|line| {
-        let is = |key, set: &BTreeSet<&str>| field(line, key).is_some_and(|v| set.contains(v));
-        let near = time(line).is_some_and(|at| at >= from - BEFORE && at <= to);
-        let told = field(line, "msg").is_some_and(|msg| BELIEFS.contains(&msg));
-        told && near && is("instance", &instances) && is("host", &hosts)
+    let hosts: BTreeSet<&str> = request_lines
+        .iter()
+        .filter_map(|line| field(line, "host"))
+        .collect();
+    let instance_lines = lines().filter(|line| {
+        let matches = |key, set: &BTreeSet<&str>| field(line, key).is_some_and(|v| set.contains(v));
+        let in_period = timestamp_of(line)
+            .is_some_and(|timestamp| timestamp >= from - LOOKBACK_S && timestamp <= to);
+        let about_instance = field(line, "msg").is_some_and(|msg| INSTANCE_MESSAGES.contains(&msg));
+        about_instance && in_period && matches("instance", &instances) && matches("host", &hosts)
     });
-    let mut story: Vec<Line> = own
+    let mut story: Vec<Line> = request_lines
         .iter()
         .copied()
-        .chain(beliefs)
-        .filter_map(read)
+        .chain(instance_lines)
+        .filter_map(parse_line)
         .collect();
-    story.sort_by(|a, b| a.at.total_cmp(&b.at));
+    story.sort_by(|a, b| a.timestamp.total_cmp(&b.timestamp));
     story
 }
 
-fn time(line: &str) -> Option<f64> {
+fn timestamp_of(line: &str) -> Option<f64> {
     field(line, "ts")?.parse().ok()
 }
 
-fn read(line: &str) -> Option<Line> {
-    let dropped = ["ts=", "level=", "host=", "binary="];
+fn parse_line(line: &str) -> Option<Line> {
+    let omitted = ["ts=", "level=", "host=", "binary="];
     let words = line.split(' ');
-    let kept = words.filter(|word| !dropped.iter().any(|start| word.starts_with(start)));
+    let retained = words.filter(|word| !omitted.iter().any(|start| word.starts_with(start)));
     Some(Line {
-        at: time(line)?,
+        timestamp: timestamp_of(line)?,
         host: field(line, "host").unwrap_or("-").to_owned(),
-        text: kept.collect::<Vec<_>>().join(" "),
+        text: retained.collect::<Vec<_>>().join(" "),
     })
 }
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,9 +1,9 @@
-//! Rows under named columns, for people and for programs.
+//! Tables, rendered in aligned columns or as `key=value` lines.
 
 use std::fmt::Display;
 use std::fmt::Write;
 
-/// A table of one kind of item.
+/// A table whose rows are items of one kind.
 #[derive(Clone, Debug)]
 pub struct Table {
     item: &'static str,
@@ -12,7 +12,7 @@
 }
 
 impl Table {
-    /// An empty table of `item`s.
+    /// Creates an empty table; `item` names the kind of its rows.
     #[must_use]
     pub fn new(item: &'static str, columns: &'static [&'static str]) -> Self {
         Self {
@@ -22,20 +22,20 @@
         }
     }
 
-    /// Adds one row, a cell a column.
-    pub fn row<const N: usize>(&mut self, cells: [&dyn Display; N]) {
-        debug_assert_eq!(N, self.columns.len(), "a cell a column");
+    /// Appends a row with one cell per column.
+    pub fn push_row<const N: usize>(&mut self, cells: [&dyn Display; N]) {
+        debug_assert_eq!(N, self.columns.len(), "one cell per column");
         self.rows
             .push(cells.iter().map(ToString::to_string).collect());
     }
 
-    /// Whether it has no row.
+    /// Whether the table has no rows.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// Aligned columns under a heading; an empty cell shows as `-`.
+    /// Renders aligned columns under a heading; an empty cell is shown as `-`.
     #[must_use]
     pub fn aligned(&self) -> String {
         let mut widths: Vec<usize> = self.columns.iter().map(|c| c.len()).collect();
@@ -59,13 +59,13 @@
         text
     }
 
-    /// One key=value line an item.
+    /// Renders one `key=value` line per row.
     #[must_use]
     pub fn plain(&self) -> String {
-        self.rows.iter().map(|row| self.plain_row(row)).collect()
+        self.rows.iter().map(|row| self.plain_line(row)).collect()
     }
 
-    fn plain_row(&self, row: &[String]) -> String {
+    fn plain_line(&self, row: &[String]) -> String {
         let mut line = format!("item={}", self.item);
         for (column, cell) in self.columns.iter().zip(row) {
             // Writing to a string can't fail.
@@ -76,7 +76,7 @@
     }
 }
 
-/// `text` as a value of a key=value line.
+/// Quotes `text` where a `key=value` line needs it.
 #[must_use]
 pub fn quoted(text: &str) -> String {
     let bare = |c: char| !c.is_whitespace() && !c.is_control() && !"\"=\\".contains(c);
--- a/crates/cli/tests/fakes/mod.rs
+++ b/crates/cli/tests/fakes/mod.rs
@@ -1,4 +1,4 @@
-//! Daemons for `rwrctl`'s tests: the real interfaces over TCP, answers from memory.
+//! Fake daemons for the tests of `rwrctl`: the real interfaces over TCP, with replies from memory.
 
 #![allow(dead_code, reason = "each test binary uses its own part")]
 
@@ -55,18 +55,18 @@
 [gateway milano-1]
 ";
 
-/// What the daemons answer, and what they were sent.
+/// The replies of the fake daemons, and the changes that they received.
 #[derive(Default)]
-pub struct World {
-    /// Judges changes as control does.
+pub struct ServerState {
+    /// Applies changes as control does.
     pub state: State,
-    /// Answers to changes that are lost after they were judged.
-    pub lost: u32,
-    /// Whether the majority is gone.
-    pub cut: bool,
-    /// Every change that came.
+    /// How many replies to changes are still to be replaced by an uncertain one.
+    pub lost_replies: u32,
+    /// Whether no majority confirms a version.
+    pub no_majority: bool,
+    /// Every change received.
     pub changes: Vec<Change>,
-    /// The answer to a change of the group.
+    /// The reply to a membership change.
     pub membership: MembershipReply,
     pub status: Status,
     pub hosts: HostsReply,
@@ -74,75 +74,77 @@
     pub explain: ExplainReply,
 }
 
-/// One process that serves all three interfaces.
+/// A fake process that serves all three interfaces.
 #[derive(Clone, Default)]
-pub struct Fake(Arc<Mutex<World>>);
+pub struct Fake(Arc<Mutex<ServerState>>);
 
 impl Fake {
-    pub fn world(&self) -> MutexGuard<'_, World> {
+    pub fn lock(&self) -> MutexGuard<'_, ServerState> {
         self.0
             .lock()
-            .expect("no test panics while it holds the world")
+            .expect("no test panics while it holds the lock")
     }
 }
 
-/// Serves one interface of `$fake`; gives the address.
+/// Serves one interface of `$fake` and returns its address.
 macro_rules! listen {
     ($api:ident, $fake:expr) => {{
-        let incoming = wire::link::listen(fakes::any()).await.expect("a free port");
+        let incoming = wire::link::listen(fakes::any_port())
+            .await
+            .expect("a free port");
         let address = incoming.local_addr();
         let serve = wire::api::$api::serve($fake.clone());
         tokio::spawn(incoming.for_each_concurrent(None, move |channel| {
             let channel = BaseChannel::with_defaults(channel.expect("a channel"));
-            fakes::converse(channel.execute(serve.clone()))
+            fakes::serve_requests(channel.execute(serve.clone()))
         }));
         address
     }};
 }
 pub(crate) use listen;
 
-pub fn any() -> SocketAddr {
+pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-pub async fn converse(requests: impl futures::Stream<Item = impl Future<Output = ()>>) {
+pub async fn serve_requests(requests: impl futures::Stream<Item = impl Future<Output = ()>>) {
     requests.for_each_concurrent(None, |answer| answer).await;
 }
 
 impl ControlApi for Fake {
     async fn propose(self, _: Context, change: Change) -> ChangeReply {
-        let mut world = self.world();
-        world.changes.push(change.clone());
-        let reply = world.state.apply(&change);
-        if world.lost == 0 {
+        let mut server = self.lock();
+        server.changes.push(change.clone());
+        let reply = server.state.apply(&change);
+        if server.lost_replies == 0 {
             return reply;
         }
-        world.lost -= 1;
+        server.lost_replies -= 1;
         ChangeReply {
             kind: Some(change_reply::Kind::Uncertain(Uncertain {})),
         }
     }
 
     async fn follow(self, _: Context, _: Follow) -> FollowReply {
-        let world = self.world();
-        let catalogue = world.state.catalogue();
+        let server = self.lock();
+        let catalogue = server.state.catalogue();
         FollowReply {
-            confirmed: !world.cut,
+            confirmed: !server.no_majority,
             version: catalogue.version,
             catalogue: Some(catalogue.to_wire()),
         }
     }
 
     async fn history(self, _: Context, query: HistoryQuery) -> History {
-        self.world().state.history(query.from, query.most)
+        self.lock().state.history(query.from, query.most)
     }
 
     async fn status(self, _: Context) -> Status {
-        self.world().status.clone()
+        self.lock().status.clone()
     }
 
     async fn change_membership(self, _: Context, _: Membership) -> MembershipReply {
-        self.world().membership.clone()
+        self.lock().membership.clone()
     }
 
     async fn claim(self, _: Context, _: Claim) -> ClaimReply {
@@ -164,17 +166,17 @@
     }
 
     async fn hosts(self, _: Context) -> HostsReply {
-        self.world().hosts.clone()
+        self.lock().hosts.clone()
     }
 
     async fn instances(self, _: Context) -> InstancesReply {
-        self.world().instances.clone()
+        self.lock().instances.clone()
     }
 }
 
 impl GatewayApi for Fake {
     async fn explain(self, _: Context, _: Explain) -> ExplainReply {
-        self.world().explain.clone()
+        self.lock().explain.clone()
     }
 
     async fn drain(self, _: Context) -> DrainReply {
@@ -182,34 +184,34 @@
     }
 }
 
-/// An address of this host where nobody listens.
-pub fn nobody() -> SocketAddr {
-    let listener = std::net::TcpListener::bind(any()).expect("a free port");
+/// An address of this host on which no process listens.
+pub fn unused_address() -> SocketAddr {
+    let listener = std::net::TcpListener::bind(any_port()).expect("a free port");
     listener.local_addr().expect("its address")
 }
 
 /// How a command ended.
-pub struct Ended {
+pub struct CommandResult {
     pub exit: Exit,
     pub out: String,
     pub err: String,
 }
 
-/// Runs a command line, its words apart by spaces.
-pub async fn rwrctl(line: &str) -> Ended {
+/// Runs a command line whose arguments are separated by spaces.
+pub async fn rwrctl(line: &str) -> CommandResult {
     let args = line.split_whitespace().map(Into::into);
     let (mut out, mut err) = (Vec::new(), Vec::new());
     let exit = cli::run(args, &Defaults::default(), &mut out, &mut err)
         .await
         .expect("memory can be written");
-    Ended {
+    CommandResult {
         exit,
         out: String::from_utf8(out).expect("text"),
         err: String::from_utf8(err).expect("text"),
     }
 }
 
-/// Writes a file of this test run.
+/// Writes a file into the test run's folder.
 pub fn write(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("the test's folder can be written");
--- a/crates/cli/tests/test_apply.rs
+++ b/crates/cli/tests/test_apply.rs
@@ -1,4 +1,4 @@
-//! `rwrctl apply`: each answer, lost answers, resends, and waiting.
+//! `rwrctl apply`: exit codes of each reply, resends after a lost reply, and waiting.
 
 mod fakes;
 
@@ -6,8 +6,8 @@
 use fakes::FILE;
 use fakes::Fake;
 use fakes::listen;
-use fakes::nobody;
 use fakes::rwrctl;
+use fakes::unused_address;
 use fakes::write;
 use futures::StreamExt;
 use tarpc::server::BaseChannel;
@@ -15,7 +15,7 @@
 use wire::directory::Host;
 use wire::directory::HostPhase;
 
-/// The common file with one gateway more.
+/// The common file with a second gateway.
 fn two_gateways() -> String {
     format!("{FILE}\n[gateway torino-1]\n")
 }
@@ -91,17 +91,17 @@
         ("apply".into(), Exit::Usage, "FILE is missing"),
     ];
     for (line, exit, err) in cases {
-        let ended = rwrctl(&format!("{line} --control {control} --timeout 300ms")).await;
-        assert_eq!(ended.exit, exit, "{line}: {}", ended.err);
-        assert!(ended.err.contains(err), "{line}: {}", ended.err);
+        let result = rwrctl(&format!("{line} --control {control} --timeout 300ms")).await;
+        assert_eq!(result.exit, exit, "{line}: {}", result.err);
+        assert!(result.err.contains(err), "{line}: {}", result.err);
         assert_eq!(
-            ended.err.contains("hint: "),
+            result.err.contains("hint: "),
             exit != Exit::Done,
             "{line}: {}",
-            ended.err
+            result.err
         );
     }
-    assert_eq!(fake.world().state.catalogue().version, 2);
+    assert_eq!(fake.lock().state.catalogue().version, 2);
     let folder = env!("CARGO_TARGET_TMPDIR");
     let left = std::fs::read_dir(folder)
         .expect("the folder")
@@ -126,62 +126,64 @@
         "apply {} --control {control} --timeout 300ms --plain",
         file.display()
     );
-    fake.world().lost = 1_000;
-    let ended = rwrctl(&format!("{line} --id lost-1")).await;
-    assert_eq!(ended.exit, Exit::Uncertain, "{}", ended.err);
+    fake.lock().lost_replies = 1_000;
+    let result = rwrctl(&format!("{line} --id lost-1")).await;
+    assert_eq!(result.exit, Exit::Uncertain, "{}", result.err);
     assert!(
-        ended.out.contains("item=change id=lost-1 base=0 edits=3\n"),
+        result
+            .out
+            .contains("item=change id=lost-1 base=0 edits=3\n"),
         "{}",
-        ended.out
+        result.out
     );
     let hint = format!(
         "hint: resend it: rwrctl apply {} --id lost-1\n",
         file.display()
     );
-    assert!(ended.err.ends_with(&hint), "{}", ended.err);
-    fake.world().lost = 0;
-    let ended = rwrctl(&format!("{line} --id lost-1")).await;
-    assert_eq!(ended.exit, Exit::Done, "{}", ended.err);
+    assert!(result.err.ends_with(&hint), "{}", result.err);
+    fake.lock().lost_replies = 0;
+    let result = rwrctl(&format!("{line} --id lost-1")).await;
+    assert_eq!(result.exit, Exit::Done, "{}", result.err);
     assert!(
-        ended.out.ends_with("item=accepted id=lost-1 version=1\n"),
+        result.out.ends_with("item=accepted id=lost-1 version=1\n"),
         "{}",
-        ended.out
+        result.out
     );
-    let world = fake.world();
-    assert!(world.changes.len() > 2);
+    let server = fake.lock();
+    assert!(server.changes.len() > 2);
     assert!(
-        world
+        server
             .changes
             .iter()
-            .all(|change| *change == world.changes[0])
+            .all(|change| *change == server.changes[0])
     );
-    assert_eq!(world.state.catalogue().version, 1);
+    assert_eq!(server.state.catalogue().version, 1);
 }
 
 #[tokio::test]
-async fn test_apply_goes_on_to_the_next_replica() {
+async fn test_apply_tries_the_next_replica() {
     let fake = Fake::default();
     let control = listen!(ControlApi, fake);
     let file = write("next.ini", &two_gateways());
-    let (dead, file) = (nobody(), file.display());
-    let ended = rwrctl(&format!("apply {file} --control {dead},{control}")).await;
-    assert_eq!(ended.exit, Exit::Done, "{}", ended.err);
-    let ended = rwrctl(&format!("apply {file} --control {dead}")).await;
-    assert_eq!(ended.exit, Exit::Unreachable, "{}", ended.err);
+    let (dead, file) = (unused_address(), file.display());
+    let result = rwrctl(&format!("apply {file} --control {dead},{control}")).await;
+    assert_eq!(result.exit, Exit::Done, "{}", result.err);
+    let result = rwrctl(&format!("apply {file} --control {dead}")).await;
+    assert_eq!(result.exit, Exit::Unreachable, "{}", result.err);
     assert!(
-        ended.err.contains(&format!("connect to {dead}")),
+        result.err.contains(&format!("connect to {dead}")),
         "{}",
-        ended.err
+        result.err
     );
-    fake.world().cut = true;
-    let ended = rwrctl(&format!("apply {file} --control {control}")).await;
-    assert_eq!(ended.exit, Exit::Unreachable);
+    fake.lock().no_majority = true;
+    let result = rwrctl(&format!("apply {file} --control {control}")).await;
+    assert_eq!(result.exit, Exit::Unreachable);
     assert!(
-        ended
+        result
             .err
             .contains("could not confirm version 1 by a majority"),
         "{}",
-        ended.err
+        result.err
     );
 }
 
@@ -246,16 +248,16 @@
         let hosts = hosts
             .into_iter()
             .map(|(h, phase, version)| host(h, phase, version));
-        fake.world().hosts.hosts = hosts.collect();
+        fake.lock().hosts.hosts = hosts.collect();
         let file = write("wait.ini", &two_gateways());
         let line = format!(
             "apply {} --control {control} --directory {directory}",
             file.display()
         );
-        let ended = rwrctl(&format!("{line} --wait --within 250ms --plain")).await;
-        assert_eq!(ended.exit, exit, "{name}: {}", ended.err);
-        assert!(ended.err.contains(err), "{name}: {}", ended.err);
-        let rows = ended
+        let result = rwrctl(&format!("{line} --wait --within 250ms --plain")).await;
+        assert_eq!(result.exit, exit, "{name}: {}", result.err);
+        assert!(result.err.contains(err), "{name}: {}", result.err);
+        let rows = result
             .out
             .lines()
             .filter(|line| line.starts_with("item=host"));
--- a/crates/cli/tests/test_commands.rs
+++ b/crates/cli/tests/test_commands.rs
@@ -1,4 +1,4 @@
-//! What each command shows, for people and for programs, and its exit code.
+//! The output of each command, aligned and with `--plain`, and its exit code.
 
 mod fakes;
 
@@ -6,8 +6,8 @@
 use fakes::FILE;
 use fakes::Fake;
 use fakes::listen;
-use fakes::nobody;
 use fakes::rwrctl;
+use fakes::unused_address;
 use fakes::write;
 use futures::StreamExt;
 use tarpc::server::BaseChannel;
@@ -31,19 +31,19 @@
     format!("[catalogue]\nversion = {version}\n\n{FILE}")
 }
 
-/// A system of one host with one service, one instance and one replica.
+/// A fake with one host, one service, one instance and one replica.
 fn filled() -> Fake {
     let fake = Fake::default();
     let wanted = catalogue::file::parse("c", FILE).expect("a good file");
-    let mut world = fake.world();
-    let edits = catalogue::diff::edits(&world.state.catalogue(), &wanted);
-    world.state.apply(&Change {
+    let mut server = fake.lock();
+    let edits = catalogue::diff::edits(&server.state.catalogue(), &wanted);
+    server.state.apply(&Change {
         id: "a-1".into(),
         base: 0,
         author: "anna".into(),
         edits,
     });
-    world.hosts.hosts = vec![Host {
+    server.hosts.hosts = vec![Host {
         host: "milano-1".into(),
         domain: "milano".into(),
         gateway: "127.0.0.1:8080".into(),
@@ -52,7 +52,7 @@
         age_ms: 40,
         ..Host::default()
     }];
-    world.instances.instances = vec![InstanceChange {
+    server.instances.instances = vec![InstanceChange {
         instance: Some(Instance {
             service: "grants".into(),
             id: "g-1".into(),
@@ -66,15 +66,15 @@
         }),
         gone: false,
     }];
-    world.explain.version = 1;
-    world.explain.in_flight = 2;
-    let unheard = Candidate {
+    server.explain.version = 1;
+    server.explain.in_flight = 2;
+    let unreported = Candidate {
         instance: "g-2".into(),
         health: "well".into(),
         age_ms: None,
         ..Candidate::default()
     };
-    world.explain.candidates = vec![
+    server.explain.candidates = vec![
         Candidate {
             instance: "g-1".into(),
             health: "slow".into(),
@@ -84,9 +84,9 @@
             chosen_millis: 250,
             reason: "least load".into(),
         },
-        unheard,
+        unreported,
     ];
-    world.status = Status {
+    server.status = Status {
         id: 7,
         role: Role::Leader.into(),
         term: 3,
@@ -104,7 +104,7 @@
         }],
         ledger_keys: 4,
     };
-    drop(world);
+    drop(server);
     fake
 }
 
@@ -113,7 +113,7 @@
     let fake = filled();
     let (control, directory) = (listen!(ControlApi, fake), listen!(DirectoryApi, fake));
     let gateway = listen!(GatewayApi, fake);
-    let dead = nobody();
+    let dead = unused_address();
     let same = write("show.ini", FILE);
     let more = write(
         "show-more.ini",
@@ -194,19 +194,19 @@
         if !line.contains("--control") {
             line = format!("{line} --control {control}");
         }
-        let ended = rwrctl(&format!("{line} --plain")).await;
+        let result = rwrctl(&format!("{line} --plain")).await;
         assert_eq!(
-            (ended.exit, ended.out.as_str()),
+            (result.exit, result.out.as_str()),
             (Exit::Done, plain.as_str()),
             "{line}: {}",
-            ended.err
+            result.err
         );
-        let ended = rwrctl(&line).await;
-        assert_eq!(ended.exit, Exit::Done, "{line}: {}", ended.err);
+        let result = rwrctl(&line).await;
+        assert_eq!(result.exit, Exit::Done, "{line}: {}", result.err);
         assert!(
-            people.is_empty() || ended.out == people,
+            people.is_empty() || result.out == people,
             "{line}:\n{}",
-            ended.out
+            result.out
         );
     }
 }
@@ -265,13 +265,13 @@
         ),
     ];
     for (line, kind, exit, text) in cases {
-        fake.world().membership.kind = kind;
-        let ended = rwrctl(&format!("{line} --control {control}")).await;
-        assert_eq!(ended.exit, exit, "{line}: {}", ended.err);
+        fake.lock().membership.kind = kind;
+        let result = rwrctl(&format!("{line} --control {control}")).await;
+        assert_eq!(result.exit, exit, "{line}: {}", result.err);
         assert!(
-            format!("{}{}", ended.out, ended.err).contains(text),
+            format!("{}{}", result.out, result.err).contains(text),
             "{line}: {}",
-            ended.err
+            result.err
         );
     }
 }
@@ -283,12 +283,12 @@
 const OTHER_LOG: &str = "ts=109.5 level=INFO msg=hub host=entry-2 binary=rwr-entry outcome=lost\n";
 
 #[tokio::test]
-async fn test_story_reads_all_files_given() {
+async fn test_story_reads_all_given_files() {
     let (entry, other) = (write("entry.log", ENTRY_LOG), write("other.log", OTHER_LOG));
     let (entry, other) = (entry.display(), other.display());
-    let told = rwrctl(&format!("story r-7 {other} {entry}")).await;
-    assert_eq!(told.exit, Exit::Done, "{}", told.err);
-    assert!(told.out.contains("outcome=timeout"), "{}", told.out);
+    let result = rwrctl(&format!("story r-7 {other} {entry}")).await;
+    assert_eq!(result.exit, Exit::Done, "{}", result.err);
+    assert!(result.out.contains("outcome=timeout"), "{}", result.out);
     let none = rwrctl(&format!("story r-9 {entry}")).await;
     assert_eq!(none.exit, Exit::Failure);
     assert!(
--- a/crates/cli/tests/test_history.rs
+++ b/crates/cli/tests/test_history.rs
@@ -1,4 +1,4 @@
-//! History while a replica knows nothing, or doesn't answer.
+//! `rwrctl history` when the first replica has no data or does not reply.
 
 mod fakes;
 
@@ -16,38 +16,40 @@
 fn filled() -> Fake {
     let fake = Fake::default();
     let wanted = catalogue::file::parse("c", FILE).expect("a good file");
-    let mut world = fake.world();
-    let edits = catalogue::diff::edits(&world.state.catalogue(), &wanted);
-    world.state.apply(&Change {
+    let mut server = fake.lock();
+    let edits = catalogue::diff::edits(&server.state.catalogue(), &wanted);
+    server.state.apply(&Change {
         id: "a-1".into(),
         base: 0,
         author: "anna".into(),
         edits,
     });
-    drop(world);
+    drop(server);
     fake
 }
 
 #[tokio::test]
-async fn test_history_emptied_replica_first_in_the_list_bounds_nothing() {
+async fn test_history_skips_replica_without_data() {
     let empty = Fake::default();
-    empty.world().cut = true;
+    empty.lock().no_majority = true;
     let first = listen!(ControlApi, empty);
     let second = listen!(ControlApi, filled());
     for line in ["history", "history --from 1"] {
-        let ended = rwrctl(&format!("{line} --control {first},{second}")).await;
-        assert_eq!(ended.exit, Exit::Done, "{line}: {}", ended.err);
-        assert!(ended.out.contains("a-1"), "{line}: {}", ended.out);
+        let result = rwrctl(&format!("{line} --control {first},{second}")).await;
+        assert_eq!(result.exit, Exit::Done, "{line}: {}", result.err);
+        assert!(result.out.contains("a-1"), "{line}: {}", result.out);
     }
 }
 
 #[tokio::test]
-async fn test_history_replica_that_does_not_answer_is_passed_over() {
-    let silent = TcpListener::bind(fakes::any()).await.expect("a free port");
+async fn test_history_skips_replica_that_does_not_reply() {
+    let silent = TcpListener::bind(fakes::any_port())
+        .await
+        .expect("a free port");
     let first = silent.local_addr().expect("its address");
     let second = listen!(ControlApi, filled());
     let line = format!("history --timeout 2s --control {first},{second}");
-    let ended = rwrctl(&line).await;
-    assert_eq!(ended.exit, Exit::Done, "{}", ended.err);
-    assert!(ended.out.contains("a-1"), "{}", ended.out);
+    let result = rwrctl(&line).await;
+    assert_eq!(result.exit, Exit::Done, "{}", result.err);
+    assert!(result.out.contains("a-1"), "{}", result.out);
 }
--- a/crates/cli/tests/test_routes.rs
+++ b/crates/cli/tests/test_routes.rs
@@ -1,4 +1,4 @@
-//! The route table by `rwrctl`.
+//! The commands of `rwrctl` that call hubs: route tables, evacuations and quarantine.
 
 mod fakes;
 
@@ -7,8 +7,8 @@
 
 use cli::Exit;
 use fakes::listen;
-use fakes::nobody;
 use fakes::rwrctl;
+use fakes::unused_address;
 use fakes::write;
 use futures::StreamExt;
 use tarpc::context::Context;
@@ -61,7 +61,7 @@
         Table::default()
     }
 
-    /// Takes orders on one failure domain, and answers the others in other ways.
+    /// Accepts orders on one failure domain; each other one gets a different outcome.
     async fn evacuate(self, _: Context, order: Evacuation) -> EvacuationReply {
         let outcome = match order.domain.as_str() {
             "milano" => EvacuationOutcome::Taken,
@@ -90,25 +90,25 @@
     }
 
     async fn put_table(self, _: Context, table: Table) -> TableReply {
-        let mut held = self.0.lock().expect("no test panics while it holds it");
-        let version = held.as_ref().map_or(0, |held| held.version);
+        let mut stored = self.0.lock().expect("no test panics while it holds it");
+        let version = stored.as_ref().map_or(0, |stored| stored.version);
         let outcome = if table.version > version {
-            *held = Some(table);
+            *stored = Some(table);
             TableOutcome::Taken
         } else {
             TableOutcome::Older
         };
         TableReply {
             outcome: outcome.into(),
-            version: held.as_ref().map_or(0, |held| held.version),
+            version: stored.as_ref().map_or(0, |stored| stored.version),
         }
     }
 
     async fn read_table(self, _: Context) -> ReadReply {
-        let held = self.0.lock().expect("no test panics while it holds it");
+        let stored = self.0.lock().expect("no test panics while it holds it");
         ReadReply {
-            confirmed: held.is_some(),
-            table: held.clone(),
+            confirmed: stored.is_some(),
+            table: stored.clone(),
         }
     }
 
@@ -139,7 +139,11 @@
     let path = path.display();
     let before = rwrctl(&format!("routes show --hub {hub}")).await;
     assert_eq!(before.exit, Exit::Unreachable);
-    let put = rwrctl(&format!("routes put {path} --hub {},{hub}", nobody())).await;
+    let put = rwrctl(&format!(
+        "routes put {path} --hub {},{hub}",
+        unused_address()
+    ))
+    .await;
     assert_eq!(put.exit, Exit::Done, "{}", put.err);
     let show = rwrctl(&format!("routes show --hub {hub}")).await;
     assert!(
@@ -155,14 +159,14 @@
 async fn test_routes_check_reports_every_fault() {
     let bad = FILE.replace("attempts = 2", "attempts = 0\ntimeout = 11min");
     let path = write("routes-bad.ini", &bad);
-    let ended = rwrctl(&format!("routes check {}", path.display())).await;
-    assert_eq!(ended.exit, Exit::Invalid);
+    let result = rwrctl(&format!("routes check {}", path.display())).await;
+    assert_eq!(result.exit, Exit::Invalid);
     for part in ["0 attempts", "timeout"] {
-        assert!(ended.err.contains(part), "{part} in {}", ended.err);
+        assert!(result.err.contains(part), "{part} in {}", result.err);
     }
     let good = write("routes-good.ini", FILE);
-    let ended = rwrctl(&format!("routes check {}", good.display())).await;
-    assert_eq!(ended.exit, Exit::Done, "{}", ended.err);
+    let result = rwrctl(&format!("routes check {}", good.display())).await;
+    assert_eq!(result.exit, Exit::Done, "{}", result.err);
 }
 
 #[tokio::test]
@@ -194,10 +198,10 @@
         ("evacuate", Exit::Usage, "DOMAIN"),
     ];
     for (line, exit, text) in cases {
-        let ended = rwrctl(&format!("{line} --hub {hub}")).await;
-        assert_eq!(ended.exit, exit, "{line}: {}", ended.err);
-        let told = format!("{}{}", ended.out, ended.err);
-        assert!(told.contains(text), "{line}: {told}");
+        let result = rwrctl(&format!("{line} --hub {hub}")).await;
+        assert_eq!(result.exit, exit, "{line}: {}", result.err);
+        let output = format!("{}{}", result.out, result.err);
+        assert!(output.contains(text), "{line}: {output}");
     }
     let listed = rwrctl(&format!("evacuations --hub {hub}")).await;
     assert!(!listed.out.contains("torino"), "{}", listed.out);
--- a/crates/cli/tests/test_story.rs
+++ b/crates/cli/tests/test_story.rs
@@ -1,4 +1,4 @@
-//! What the logs tell of one request.
+//! Which log lines `rwrctl story` collects for a request.
 
 use cli::story;
 
@@ -16,9 +16,12 @@
 ";
 
 #[test]
-fn test_story_has_the_request_and_what_its_host_believed() {
-    let story = story::tell("r-7", &[OTHER.to_owned(), ENTRY.to_owned()]);
-    let told: Vec<(f64, &str)> = story.iter().map(|line| (line.at, &*line.text)).collect();
+fn test_story_includes_request_and_its_hosts_instance_lines() {
+    let story = story::collect_lines("r-7", &[OTHER.to_owned(), ENTRY.to_owned()]);
+    let lines: Vec<(f64, &str)> = story
+        .iter()
+        .map(|line| (line.timestamp, &*line.text))
+        .collect();
     let expected = [
         (
             109.0,
@@ -37,5 +40,5 @@
             "msg=request ms=1000 instance=i-1 attempts=1 status=504 outcome=timeout request=r-7",
         ),
     ];
-    assert_eq!(told, expected);
+    assert_eq!(lines, expected);
 }
--- a/crates/cli/tests/test_usage.rs
+++ b/crates/cli/tests/test_usage.rs
@@ -1,4 +1,4 @@
-//! What a wrong command line or settings file gets, and what the right ones do.
+//! Error messages for invalid command lines and settings files, and the use of valid ones.
 
 mod fakes;
 
@@ -6,8 +6,8 @@
 use fakes::FILE;
 use fakes::Fake;
 use fakes::listen;
-use fakes::nobody;
 use fakes::rwrctl;
+use fakes::unused_address;
 use fakes::write;
 use futures::StreamExt;
 use tarpc::server::BaseChannel;
@@ -17,12 +17,12 @@
 use wire::catalogue::edit::Kind;
 
 #[tokio::test]
-async fn test_usage_faults() {
+async fn test_usage_errors() {
     let settings = write(
         "client.ini",
         "[rwrctl]\ncontrol = here\ntimeout = 5\ncolour = red\n",
     );
-    let (settings, dead) = (settings.display(), nobody());
+    let (settings, dead) = (settings.display(), unused_address());
     let cases = [
         ("--help".into(), Exit::Done, "Usage: rwrctl"),
         ("show -h".into(), Exit::Done, "Usage: rwrctl"),
@@ -87,18 +87,18 @@
         ),
     ];
     for (line, exit, text) in cases {
-        let ended = rwrctl(&line).await;
-        assert_eq!(ended.exit, exit, "{line}: {}", ended.err);
+        let result = rwrctl(&line).await;
+        assert_eq!(result.exit, exit, "{line}: {}", result.err);
         assert!(
-            format!("{}{}", ended.out, ended.err).contains(text),
+            format!("{}{}", result.out, result.err).contains(text),
             "{line}: {}",
-            ended.err
+            result.err
         );
         assert_eq!(
-            ended.err.contains("hint: "),
+            result.err.contains("hint: "),
             exit != Exit::Done,
             "{line}: {}",
-            ended.err
+            result.err
         );
     }
 }
@@ -118,13 +118,13 @@
     let file = write("settings.ini", FILE);
     let line = format!("apply {} --config {}", file.display(), settings.display());
     assert_eq!(rwrctl(&line).await.exit, Exit::Done);
-    assert_eq!(fake.world().changes[0].author, "bruno");
-    let ended = rwrctl(&format!("show grants --config {}", settings.display())).await;
-    assert_eq!(ended.exit, Exit::Done, "{}", ended.err);
-    let ended = rwrctl(&format!("show none --config {}", settings.display())).await;
-    assert_eq!(ended.exit, Exit::Failure);
-    assert_eq!(ended.err, "rwrctl: there is no service none\n");
-    fake.world().state.apply(&Change {
+    assert_eq!(fake.lock().changes[0].author, "bruno");
+    let result = rwrctl(&format!("show grants --config {}", settings.display())).await;
+    assert_eq!(result.exit, Exit::Done, "{}", result.err);
+    let result = rwrctl(&format!("show none --config {}", settings.display())).await;
+    assert_eq!(result.exit, Exit::Failure);
+    assert_eq!(result.err, "rwrctl: there is no service none\n");
+    fake.lock().state.apply(&Change {
         id: "later".into(),
         base: 1,
         author: "anna".into(),
