--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -4,12 +4,12 @@
 //! queue are left out and counted. Metrics are kept in the process, for whoever
 //! asks, and sent where a sink is set.
 
-pub mod board;
 pub mod limit;
 pub mod log;
 pub mod logfmt;
 pub mod metrics;
+pub mod registry;
 pub mod settings;
 
-pub use board::Board;
+pub use registry::Board;
 pub use settings::Settings;
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -11,9 +11,9 @@
 use cadence::UdpMetricSink;
 use quick_error::quick_error;
 
-use crate::board::Board;
-use crate::board::Next;
-use crate::board::Tee;
+use crate::registry::Board;
+use crate::registry::Next;
+use crate::registry::Tee;
 
 /// First part of every metric's name.
 pub const PREFIX: &str = "rwr";
