--- a/crates/daemon/src/page.rs
+++ b/crates/daemon/src/page.rs
@@ -57,7 +57,7 @@
 }
 
 async fn answer(_: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
-    let text = telemetry::metrics::board().text();
+    let text = telemetry::metrics::registry().text();
     let mut response = Response::new(Full::new(Bytes::from(text)));
     let kind = HeaderValue::from_static("text/plain; version=0.0.4");
     response.headers_mut().insert(CONTENT_TYPE, kind);
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -11,5 +11,5 @@
 pub mod registry;
 pub mod settings;
 
-pub use registry::Board;
+pub use registry::MetricsRegistry;
 pub use settings::Settings;
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -11,7 +11,7 @@
 use cadence::UdpMetricSink;
 use quick_error::quick_error;
 
-use crate::registry::Board;
+use crate::registry::MetricsRegistry;
 use crate::registry::Next;
 use crate::registry::Tee;
 
@@ -40,9 +40,9 @@
 }
 
 /// The metrics of this process.
-pub fn board() -> &'static Board {
-    static BOARD: OnceLock<Board> = OnceLock::new();
-    BOARD.get_or_init(Board::default)
+pub fn registry() -> &'static MetricsRegistry {
+    static BOARD: OnceLock<MetricsRegistry> = OnceLock::new();
+    BOARD.get_or_init(MetricsRegistry::default)
 }
 
 /// A client that counts on the process's board, and sends to `sink` where there is one.
@@ -53,7 +53,7 @@
 pub fn start(sink: Option<SocketAddr>, host: &str) -> Result<StatsdClient, MetricsError> {
     let next = sink.map(sender).transpose()?;
     let tee = Tee {
-        board: board().clone(),
+        registry: registry().clone(),
         next,
     };
     Ok(StatsdClient::builder(PREFIX, tee)
--- a/crates/telemetry/src/registry.rs
+++ b/crates/telemetry/src/registry.rs
@@ -40,7 +40,7 @@
 
 /// The metrics of one process; clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct MetricsRegistry {
     state: Arc<Mutex<State>>,
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-impl Board {
+impl MetricsRegistry {
     /// All metrics as text.
     #[must_use]
     pub fn text(&self) -> String {
@@ -170,14 +170,14 @@
 
 /// Passes each metric to the board, and on to another sink where there is one.
 pub(crate) struct Tee {
-    pub(crate) board: Board,
+    pub(crate) registry: MetricsRegistry,
     pub(crate) next: Option<Next>,
 }
 
 impl MetricSink for Tee {
     fn emit(&self, metric: &str) -> io::Result<usize> {
         if let Some(line) = Line::read(metric) {
-            self.board.take(&line);
+            self.registry.take(&line);
         }
         match &self.next {
             Some(next) => next.emit(metric),
--- a/crates/telemetry/tests/test_board.rs
+++ b/crates/telemetry/tests/test_board.rs
@@ -32,7 +32,7 @@
             .time("board.span", Duration::from_millis(millis))
             .expect("counts");
     }
-    let text = metrics::board().text();
+    let text = metrics::registry().text();
     let line = |name: &str| {
         let found = text.lines().find(|line| line.starts_with(name));
         found
