--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,8 +1,8 @@
-//! Logs as logfmt lines and metrics over UDP, for the daemons.
+//! Logging and metrics for the daemons.
 //!
-//! Both are bounded and never hold a request up: lines beyond a rate or a full
-//! queue are left out and counted. Metrics are kept in the process, for whoever
-//! asks, and sent where a sink is set.
+//! Logs are logfmt lines; lines beyond a rate or a full queue are dropped and counted, so logging
+//! never blocks a request. Metrics are recorded in the process, and sent over UDP in the statsd
+//! format if a sink is configured.
 
 pub mod limit;
 pub mod log;
--- a/crates/telemetry/src/limit.rs
+++ b/crates/telemetry/src/limit.rs
@@ -1,5 +1,5 @@
-//! Bounds the lines of a log: beyond a rate they are left out, and one line a
-//! second says how many. Errors and warnings have twice the rate.
+//! Rate limit for log lines. Lines beyond the rate are dropped, and at most one line per second
+//! reports how many. Errors and warnings have twice the rate.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -13,48 +13,49 @@
 use slog::b;
 use slog::record;
 
-/// The span for which lines are counted.
-const SPAN: Duration = Duration::from_secs(1);
+/// Period over which lines are counted.
+const WINDOW: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
-struct Count {
-    since: Instant,
+struct Window {
+    started_at: Instant,
     lines: u32,
-    left_out: u32,
+    dropped: u32,
 }
 
-/// A drain that leaves out what comes beyond a rate.
-pub struct Limit<D> {
+/// A drain that drops log lines beyond a rate.
+pub struct RateLimit<D> {
     drain: D,
     rate: u32,
-    count: Mutex<Count>,
+    window: Mutex<Window>,
 }
 
-impl<D> Limit<D> {
-    /// Passes up to `rate` lines a second on to `drain`.
+impl<D> RateLimit<D> {
+    /// Creates a drain that passes up to `rate` lines per second on to `drain`.
     pub fn new(drain: D, rate: u32) -> Self {
-        let count = Count {
-            since: Instant::now(),
+        let window = Window {
+            started_at: Instant::now(),
             lines: 0,
-            left_out: 0,
+            dropped: 0,
         };
         Self {
             drain,
             rate,
-            count: Mutex::new(count),
+            window: Mutex::new(window),
         }
     }
 
-    /// Whether a line of `level` passes, and how many a span that has ended left out.
+    /// Whether a line of `level` is admitted, and how many lines were dropped in a window that
+    /// has just ended.
     fn admit(&self, level: Level) -> (bool, u32) {
-        let mut count = self.count.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut ended = 0;
-        if count.since.elapsed() >= SPAN {
-            ended = count.left_out;
-            *count = Count {
-                since: Instant::now(),
+        let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut previously_dropped = 0;
+        if window.started_at.elapsed() >= WINDOW {
+            previously_dropped = window.dropped;
+            *window = Window {
+                started_at: Instant::now(),
                 lines: 0,
-                left_out: 0,
+                dropped: 0,
             };
         }
         let rate = if level.is_at_least(Level::Warning) {
@@ -62,29 +63,29 @@
         } else {
             self.rate
         };
-        let passes = count.lines < rate;
-        if passes {
-            count.lines += 1;
+        let admitted = window.lines < rate;
+        if admitted {
+            window.lines += 1;
         } else {
-            count.left_out += 1;
+            window.dropped += 1;
         }
-        (passes, ended)
+        (admitted, previously_dropped)
     }
 }
 
-impl<D: Drain> Drain for Limit<D> {
+impl<D: Drain> Drain for RateLimit<D> {
     type Ok = ();
     type Err = D::Err;
 
     fn log(&self, record: &Record, values: &OwnedKVList) -> Result<(), D::Err> {
-        let (passes, left_out) = self.admit(record.level());
-        if left_out > 0 {
+        let (admitted, dropped) = self.admit(record.level());
+        if dropped > 0 {
             let message = format_args!("log lines left out");
-            let values_here = b!("count" => left_out, "rate" => self.rate);
+            let counts = b!("count" => dropped, "rate" => self.rate);
             self.drain
-                .log(&record!(Level::Warning, "", &message, values_here), values)?;
+                .log(&record!(Level::Warning, "", &message, counts), values)?;
         }
-        if passes {
+        if admitted {
             self.drain.log(record, values)?;
         }
         Ok(())
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -1,4 +1,4 @@
-//! One logfmt line an event, through a bounded asynchronous queue.
+//! Writes one logfmt line per event, through a bounded asynchronous queue.
 
 use std::io;
 use std::io::LineWriter;
@@ -15,22 +15,22 @@
 use slog_async::OverflowStrategy;
 use slog_logfmt::Logfmt;
 
-use crate::limit::Limit;
+use crate::limit::RateLimit;
 
-/// Lines that may wait for the writer; more are dropped and counted.
-pub const QUEUE: usize = 16_384;
+/// Maximum number of lines waiting for the writer; further ones are dropped and counted.
+pub const QUEUE_CAPACITY: usize = 16_384;
 
-/// Bytes of a line that go out in one write.
-const LINE: usize = 8 * 1024;
+/// Size of the line buffer, in bytes; a longer line may take several writes.
+const LINE_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Writes the queued lines when dropped.
+/// Flushes the queued lines when dropped.
 pub struct LogGuard {
     _guard: AsyncGuard,
 }
 
-/// A logger that writes every line of `level` and above to `out`.
+/// Creates a logger that writes every line of `level` and above to `out`.
 ///
-/// Each line has `binary` and `host`. The guard must live as long as the process.
+/// Each line has the keys `binary` and `host`. The guard must live as long as the process.
 pub fn start(
     out: impl io::Write + Send + 'static,
     level: Level,
@@ -40,7 +40,7 @@
     start_limited(out, level, binary, host, u32::MAX)
 }
 
-/// The same; lines beyond `rate` a second are left out and counted.
+/// Like [`start`], but lines beyond `rate` per second are dropped and counted.
 pub fn start_limited(
     out: impl io::Write + Send + 'static,
     level: Level,
@@ -48,24 +48,24 @@
     host: &str,
     rate: u32,
 ) -> (Logger, LogGuard) {
-    // The formatter writes piece by piece; whole lines go out.
-    let format = Logfmt::new(LineWriter::with_capacity(LINE, out))
+    // The formatter writes in pieces, which the buffer joins into whole lines.
+    let format = Logfmt::new(LineWriter::with_capacity(LINE_BUFFER_BYTES, out))
         .set_prefix(write_time)
         .print_level(true)
         .print_msg(true)
         .build()
-        // A line that can't be written is lost, and the thread goes on.
+        // A write error loses the line but must not end the writer thread.
         .ignore_res();
     let (queue, guard) = Async::new(format)
-        .chan_size(QUEUE)
+        .chan_size(QUEUE_CAPACITY)
         .overflow_strategy(OverflowStrategy::DropAndReport)
         .build_with_guard();
-    let drain = Limit::new(queue, rate).filter_level(level).fuse();
+    let drain = RateLimit::new(queue, rate).filter_level(level).fuse();
     let logger = Logger::root(drain, o!("binary" => binary, "host" => host.to_owned()));
     (logger, LogGuard { _guard: guard })
 }
 
-/// A logger that writes nothing.
+/// A logger that discards everything.
 pub fn silent() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/crates/telemetry/src/logfmt.rs
+++ b/crates/telemetry/src/logfmt.rs
@@ -1,6 +1,6 @@
-//! Reads lines of the log.
+//! Parses logfmt lines.
 
-/// The value of `key` in a logfmt line, without its quotes.
+/// The value of `key` in a logfmt line, without quotes; `None` if the line lacks the key.
 #[must_use]
 pub fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     let mut rest = line;
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and timers in the statsd format.
+//! Creates the clients through which the daemons record counters, gauges and timers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,25 +12,25 @@
 use quick_error::quick_error;
 
 use crate::registry::MetricsRegistry;
-use crate::registry::Next;
+use crate::registry::NextSink;
 use crate::registry::Tee;
 
-/// First part of every metric's name.
+/// Prefix of every metric's name.
 pub const PREFIX: &str = "rwr";
-/// Metrics that may wait for the sender; more are dropped.
-pub const QUEUE: usize = 16_384;
+/// Maximum number of metrics waiting to be sent; further ones are dropped.
+pub const QUEUE_CAPACITY: usize = 16_384;
 
 quick_error! {
-    /// Why no metrics can be sent.
+    /// Why the metrics client can't be created.
     #[derive(Debug)]
     pub enum MetricsError {
-        /// The local UDP socket.
+        /// The local UDP socket can't be opened.
         Socket(err: io::Error) {
             from()
             source(err)
             display("metrics socket: {err}")
         }
-        /// The sink's address.
+        /// The sink's address can't be used.
         Sink(err: cadence::MetricError) {
             from()
             source(err)
@@ -41,17 +41,18 @@
 
 /// The metrics of this process.
 pub fn registry() -> &'static MetricsRegistry {
-    static BOARD: OnceLock<MetricsRegistry> = OnceLock::new();
-    BOARD.get_or_init(MetricsRegistry::default)
+    static REGISTRY: OnceLock<MetricsRegistry> = OnceLock::new();
+    REGISTRY.get_or_init(MetricsRegistry::default)
 }
 
-/// A client that counts on the process's board, and sends to `sink` where there is one.
+/// Creates a client that records metrics in the process's registry and sends them to `sink`, if
+/// given.
 ///
 /// # Errors
 ///
-/// Fails when the local socket can't be had.
+/// Fails when the UDP socket for `sink` can't be set up.
 pub fn start(sink: Option<SocketAddr>, host: &str) -> Result<StatsdClient, MetricsError> {
-    let next = sink.map(sender).transpose()?;
+    let next = sink.map(udp_sink).transpose()?;
     let tee = Tee {
         registry: registry().clone(),
         next,
@@ -61,7 +62,7 @@
         .build())
 }
 
-fn sender(sink: SocketAddr) -> Result<Next, MetricsError> {
+fn udp_sink(sink: SocketAddr) -> Result<NextSink, MetricsError> {
     let local = if sink.is_ipv4() {
         "0.0.0.0:0"
     } else {
@@ -70,10 +71,13 @@
     let socket = UdpSocket::bind(local)?;
     socket.set_nonblocking(true)?;
     let sink = UdpMetricSink::from(sink, socket)?;
-    Ok(Box::new(QueuingMetricSink::with_capacity(sink, QUEUE)))
+    Ok(Box::new(QueuingMetricSink::with_capacity(
+        sink,
+        QUEUE_CAPACITY,
+    )))
 }
 
-/// A client that sends nothing.
+/// A client that discards everything.
 #[must_use]
 pub fn silent() -> StatsdClient {
     StatsdClient::from_sink(PREFIX, NopMetricSink)
--- a/crates/telemetry/src/registry.rs
+++ b/crates/telemetry/src/registry.rs
@@ -1,8 +1,8 @@
-//! Counters, gauges and histograms kept in the process, for whoever asks for them.
+//! In-process registry of counters, gauges and timers, for scraping.
 //!
-//! It is a sink for the metrics library, so that one call both sends a metric
-//! over UDP, where a sink is set, and counts it here. What it shows is text, one
-//! metric a line: `name{tag="value"} number`.
+//! The registry is filled by a sink of the metrics library, so one call both records a metric here
+//! and sends it over UDP if a sink is configured. Its text format has one metric per line:
+//! `name{tag="value"} number`.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -16,44 +16,45 @@
 use cadence::MetricSink;
 use hdrhistogram::Histogram;
 
-/// Metrics with different names or tags that are kept; others are counted as left out.
+/// Maximum number of metrics, by name and tags; values of further ones are counted as dropped.
 const MAX_METRICS: usize = 2_048;
-/// Significant digits of a histogram: one in a hundred, at 2 KB a histogram.
-const DIGITS: u8 = 2;
-/// The longest time that a histogram tells apart, in milliseconds: ten minutes.
-const MAX_MS: u64 = 600_000;
-/// What is shown of a histogram.
+/// Significant decimal digits of a histogram.
+const SIGNIFICANT_DIGITS: u8 = 2;
+/// Longest duration that a histogram records, in milliseconds; longer ones count as this.
+const MAX_DURATION_MS: u64 = 600_000;
+/// Quantiles reported for a timer.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
 
 #[derive(Debug)]
 enum Metric {
     Counter(i64),
     Gauge(f64),
-    Times(Box<Histogram<u32>>, u64),
+    /// Durations in milliseconds, and their sum.
+    Timer(Box<Histogram<u32>>, u64),
 }
 
 #[derive(Debug, Default)]
 struct State {
     metrics: BTreeMap<String, Metric>,
-    left_out: u64,
+    dropped: u64,
 }
 
-/// The metrics of one process; clones share them.
+/// The metrics of one process. Clones share the same metrics.
 #[derive(Clone, Debug, Default)]
 pub struct MetricsRegistry {
     state: Arc<Mutex<State>>,
 }
 
-/// One metric as the library writes it: `name:value|kind|#tag:value,...`.
-struct Line<'a> {
+/// One metric in the statsd format: `name:value|kind|#tag:value,...`.
+struct StatsdLine<'a> {
     name: &'a str,
     value: &'a str,
     kind: &'a str,
     tags: &'a str,
 }
 
-impl<'a> Line<'a> {
-    fn read(text: &'a str) -> Option<Self> {
+impl<'a> StatsdLine<'a> {
+    fn parse(text: &'a str) -> Option<Self> {
         let (name, rest) = text.split_once(':')?;
         let mut parts = rest.split('|');
         let value = parts.next()?;
@@ -67,7 +68,7 @@
         })
     }
 
-    /// Its name with its tags.
+    /// The name and tags as they appear in the text format.
     fn key(&self) -> String {
         let mut key = self.name.replace(['.', '-'], "_");
         if self.tags.is_empty() {
@@ -77,7 +78,7 @@
         for (i, tag) in self.tags.split(',').enumerate() {
             let (name, value) = tag.split_once(':').unwrap_or((tag, ""));
             let comma = if i == 0 { "" } else { "," };
-            // Writing to a string fails for no reason of its own.
+            // Writing to a string can't fail.
             let _ = write!(key, "{comma}{name}=\"{value}\"");
         }
         key.push('}');
@@ -86,28 +87,28 @@
 }
 
 impl MetricsRegistry {
-    /// All metrics as text.
+    /// Renders all metrics as text.
     #[must_use]
     pub fn text(&self) -> String {
         let state = self.state();
         let mut out = String::new();
         for (key, metric) in &state.metrics {
-            // Writing to a string fails for no reason of its own.
+            // Writing to a string can't fail.
             let _ = match metric {
                 Metric::Counter(count) => writeln!(out, "{key} {count}"),
                 Metric::Gauge(value) => writeln!(out, "{key} {value}"),
-                Metric::Times(times, sum) => write_times(&mut out, key, times, *sum),
+                Metric::Timer(histogram, sum) => write_timer(&mut out, key, histogram, *sum),
             };
         }
-        let _ = writeln!(out, "rwr_metrics_left_out {}", state.left_out);
+        let _ = writeln!(out, "rwr_metrics_left_out {}", state.dropped);
         out
     }
 
-    fn take(&self, line: &Line) {
+    fn record(&self, line: &StatsdLine) {
         let key = line.key();
         let mut state = self.state();
         if state.metrics.len() >= MAX_METRICS && !state.metrics.contains_key(&key) {
-            state.left_out += 1;
+            state.dropped += 1;
             return;
         }
         match line.kind {
@@ -124,10 +125,10 @@
             }
             "ms" => {
                 if let Ok(value) = line.value.parse() {
-                    observe(&mut state, &key, value);
+                    record_duration(&mut state, &key, value);
                 }
             }
-            _ => state.left_out += 1,
+            _ => state.dropped += 1,
         }
     }
 
@@ -136,48 +137,54 @@
     }
 }
 
-fn observe(state: &mut State, key: &str, millis: u64) {
+fn record_duration(state: &mut State, key: &str, millis: u64) {
     if !state.metrics.contains_key(key) {
-        // Bounds and digits are constants that the library allows.
-        let Ok(times) = Histogram::new_with_bounds(1, MAX_MS, DIGITS) else {
+        // The bounds and digits are valid constants, so creation doesn't fail.
+        let Ok(histogram) = Histogram::new_with_bounds(1, MAX_DURATION_MS, SIGNIFICANT_DIGITS)
+        else {
             return;
         };
-        let times = Metric::Times(Box::new(times), 0);
-        state.metrics.insert(key.to_owned(), times);
+        let histogram = Metric::Timer(Box::new(histogram), 0);
+        state.metrics.insert(key.to_owned(), histogram);
     }
-    if let Some(Metric::Times(times, sum)) = state.metrics.get_mut(key) {
-        times.saturating_record(millis);
+    if let Some(Metric::Timer(histogram, sum)) = state.metrics.get_mut(key) {
+        histogram.saturating_record(millis);
         *sum += millis;
     }
 }
 
-fn write_times(out: &mut String, key: &str, times: &Histogram<u32>, sum: u64) -> std::fmt::Result {
+fn write_timer(
+    out: &mut String,
+    key: &str,
+    histogram: &Histogram<u32>,
+    sum: u64,
+) -> std::fmt::Result {
     let (name, tags) = match key.split_once('{') {
         Some((name, tags)) => (name, format!(",{}", tags.trim_end_matches('}'))),
         None => (key, String::new()),
     };
     for quantile in QUANTILES {
-        let value = times.value_at_quantile(quantile);
+        let value = histogram.value_at_quantile(quantile);
         writeln!(out, "{name}_ms{{quantile=\"{quantile}\"{tags}}} {value}")?;
     }
     let bare = tags.trim_start_matches(',');
-    writeln!(out, "{name}_ms_count{{{bare}}} {}", times.len())?;
+    writeln!(out, "{name}_ms_count{{{bare}}} {}", histogram.len())?;
     writeln!(out, "{name}_ms_sum{{{bare}}} {sum}")
 }
 
-/// A sink beyond the board.
-pub(crate) type Next = Box<dyn MetricSink + Send + Sync + RefUnwindSafe>;
+/// A sink that gets the metrics in addition to the registry.
+pub(crate) type NextSink = Box<dyn MetricSink + Send + Sync + RefUnwindSafe>;
 
-/// Passes each metric to the board, and on to another sink where there is one.
+/// Records each metric in the registry and passes it on to the next sink, if there is one.
 pub(crate) struct Tee {
     pub(crate) registry: MetricsRegistry,
-    pub(crate) next: Option<Next>,
+    pub(crate) next: Option<NextSink>,
 }
 
 impl MetricSink for Tee {
     fn emit(&self, metric: &str) -> io::Result<usize> {
-        if let Some(line) = Line::read(metric) {
-            self.registry.take(&line);
+        if let Some(line) = StatsdLine::parse(metric) {
+            self.registry.record(&line);
         }
         match &self.next {
             Some(next) => next.emit(metric),
--- a/crates/telemetry/src/settings.rs
+++ b/crates/telemetry/src/settings.rs
@@ -1,4 +1,4 @@
-//! The sections `[log]` and `[metrics]`, the same in every daemon's settings.
+//! The sections `[log]` and `[metrics]` of every daemon's settings.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,22 +6,21 @@
 use conf::Reader;
 use conf::value::log_level::Level;
 
-const LOG: &str = "log";
-const METRICS: &str = "metrics";
-/// Lines a second, by default: three for each of 500 requests, at a thousandth of a
-/// core for a hundred lines.
-const RATE: u32 = 1_500;
+const LOG_SECTION: &str = "log";
+const METRICS_SECTION: &str = "metrics";
+/// Default for [`Settings::rate`].
+const DEFAULT_RATE: u32 = 1_500;
 
-/// What is logged, and where metrics go.
+/// Settings for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Least level that is logged.
+    /// Minimum level that is logged.
     pub level: Level,
-    /// Lines a second; more are left out and counted.
+    /// Maximum number of log lines per second; further ones are dropped and counted.
     pub rate: u32,
-    /// Where metrics go, over UDP; nowhere when there is none.
+    /// Address to which metrics are sent over UDP; not sent when `None`.
     pub sink: Option<SocketAddr>,
-    /// Where metrics are asked for, over HTTP; nowhere when there is none.
+    /// Address on which metrics are served over HTTP; not served when `None`.
     pub listen: Option<SocketAddr>,
 }
 
@@ -29,7 +28,7 @@
     fn default() -> Self {
         Self {
             level: Level::default(),
-            rate: RATE,
+            rate: DEFAULT_RATE,
             sink: None,
             listen: None,
         }
@@ -37,26 +36,26 @@
 }
 
 impl Settings {
-    /// Reads both sections; faults are noted in `reader`.
+    /// Reads both sections; errors are collected in `reader`.
     #[must_use]
     pub fn read(reader: &mut Reader) -> Self {
         Self {
-            level: reader.or(LOG, "level", Level::default()),
-            rate: reader.or(LOG, "rate", RATE),
-            sink: reader.optional(METRICS, "sink"),
-            listen: reader.optional(METRICS, "listen"),
+            level: reader.or(LOG_SECTION, "level", Level::default()),
+            rate: reader.or(LOG_SECTION, "rate", DEFAULT_RATE),
+            sink: reader.optional(METRICS_SECTION, "sink"),
+            listen: reader.optional(METRICS_SECTION, "listen"),
         }
     }
 }
 
-/// The sections as INI, which [`Settings::read`] reads again.
+/// Writes the sections as INI text that [`Settings::read`] accepts.
 impl fmt::Display for Settings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "[{LOG}]")?;
+        writeln!(f, "[{LOG_SECTION}]")?;
         writeln!(f, "level = {}", self.level)?;
         writeln!(f, "rate = {}", self.rate)?;
         if self.sink.is_some() || self.listen.is_some() {
-            writeln!(f, "\n[{METRICS}]")?;
+            writeln!(f, "\n[{METRICS_SECTION}]")?;
         }
         if let Some(sink) = self.sink {
             writeln!(f, "sink = {sink}")?;
--- a/crates/telemetry/tests/test_board.rs
+++ b/crates/telemetry/tests/test_board.rs
@@ -1,4 +1,4 @@
-//! What the board shows, and how many lines of a log pass.
+//! The text of the metrics registry, and the rate limit for log lines.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -14,11 +14,11 @@
 use slog::info;
 use slog::o;
 use slog::warn;
-use telemetry::limit::Limit;
+use telemetry::limit::RateLimit;
 use telemetry::metrics;
 
 #[test]
-fn test_board_shows_counters_gauges_and_times_by_tag() {
+fn test_registry_shows_counters_gauges_and_timers_by_tag() {
     let client = metrics::start(None, "host-1").expect("a client");
     for _ in 0..3 {
         client
@@ -51,25 +51,25 @@
     assert!(line("rwr_metrics_left_out").ends_with(" 0"));
 }
 
-/// Keeps the messages that reach it.
+/// Records the messages that reach the drain.
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<String>>>);
+struct RecordedMessages(Arc<Mutex<Vec<String>>>);
 
-impl Drain for Kept {
+impl Drain for RecordedMessages {
     type Ok = ();
     type Err = slog::Never;
 
     fn log(&self, record: &Record, _: &OwnedKVList) -> Result<(), slog::Never> {
-        let mut kept = self.0.lock().expect("no test panics while it holds it");
-        kept.push(record.msg().to_string());
+        let mut messages = self.0.lock().expect("no test panics while it holds it");
+        messages.push(record.msg().to_string());
         Ok(())
     }
 }
 
 #[test]
-fn test_limit_leaves_out_what_comes_beyond_the_rate() {
-    let kept = Kept::default();
-    let drain = Limit::new(kept.clone(), 10).fuse();
+fn test_limit_drops_lines_beyond_the_rate() {
+    let messages = RecordedMessages::default();
+    let drain = RateLimit::new(messages.clone(), 10).fuse();
     let log = Logger::root(drain, o!());
     for _ in 0..50 {
         info!(log, "line");
@@ -77,9 +77,9 @@
     for _ in 0..50 {
         warn!(log, "warning");
     }
-    let lines = kept.0.lock().expect("held by nobody").clone();
+    let lines = messages.0.lock().expect("held by nobody").clone();
     let count = |word: &str| lines.iter().filter(|line| *line == word).count();
-    // A second may end while the test runs; each gives its rate once more.
+    // The test may span several windows, each of which admits lines up to the rate.
     assert!(
         count("line") >= 10 && count("line") < 50,
         "{}",
--- a/crates/telemetry/tests/test_log.rs
+++ b/crates/telemetry/tests/test_log.rs
@@ -1,4 +1,5 @@
-//! Lines are whole, bounded, and never in the way of who logs.
+//! Log lines are written whole and in order, and a blocked or failing output does not stop the
+//! logger.
 
 use std::io;
 use std::sync::Arc;
@@ -12,16 +13,16 @@
 #[derive(Default)]
 struct State {
     writes: Vec<Vec<u8>>,
-    begun: usize,
+    write_attempts: usize,
     open: bool,
     fails: bool,
 }
 
-/// A writer that the test holds up, and that may fail.
+/// A writer that blocks until the test opens it, and that may fail.
 #[derive(Clone, Default)]
-struct Gate(Arc<(Mutex<State>, Condvar)>);
+struct GatedWriter(Arc<(Mutex<State>, Condvar)>);
 
-impl Gate {
+impl GatedWriter {
     fn change(&self, change: impl FnOnce(&mut State)) {
         change(&mut self.0.0.lock().expect("no panic"));
         self.0.1.notify_all();
@@ -40,9 +41,9 @@
     }
 }
 
-impl io::Write for Gate {
+impl io::Write for GatedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.change(|s| s.begun += 1);
+        self.change(|s| s.write_attempts += 1);
         self.wait(|s| s.open);
         let mut state = self.0.0.lock().expect("no panic");
         if state.fails {
@@ -60,16 +61,16 @@
 
 #[test]
 fn test_log_lines_are_whole_and_in_order() {
-    let gate = Gate::default();
-    let (log, guard) = log::start(gate.clone(), Level::Info, "test", "host-1");
+    let writer = GatedWriter::default();
+    let (log, guard) = log::start(writer.clone(), Level::Info, "test", "host-1");
     info!(log, "ready"; "address" => "127.0.0.1:1");
-    gate.wait(|s| s.begun == 1);
+    writer.wait(|s| s.write_attempts == 1);
     for number in 0..100 {
         info!(log, "line"; "number" => number);
     }
-    gate.change(|s| s.open = true);
+    writer.change(|s| s.open = true);
     drop(guard);
-    let lines = gate.lines();
+    let lines = writer.lines();
     assert_eq!(lines.len(), 101);
     assert!(lines[0].contains("binary=test"), "{}", lines[0]);
     assert!(lines[0].contains("host=host-1"), "{}", lines[0]);
@@ -81,44 +82,44 @@
 }
 
 #[test]
-fn test_log_line_comes_without_another() {
-    let gate = Gate::default();
-    gate.change(|s| s.open = true);
-    let (log, _guard) = log::start(gate.clone(), Level::Info, "test", "host-1");
+fn test_log_writes_a_line_without_waiting_for_the_next() {
+    let writer = GatedWriter::default();
+    writer.change(|s| s.open = true);
+    let (log, _guard) = log::start(writer.clone(), Level::Info, "test", "host-1");
     info!(log, "ready");
-    gate.wait(|s| !s.writes.is_empty());
-    assert!(gate.lines()[0].contains("ready"));
+    writer.wait(|s| !s.writes.is_empty());
+    assert!(writer.lines()[0].contains("ready"));
 }
 
 #[test]
 fn test_log_survives_a_closed_output() {
-    let gate = Gate::default();
-    gate.change(|s| (s.open, s.fails) = (true, true));
-    let (log, guard) = log::start(gate.clone(), Level::Info, "test", "host-1");
+    let writer = GatedWriter::default();
+    writer.change(|s| (s.open, s.fails) = (true, true));
+    let (log, guard) = log::start(writer.clone(), Level::Info, "test", "host-1");
     info!(log, "lost");
-    gate.wait(|s| s.begun >= 1);
-    gate.change(|s| s.fails = false);
+    writer.wait(|s| s.write_attempts >= 1);
+    writer.change(|s| s.fails = false);
     info!(log, "kept");
-    gate.wait(|s| !s.writes.is_empty());
+    writer.wait(|s| !s.writes.is_empty());
     drop(guard);
-    assert!(gate.lines().iter().any(|line| line.contains("kept")));
+    assert!(writer.lines().iter().any(|line| line.contains("kept")));
 }
 
 #[test]
-fn test_log_says_how_many_lines_were_dropped() {
-    let gate = Gate::default();
-    let (log, guard) = log::start(gate.clone(), Level::Info, "test", "host-1");
+fn test_log_reports_how_many_lines_were_dropped() {
+    let writer = GatedWriter::default();
+    let (log, guard) = log::start(writer.clone(), Level::Info, "test", "host-1");
     let text = "x".repeat(1024);
     let total = 64 * 1024;
     for _ in 0..total {
         info!(log, "line"; "text" => &text);
     }
-    gate.change(|s| s.open = true);
-    gate.wait(|s| s.writes.len() > 100);
-    // The next line that finds room tells what was lost before it.
+    writer.change(|s| s.open = true);
+    writer.wait(|s| s.writes.len() > 100);
+    // The next line that fits into the queue is preceded by a report of the dropped lines.
     info!(log, "line"; "text" => "after");
     drop(guard);
-    let lines = gate.lines();
+    let lines = writer.lines();
     let report = lines
         .iter()
         .find(|l| l.contains(" count="))
@@ -127,7 +128,7 @@
     let lost = lost.split(' ').next().expect("a count");
     let count: usize = lost.parse().expect("a count");
     let lost = total + 1 - (lines.len() - 1);
-    // The library counts a lost line and each lost report of earlier ones.
+    // The library counts dropped lines and also dropped reports of earlier ones.
     assert!((lost..=2 * lost).contains(&count), "{count} for {lost}");
     assert!(lost > total / 2, "the queue is bounded: {lost}");
 }
