--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -69,7 +69,7 @@
     let mut errors = Vec::new();
     for (index, link) in links.iter().enumerate() {
         match call_one(link, attempt_timeout(timeout, links.len() - index), &call).await {
-            Ok(answer) => return Ok(answer),
+            Ok(reply) => return Ok(reply),
             Err(err) => errors.push(err),
         }
     }
