--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,11 +1,11 @@
-//! The operators' client `rwrctl`: one command a verb.
+//! The operators' command-line client, `rwrctl`.
 //!
-//! A command asks the daemons, writes tables and ends with an [`Exit`]. The
-//! streams are arguments of [`run`], so that tests read what an operator would.
+//! A command queries the daemons, prints tables and ends with an [`Exit`]. [`run`] takes the
+//! output streams as arguments so that tests can read them.
 
 pub mod command;
+pub mod error;
 pub mod exit;
-pub mod fault;
 pub mod flags;
 pub mod output;
 pub mod pending;
@@ -21,12 +21,12 @@
 pub use exit::Exit;
 pub use settings::Defaults;
 
-use crate::fault::CliError;
+use crate::error::CliError;
+use crate::flags::Arguments;
 use crate::flags::Flag;
-use crate::flags::Words;
 use crate::output::Output;
 
-/// Runs one command line, the program's name left out.
+/// Runs one command line; `args` excludes the program's name.
 ///
 /// # Errors
 ///
@@ -37,30 +37,30 @@
     out: &mut (dyn Write + Send),
     err: &mut (dyn Write + Send),
 ) -> io::Result<Exit> {
-    match perform(args, defaults, out).await {
+    match run_command(args, defaults, out).await {
         Ok(()) => Ok(Exit::Done),
-        Err(fault) => {
-            report(&fault, err)?;
-            Ok(fault.exit())
+        Err(error) => {
+            report(&error, err)?;
+            Ok(error.exit())
         }
     }
 }
 
-async fn perform(
+async fn run_command(
     args: impl IntoIterator<Item = OsString>,
     defaults: &Defaults,
     out: &mut (dyn Write + Send),
 ) -> Result<(), CliError> {
-    let mut words = Words::parse(args)?;
-    let plain = words.has(Flag::Plain);
-    command::perform(words, defaults, &mut Output::new(out, plain)).await
+    let mut arguments = Arguments::parse(args)?;
+    let plain = arguments.take_switch(Flag::Plain);
+    command::run(arguments, defaults, &mut Output::new(out, plain)).await
 }
 
-fn report(fault: &CliError, err: &mut (dyn Write + Send)) -> io::Result<()> {
-    for line in fault.to_string().lines() {
+fn report(error: &CliError, err: &mut (dyn Write + Send)) -> io::Result<()> {
+    for line in error.to_string().lines() {
         writeln!(err, "rwrctl: {line}")?;
     }
-    if let Some(hint) = fault.hint() {
+    if let Some(hint) = error.hint() {
         writeln!(err, "hint: {hint}")?;
     }
     err.flush()
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,15 +1,15 @@
-//! Logs as logfmt lines and metrics over UDP, for the daemons.
+//! Logging and metrics for the daemons.
 //!
-//! Both are bounded and never hold a request up: lines beyond a rate or a full
-//! queue are left out and counted. Metrics are kept in the process, for whoever
-//! asks, and sent where a sink is set.
+//! Logs are logfmt lines; lines beyond a rate or a full queue are dropped and counted, so logging
+//! never blocks a request. Metrics are recorded in the process, and sent over UDP in the statsd
+//! format if a sink is configured.
 
-pub mod board;
 pub mod limit;
 pub mod log;
 pub mod logfmt;
 pub mod metrics;
+pub mod registry;
 pub mod settings;
 
-pub use board::Board;
+pub use registry::MetricsRegistry;
 pub use settings::Settings;
