--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -49,7 +49,7 @@
     Out: Serialize,
 {
     let client = link.client().await?;
-    link.judge(call(client, within(span)).await)
+    link.check_result(call(client, within(span)).await)
 }
 
 /// Asks one process after the other until one answers.
--- a/crates/control/src/link.rs
+++ b/crates/control/src/link.rs
@@ -75,7 +75,7 @@
     let call = async {
         switch.pass().await;
         let client = link.client().await?;
-        link.judge(once(client).await)
+        link.check_result(once(client).await)
     };
     let timeout = |_| Err(LinkError::Timeout(link.address(), span));
     tokio::time::timeout(span, call)
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -176,7 +176,7 @@
             return false;
         };
         let result = client.step(within(STEP_TIMEOUT), envelope).await;
-        self.link.judge(result).is_ok()
+        self.link.check_result(result).is_ok()
     }
 
     /// Waits a little and drops what waited, as it is stale by then.
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -98,7 +98,7 @@
     pub async fn propose(&self, change: &Change) -> Result<change_reply::Kind, LinkError> {
         let api = self.api().await?;
         let result = api.propose(within(PATIENCE), change.clone()).await;
-        let reply: ChangeReply = self.link.judge(result)?;
+        let reply: ChangeReply = self.link.check_result(result)?;
         Ok(reply.kind.expect("a reply has a kind"))
     }
 
@@ -123,7 +123,7 @@
     pub async fn follow(&self, have: u64, wait_ms: u32) -> Result<FollowReply, LinkError> {
         let api = self.api().await?;
         let result = api.follow(within(PATIENCE), Follow { have, wait_ms }).await;
-        self.link.judge(result)
+        self.link.check_result(result)
     }
 
     /// Follows until `version` is confirmed.
@@ -145,7 +145,7 @@
     pub async fn claim(&self, claim: &Claim) -> Result<claim_reply::Kind, LinkError> {
         let api = self.api().await?;
         let result = api.claim(within(PATIENCE), claim.clone()).await;
-        let reply = self.link.judge(result)?;
+        let reply = self.link.check_result(result)?;
         Ok(reply.kind.expect("a reply has a kind"))
     }
 
@@ -173,7 +173,7 @@
                 let api = self.api().await;
                 if let Ok(api) = api {
                     let result = api.settle(within(PATIENCE), settle.clone()).await;
-                    if self.link.judge(result).is_ok_and(|r| r.recorded) {
+                    if self.link.check_result(result).is_ok_and(|r| r.recorded) {
                         return;
                     }
                 }
@@ -193,7 +193,7 @@
         let api = self.api().await?;
         let ask = Membership { kind: Some(kind) };
         let result = api.change_membership(within(PATIENCE), ask).await;
-        let reply = self.link.judge(result)?;
+        let reply = self.link.check_result(result)?;
         Ok(reply.kind.expect("a reply has a kind"))
     }
 
@@ -219,7 +219,7 @@
             let query = HistoryQuery { from, most: 256 };
             let api = self.api().await.expect("connects");
             let result = api.history(within(PATIENCE), query).await;
-            let page = self.link.judge(result).expect("history").items;
+            let page = self.link.check_result(result).expect("history").items;
             if page.is_empty() {
                 return items;
             }
@@ -230,7 +230,7 @@
     /// The replica's view of itself.
     pub async fn status(&self) -> Result<Status, LinkError> {
         let api = self.api().await?;
-        self.link.judge(api.status(within(PATIENCE)).await)
+        self.link.check_result(api.status(within(PATIENCE)).await)
     }
 }
 
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -92,7 +92,7 @@
     let client = link.client().await?;
     let sent = shared.clock.now();
     let result = client.follow(link::within(hold + GRACE), ask).await;
-    let reply = link.judge(result)?;
+    let reply = link.check_result(result)?;
     Ok(take(shared, link.address(), sent, reply))
 }
 
--- a/crates/directory/src/peers.rs
+++ b/crates/directory/src/peers.rs
@@ -99,7 +99,7 @@
     let client = peer.client().await?;
     let sent = shared.clock.now();
     let result = client.exchange(link::within(TIMEOUT), ask).await;
-    Ok((sent, peer.judge(result)?))
+    Ok((sent, peer.check_result(result)?))
 }
 
 fn short(inner: &Inner) -> Exchange {
--- a/crates/directory/tests/common/mod.rs
+++ b/crates/directory/tests/common/mod.rs
@@ -221,7 +221,7 @@
         let reply = client
             .sync(link::within(Duration::from_secs(1)), ask.clone())
             .await;
-        if let Ok(reply) = peer.judge(reply) {
+        if let Ok(reply) = peer.check_result(reply) {
             ask.epoch = reply.epoch;
             ask.cursor = reply.cursor;
             ask.have = reply.confirmed;
--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -162,7 +162,7 @@
             let client = self.link.client_within(CONNECT_TIMEOUT).await.ok()?;
             match client.place(within(REQUEST_TIMEOUT), ask.clone()).await {
                 Err(RpcError::Shutdown | RpcError::Channel(_)) => self.link.drop_client(),
-                result => return self.link.judge(result).ok(),
+                result => return self.link.check_result(result).ok(),
             }
         }
         None
--- a/crates/entry/src/placement/grant.rs
+++ b/crates/entry/src/placement/grant.rs
@@ -79,7 +79,7 @@
             // If the message is lost, the grant expires by itself.
             let _ = dispatcher
                 .link
-                .judge(client.ended(within(RELEASE_TIMEOUT), release).await);
+                .check_result(client.ended(within(RELEASE_TIMEOUT), release).await);
         });
     }
 }
--- a/crates/entry/src/sync.rs
+++ b/crates/entry/src/sync.rs
@@ -251,7 +251,7 @@
             }
             _ = instances_known.changed() => return Some(WatchOutcome::Superseded),
         };
-        let reply = self.link.judge(result).ok()?;
+        let reply = self.link.check_result(result).ok()?;
         Some(WatchOutcome::Reply(Box::new((asked, reply))))
     }
 
@@ -368,5 +368,5 @@
 async fn fetch_table(link: &HubLink, current: u64) -> Option<wire::hub::Table> {
     let client = link.client().await.ok()?;
     let call = client.fetch(within(FETCH_TIMEOUT), Fetch { have: current });
-    link.judge(call.await).ok()
+    link.check_result(call.await).ok()
 }
--- a/crates/entry/src/sync/report.rs
+++ b/crates/entry/src/sync/report.rs
@@ -69,7 +69,7 @@
     let Ok(client) = link.client().await else {
         return false;
     };
-    match link.judge(client.report(within(REPORT_TIMEOUT), report).await) {
+    match link.check_result(client.report(within(REPORT_TIMEOUT), report).await) {
         Ok(suspects) => {
             core.apply_suspects(link.address(), &suspects);
             true
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -47,7 +47,7 @@
     pub async fn claim(&self, claim: &Claim, until: Instant) -> Option<Kind> {
         self.ask(until, |link, span| async move {
             let client = link.client().await?;
-            let reply = link.judge(client.claim(within(span), claim.clone()).await)?;
+            let reply = link.check_result(client.claim(within(span), claim.clone()).await)?;
             Ok(reply.kind.filter(|k| !matches!(k, Kind::Unreachable(_))))
         })
         .await
@@ -58,7 +58,7 @@
         let recorded = self
             .ask(until, |link, span| async move {
                 let client = link.client().await?;
-                let reply = link.judge(client.settle(within(span), settle.clone()).await)?;
+                let reply = link.check_result(client.settle(within(span), settle.clone()).await)?;
                 Ok(reply.recorded.then_some(()))
             })
             .await;
--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -171,7 +171,7 @@
         let link = &self.links[self.index];
         let span = Duration::from_millis(ask.wait_ms.into()) + ANSWER_TIME;
         let client = link.client().await?;
-        link.judge(client.sync(within(span), ask).await)
+        link.check_result(client.sync(within(span), ask).await)
     }
 
     fn take(&mut self, sent: Moment, reply: SyncReply) -> Next {
--- a/crates/testutils/src/operator.rs
+++ b/crates/testutils/src/operator.rs
@@ -62,7 +62,7 @@
         let link = self.replicas.get(index)?;
         let client = link.client().await.ok()?;
         let reply = client.propose(within(CALL_TIME), change.clone()).await;
-        let reply: ChangeReply = link.judge(reply).ok()?;
+        let reply: ChangeReply = link.check_result(reply).ok()?;
         reply.kind
     }
 
@@ -124,7 +124,9 @@
 pub async fn hosts(address: SocketAddr) -> Option<Vec<Host>> {
     let link = peer::directory(address);
     let client = link.client().await.ok()?;
-    let reply = link.judge(client.hosts(within(CALL_TIME)).await).ok()?;
+    let reply = link
+        .check_result(client.hosts(within(CALL_TIME)).await)
+        .ok()?;
     Some(reply.hosts)
 }
 
@@ -136,11 +138,11 @@
     let ask = Explain {
         service: service.into(),
     };
-    link.judge(client.explain(within(CALL_TIME), ask).await)
+    link.check_result(client.explain(within(CALL_TIME), ask).await)
         .ok()
 }
 
 async fn ask_status(link: &ControlLink) -> Result<Status, LinkError> {
     let client = link.client().await?;
-    link.judge(client.status(within(CALL_TIME)).await)
+    link.check_result(client.status(within(CALL_TIME)).await)
 }
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -142,7 +142,10 @@
     /// # Errors
     ///
     /// Passes the call's failure on.
-    pub fn judge<T>(&self, result: Result<T, tarpc::client::RpcError>) -> Result<T, LinkError> {
+    pub fn check_result<T>(
+        &self,
+        result: Result<T, tarpc::client::RpcError>,
+    ) -> Result<T, LinkError> {
         result.map_err(|err| {
             self.drop_client();
             LinkError::Call(self.address, err)
--- a/crates/wire/tests/test_link.rs
+++ b/crates/wire/tests/test_link.rs
@@ -38,7 +38,7 @@
                 let call = client.fetch(within(LIMIT), Fetch { have: 0 });
                 let ended = timeout(PATIENCE, call).await;
                 let result = ended.expect("the call ends, whatever became of its peer");
-                assert!(link.judge(result).is_err());
+                assert!(link.check_result(result).is_err());
             }
         })
     });
