--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -159,7 +159,7 @@
     /// Sends one request, on a new connection if the cached one is closed.
     async fn send(&self, ask: Ask) -> Option<Placed> {
         for _ in 0..MAX_CONNECTIONS {
-            let client = self.link.client_within(CONNECT_TIMEOUT).await.ok()?;
+            let client = self.link.client_with_timeout(CONNECT_TIMEOUT).await.ok()?;
             match client.place(within(REQUEST_TIMEOUT), ask.clone()).await {
                 Err(RpcError::Shutdown | RpcError::Channel(_)) => self.link.drop_client(),
                 result => return self.link.check_result(result).ok(),
--- a/crates/entry/src/placement/grant.rs
+++ b/crates/entry/src/placement/grant.rs
@@ -73,7 +73,7 @@
             return;
         };
         runtime.spawn(async move {
-            let Ok(client) = dispatcher.link.client_within(CONNECT_TIMEOUT).await else {
+            let Ok(client) = dispatcher.link.client_with_timeout(CONNECT_TIMEOUT).await else {
                 return;
             };
             // If the message is lost, the grant expires by itself.
--- a/crates/entry/src/sync.rs
+++ b/crates/entry/src/sync.rs
@@ -227,7 +227,11 @@
     }
 
     async fn send_watch(&self) -> Option<WatchOutcome> {
-        let client = self.link.client_within(self.connect_timeout()).await.ok()?;
+        let client = self
+            .link
+            .client_with_timeout(self.connect_timeout())
+            .await
+            .ok()?;
         let mut table_known = self.core.table_known.subscribe();
         let mut stage = self.core.stage.subscribe();
         let mut fetch_incomplete = self.hubs.fetch_incomplete.subscribe();
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -108,7 +108,7 @@
     ///
     /// Fails when the peer doesn't take the connection in time.
     pub async fn client(&self) -> Result<C, LinkError> {
-        self.client_within(CONNECT_TIMEOUT).await
+        self.client_with_timeout(CONNECT_TIMEOUT).await
     }
 
     /// The same with a bound of its own on the time that a connection takes.
@@ -116,7 +116,7 @@
     /// # Errors
     ///
     /// Fails when the peer doesn't take the connection within `span`.
-    pub async fn client_within(&self, span: Duration) -> Result<C, LinkError> {
+    pub async fn client_with_timeout(&self, span: Duration) -> Result<C, LinkError> {
         if let Some(client) = self.slot().clone() {
             return Ok(client);
         }
