--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -203,7 +203,7 @@
         let desk = TableDesk::new(&server);
         let mut accepts = JoinSet::new();
         let acceptor = Acceptor {
-            limit: MAX_CONNECTIONS,
+            max_connections: MAX_CONNECTIONS,
             stop: ends.accept.clone(),
             log: self.log.clone(),
         };
--- a/crates/directory/src/rpc.rs
+++ b/crates/directory/src/rpc.rs
@@ -47,7 +47,7 @@
 /// Serves connections until the directory stops, and then what is in flight.
 pub async fn serve(shared: Arc<Shared>, listener: Listener) {
     let acceptor = Acceptor {
-        limit: MAX_CONNECTIONS,
+        max_connections: MAX_CONNECTIONS,
         stop: shared.stop.clone(),
         log: shared.log.clone(),
     };
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -170,7 +170,7 @@
 /// Answers placement requests from other entry processes.
 async fn serve_placement(core: Arc<Core>, incoming: PlacementRequests) {
     let acceptor = Acceptor {
-        limit: MAX_PEER_CONNECTIONS,
+        max_connections: MAX_PEER_CONNECTIONS,
         stop: CancellationToken::new(),
         log: core.log.clone(),
     };
--- a/crates/gateway/src/rpc.rs
+++ b/crates/gateway/src/rpc.rs
@@ -42,7 +42,7 @@
             .await?;
     let bound = incoming.local_addr();
     let acceptor = Acceptor {
-        limit: MOST_CONNECTIONS,
+        max_connections: MOST_CONNECTIONS,
         stop: core.ended().clone(),
         log: core.log.clone(),
     };
--- a/crates/hub/src/hub.rs
+++ b/crates/hub/src/hub.rs
@@ -69,7 +69,7 @@
         let commands = CommandHandler::new(Arc::clone(&state));
         let stop = CancellationToken::new();
         let acceptor = Acceptor {
-            limit: MAX_CONNECTIONS,
+            max_connections: MAX_CONNECTIONS,
             stop: stop.clone(),
             log: log.clone(),
         };
--- a/crates/wire/src/accept.rs
+++ b/crates/wire/src/accept.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub struct Acceptor {
     /// Most connections at once; further ones are closed as they come.
-    pub limit: usize,
+    pub max_connections: usize,
     /// Ends accepting; what was accepted goes on.
     pub stop: CancellationToken,
     /// Where refused connections are told.
@@ -81,7 +81,7 @@
         In: for<'de> Deserialize<'de>,
         Out: Serialize,
     {
-        if open >= self.limit {
+        if open >= self.max_connections {
             debug!(self.log, "connection refused"; "open" => open);
             return false;
         }
--- a/crates/wire/tests/test_accept.rs
+++ b/crates/wire/tests/test_accept.rs
@@ -26,14 +26,14 @@
 }
 
 impl Rig {
-    async fn start(limit: usize) -> Self {
+    async fn start(max_connections: usize) -> Self {
         let incoming = link::listen::<u32, u32>(([127, 0, 0, 1], 0).into());
         let incoming = incoming.await.expect("a port");
         let address = incoming.local_addr();
         let stop = CancellationToken::new();
         let (tell, served) = mpsc::unbounded_channel();
         let acceptor = Acceptor {
-            limit,
+            max_connections,
             stop: stop.clone(),
             log: telemetry::log::silent(),
         };
