--- a/crates/gen/src/lib.rs
+++ b/crates/gen/src/lib.rs
@@ -1,7 +1,7 @@
-//! Generates the Rust types of `crates/wire/proto` into `crates/wire/src/generated`.
+//! Generates Rust types from `crates/wire/proto` into `crates/wire/src/generated`.
 //!
-//! The output is committed, so that no build needs this crate. A test compares
-//! the committed files with a fresh run.
+//! The output is committed, so that builds do not depend on this crate. A test checks
+//! that the committed files are up to date.
 
 use std::io;
 use std::path::Path;
@@ -9,7 +9,7 @@
 
 use quick_error::quick_error;
 
-/// The protocol files, in order of dependency.
+/// Protocol files, each after its imports.
 const PROTOS: [&str; 9] = [
     "catalogue.proto",
     "ledger.proto",
@@ -23,35 +23,35 @@
 ];
 
 quick_error! {
-    /// Why generation failed.
+    /// Reason why generation failed.
     #[derive(Debug)]
     pub enum GenError {
-        /// A protocol file did not compile.
+        /// A protocol file could not be compiled.
         Proto(err: protox::Error) {
             from()
             source(err)
-            display("protocol file: {err}")
+            display("failed to compile protocol file: {err}")
         }
         /// A file could not be read or written.
         Io(err: io::Error) {
             from()
             source(err)
-            display("file: {err}")
+            display("failed to access file: {err}")
         }
     }
 }
 
-/// The folder of the wire crate.
+/// Returns the directory of the `wire` crate.
 #[must_use]
 pub fn wire_dir() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../wire")
 }
 
-/// Writes one Rust file for each protocol package into `out`.
+/// Writes one Rust file per protocol package into the directory `out`.
 ///
 /// # Errors
 ///
-/// Fails when a protocol file doesn't compile or `out` can't be written.
+/// Fails if a protocol file can't be compiled or `out` can't be written.
 pub fn generate(out: &Path) -> Result<(), GenError> {
     let files = protox::compile(PROTOS, [wire_dir().join("proto")])?;
     prost_build::Config::new()
--- a/crates/gen/tests/test_gen.rs
+++ b/crates/gen/tests/test_gen.rs
@@ -1,4 +1,4 @@
-//! The committed types are those that the protocol files give.
+//! Fails if the committed types are not those that the protocol files generate.
 
 use std::fs;
 use std::path::PathBuf;
@@ -8,13 +8,13 @@
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("generated");
     fs::create_dir_all(&out).expect("folder");
     gen_types::generate(&out).expect("generates");
-    for item in fs::read_dir(&out).expect("lists") {
-        let item = item.expect("entry");
-        let committed = gen_types::wire_dir()
+    for entry in fs::read_dir(&out).expect("lists") {
+        let entry = entry.expect("entry");
+        let committed_path = gen_types::wire_dir()
             .join("src/generated")
-            .join(item.file_name());
-        let fresh = fs::read_to_string(item.path()).expect("fresh");
-        let kept = fs::read_to_string(&committed).expect("committed");
-        assert_eq!(fresh, kept, "run `cargo run -p gen`");
+            .join(entry.file_name());
+        let generated = fs::read_to_string(entry.path()).expect("fresh");
+        let committed = fs::read_to_string(&committed_path).expect("committed");
+        assert_eq!(generated, committed, "run `cargo run -p gen`");
     }
 }
