--- a/crates/wire/src/accept.rs
+++ b/crates/wire/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections within bounds and serves each on its own task.
+//! Accepts a limited number of connections and serves each in its own task.
 
 use std::io;
 use std::time::Duration;
@@ -17,31 +17,32 @@
 use crate::link::Channel;
 use crate::link::Incoming;
 
-/// Pause after the system refused to accept.
-const PAUSE: Duration = Duration::from_millis(50);
-/// A connection that is idle for so long is probed,
-const IDLE: Duration = Duration::from_secs(30);
-/// again after so long,
-const PROBE: Duration = Duration::from_secs(5);
-/// and so often, before it is closed.
-const PROBES: u32 = 3;
+/// Delay after a failed accept, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Idle time before the first keepalive probe.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(30);
+/// Interval between keepalive probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
+/// Unanswered keepalive probes after which the connection is closed.
+const KEEPALIVE_RETRIES: u32 = 3;
 
-/// How one port takes connections.
+/// Accept loop of one listener.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
-    /// Most connections at once; further ones are closed as they come.
+    /// Maximum number of open connections; further ones are closed at once.
     pub max_connections: usize,
-    /// Ends accepting; what was accepted goes on.
+    /// Stops accepting when cancelled; open connections continue.
     pub stop: CancellationToken,
-    /// Where refused connections are told.
+    /// Log for refused connections and failed accepts.
     pub log: Logger,
 }
 
 impl Acceptor {
-    /// Accepts until `stop`, frees the port, and waits for what was accepted.
+    /// Accepts connections until `stop` is cancelled, then closes the listener and waits
+    /// for the open connections to end.
     ///
-    /// `serve` runs one connection to its end; a connection that sends garbage
-    /// or too long a frame ends alone. Dropped, this closes all connections.
+    /// `serve` handles one connection until it ends. A malformed or oversized frame
+    /// ends only its own connection. Dropping the future closes all connections.
     pub async fn run<In, Out, F>(
         self,
         mut incoming: Incoming<In, Out>,
@@ -53,7 +54,7 @@
     {
         let mut connections = JoinSet::new();
         loop {
-            // What ended makes room before the next one is looked at.
+            // Biased so that ended connections are removed before the limit is checked.
             let next = tokio::select! {
                 biased;
                 () = self.stop.cancelled() => break,
@@ -66,8 +67,8 @@
                 }
                 Some(Ok(_)) => {}
                 Some(Err(err)) => {
-                    debug!(self.log, "connection failed"; "error" => %err);
-                    tokio::time::sleep(PAUSE).await;
+                    debug!(self.log, "accepting a connection failed"; "error" => %err);
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
                 None => break,
             }
@@ -85,17 +86,17 @@
             debug!(self.log, "connection refused"; "open" => open);
             return false;
         }
-        prepare(channel.get_ref()).is_ok()
+        configure_socket(channel.get_ref()).is_ok()
     }
 }
 
-/// Small frames must not wait for the ones before to be acknowledged, and a
-/// peer that vanished must not keep its place.
-fn prepare(stream: &TcpStream) -> io::Result<()> {
+/// Disables Nagle's algorithm, which would delay small frames, and enables keepalive,
+/// so that a vanished peer does not occupy a connection forever.
+fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let keepalive = TcpKeepalive::new()
-        .with_time(IDLE)
-        .with_interval(PROBE)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
     SockRef::from(stream).set_tcp_keepalive(&keepalive)
 }
--- a/crates/wire/src/api.rs
+++ b/crates/wire/src/api.rs
@@ -1,6 +1,6 @@
-//! The `tarpc` services between the system's own processes.
+//! The `tarpc` services of the internal protocol.
 
-// The macro's clients and enums carry no documentation of their own.
+// `tarpc::service` generates clients and enums without doc comments.
 #![allow(missing_docs)]
 
 use crate::catalogue::Change;
@@ -50,84 +50,85 @@
 /// Served by each control replica to directories, gateways and operators.
 #[tarpc::service]
 pub trait ControlApi {
-    /// Proposes a catalogue change; any replica passes it to the leader.
+    /// Proposes a catalogue change; any replica forwards it to the leader.
     async fn propose(change: Change) -> ChangeReply;
-    /// Waits for a newer catalogue, or confirms that there is none.
+    /// Long-polls for a newer catalogue; confirms after the wait that there is none.
     async fn follow(ask: Follow) -> FollowReply;
-    /// Accepted changes, oldest first.
+    /// Returns accepted changes, oldest first.
     async fn history(query: HistoryQuery) -> History;
-    /// The replica's view of itself and its group.
+    /// Returns the replica's view of itself and its group.
     async fn status() -> Status;
-    /// Adds or removes one replica.
+    /// Adds or removes one replica of the group.
     async fn change_membership(change: Membership) -> MembershipReply;
-    /// Claims the right to run a keyed request.
+    /// Claims the right to execute a request with an idempotency key.
     async fn claim(claim: Claim) -> ClaimReply;
-    /// Records what became of a claimed request.
+    /// Records the outcome of a claimed request.
     async fn settle(settle: Settle) -> SettleReply;
 }
 
 /// Served by each control replica to the others.
 #[tarpc::service]
 pub trait ReplicaApi {
-    /// Takes messages of the replicated log; answers come as messages of their own.
+    /// Delivers messages of the consensus protocol; replies are sent as separate messages.
     async fn step(envelope: Envelope);
-    /// Says who is here.
+    /// Returns the replica's identity and its group.
     async fn hello(ask: Hello) -> HelloReply;
-    /// Takes the founding group when there is no log yet.
+    /// Bootstraps a replica without a log with the initial group.
     async fn found(ask: Found) -> FoundReply;
-    /// Does a request as the leader.
+    /// Executes a forwarded request as the leader.
     async fn ask(ask: Ask) -> AskReply;
 }
 
 /// Served by each directory to gateways, other directories and operators.
 #[tarpc::service]
 pub trait DirectoryApi {
-    /// A gateway's heartbeat and poll in one.
+    /// Takes a gateway's heartbeat and long-polls for updates.
     async fn sync(ask: Sync) -> SyncReply;
-    /// Push and pull between two directories.
+    /// Exchanges state with another directory (push and pull).
     async fn exchange(push: Exchange) -> Exchange;
-    /// The hosts as this directory knows them.
+    /// Returns the hosts known to this directory.
     async fn hosts() -> HostsReply;
-    /// The instances as this directory knows them.
+    /// Returns the instances known to this directory.
     async fn instances() -> InstancesReply;
 }
 
 /// Served by each gateway to operators.
 #[tarpc::service]
 pub trait GatewayApi {
-    /// Why calls of a service go where they go.
+    /// Explains how calls of a service are routed.
     async fn explain(ask: Explain) -> ExplainReply;
-    /// Starts a graceful stop.
+    /// Starts a graceful shutdown.
     async fn drain() -> DrainReply;
 }
 
 /// Served by each hub to entry processes, other hubs and operators.
 #[tarpc::service]
 pub trait HubApi {
-    /// Waits for changes of the route table and of the instances.
+    /// Long-polls for changes of the route table and of the instances.
     async fn watch(ask: Watch) -> WatchReply;
-    /// The newest route table as this hub has it, without content where it isn't newer.
+    /// Returns this hub's newest route table, without content unless it is newer than the
+    /// caller's.
     async fn fetch(ask: Fetch) -> Table;
-    /// Proposes a route table.
+    /// Proposes a new route table.
     async fn put_table(table: Table) -> TableReply;
-    /// The newest route table.
+    /// Reads the newest route table.
     async fn read_table() -> ReadReply;
-    /// Asks that nothing be sent to a failure domain, or takes that back.
+    /// Starts or ends the evacuation of a failure domain.
     async fn evacuate(order: Evacuation) -> EvacuationReply;
-    /// The failure domains to which nothing is sent.
+    /// Returns the evacuations of failure domains.
     async fn evacuations() -> EvacuationsReply;
-    /// Takes what an entry process has seen of requests that crash instances; gives the
-    /// suspects of all.
+    /// Takes an entry process's observations of requests that crash instances; returns the
+    /// suspects of all entry processes.
     async fn report(report: Report) -> Suspects;
-    /// The entry hosts that a caller may use.
+    /// Returns the entry hosts that a caller may use.
     async fn resolve(query: ResolveQuery) -> ResolveReply;
 }
 
-/// Served by each entry process to the others, for the services that it dispatches.
+/// Served by each entry process to the others, for the services whose dispatcher it is.
 #[tarpc::service]
 pub trait PlaceApi {
-    /// Grants an instance for one attempt, or says that there is no room.
+    /// Grants an instance for one attempt, or refuses for lack of capacity.
     async fn place(ask: crate::place::Ask) -> Placed;
-    /// Takes the end of the attempt at a granted instance.
+    /// Reports the end of an attempt at a granted instance.
     async fn ended(end: Ended);
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the system's own processes say to each other: typed messages,
-//! `tarpc` services, and TCP links and ports with bounds and deadlines.
+//! The internal protocol: typed messages, `tarpc` services, and TCP clients and
+//! listeners with limits on frames, connections and time.
 //!
 //! The messages are generated from `proto/` by the crate `gen`.
 
@@ -8,37 +8,37 @@
 pub mod link;
 pub mod peer;
 
-/// Catalogue messages.
+/// Messages of the service catalogue.
 #[allow(missing_docs, clippy::pedantic)]
 pub mod catalogue {
     include!("generated/rwr.catalogue.rs");
 }
 
-/// Ledger messages.
+/// Messages of the at-most-once ledger.
 #[allow(missing_docs, clippy::pedantic)]
 pub mod ledger {
     include!("generated/rwr.ledger.rs");
 }
 
-/// Control messages.
+/// Messages of the control replicas to other processes.
 #[allow(missing_docs, clippy::pedantic)]
 pub mod control {
     include!("generated/rwr.control.rs");
 }
 
-/// Directory messages.
+/// Messages of directories.
 #[allow(missing_docs, clippy::pedantic)]
 pub mod directory {
     include!("generated/rwr.directory.rs");
 }
 
-/// Gateway messages.
+/// Messages of gateways.
 #[allow(missing_docs, clippy::pedantic)]
 pub mod gateway {
     include!("generated/rwr.gateway.rs");
 }
 
-/// Hub messages.
+/// Messages of hubs.
 #[allow(missing_docs, clippy::pedantic)]
 pub mod hub {
     include!("generated/rwr.hub.rs");
@@ -50,7 +50,7 @@
     include!("generated/rwr.place.rs");
 }
 
-/// Records of a replica's data folder.
+/// Records in a replica's data directory.
 #[allow(missing_docs, clippy::pedantic)]
 pub mod store {
     include!("generated/rwr.store.rs");
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -1,4 +1,4 @@
-//! TCP links for `tarpc` with bounded frames, deadlines and reconnection.
+//! TCP clients and listeners for `tarpc` with limited frames, deadlines and reconnection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,28 +16,28 @@
 use tokio::net::TcpStream;
 use tokio_serde::formats::Bincode;
 
-/// Largest frame in bytes; a larger one ends its connection.
+/// Maximum size of a frame in bytes; a larger one ends its connection.
 pub const MAX_FRAME: usize = 4 * 1024 * 1024;
-/// Longest wait for a connection: ten times the way between regions. An opening
-/// packet that is lost is sent again after a second; a new try is sooner.
+/// Default timeout of a connection attempt. It is shorter than the retransmission
+/// timeout of a lost SYN, 1 s, so that a new attempt replaces the retransmission.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Requests in flight on one accepted connection.
+/// Maximum number of requests in flight on one connection.
 pub const MAX_PENDING: usize = 4096;
 
 quick_error! {
-    /// Why a peer gave no answer.
+    /// Reason why a call to a peer failed.
     #[derive(Debug)]
     pub enum LinkError {
-        /// No connection.
+        /// The connection could not be opened.
         Connect(address: SocketAddr, err: io::Error) {
             source(err)
             display("connect to {address}: {err}")
         }
-        /// The connection took too long.
-        Timeout(address: SocketAddr, span: Duration) {
-            display("connect to {address}: no answer within {span:?}")
+        /// The connection was not opened within the timeout.
+        Timeout(address: SocketAddr, timeout: Duration) {
+            display("connect to {address}: no answer within {timeout:?}")
         }
-        /// The call failed on the connection or ran out of time.
+        /// The call failed or exceeded its deadline.
         Call(address: SocketAddr, err: tarpc::client::RpcError) {
             source(err)
             display("call to {address}: {err}")
@@ -45,17 +45,17 @@
     }
 }
 
-/// The transport of a `tarpc` channel, `In` what it receives, `Out` what it sends.
+/// Transport of a `tarpc` channel that receives `In` and sends `Out`.
 pub type Channel<In, Out> = Transport<TcpStream, In, Out, Bincode<In, Out>>;
 
-/// A bound port.
+/// Listener that yields a channel for each accepted connection.
 pub type Incoming<In, Out> = tcp::Incoming<In, Out, Bincode<In, Out>, fn() -> Bincode<In, Out>>;
 
-/// Listens at `address` for channels with bounded frames.
+/// Listens at `address` for channels whose frames are limited to [`MAX_FRAME`].
 ///
 /// # Errors
 ///
-/// Fails when the address can't be bound.
+/// Fails if the address can't be bound.
 pub async fn listen<In, Out>(address: SocketAddr) -> io::Result<Incoming<In, Out>>
 where
     In: for<'de> Deserialize<'de>,
@@ -67,19 +67,19 @@
     Ok(incoming)
 }
 
-/// A `tarpc` context that ends `span` from now.
+/// Returns a `tarpc` context with a deadline `timeout` from now.
 #[must_use]
-pub fn within(span: Duration) -> Context {
+pub fn within(timeout: Duration) -> Context {
     let mut context = tarpc::context::current();
-    context.deadline = Instant::now() + span;
+    context.deadline = Instant::now() + timeout;
     context
 }
 
-/// A client of one peer that connects when first used and again after a failure.
+/// Client of one peer that connects on first use and reconnects after a failed call.
 pub struct Link<C, In, Out> {
     address: SocketAddr,
     client: Mutex<Option<C>>,
-    make: fn(Channel<In, Out>) -> C,
+    spawn_client: fn(Channel<In, Out>) -> C,
 }
 
 impl<C, In, Out> Link<C, In, Out>
@@ -88,60 +88,61 @@
     In: for<'de> Deserialize<'de>,
     Out: Serialize,
 {
-    /// A link to `address`, not yet connected; `make` spawns the client.
-    pub fn new(address: SocketAddr, make: fn(Channel<In, Out>) -> C) -> Self {
+    /// Creates an unconnected link to `address`; `spawn_client` makes a client of a new channel.
+    pub fn new(address: SocketAddr, spawn_client: fn(Channel<In, Out>) -> C) -> Self {
         Self {
             address,
             client: Mutex::new(None),
-            make,
+            spawn_client,
         }
     }
 
-    /// The peer's address.
+    /// Address of the peer.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The client, connected anew when there is none.
+    /// Returns the connected client, or connects with [`CONNECT_TIMEOUT`].
     ///
     /// # Errors
     ///
-    /// Fails when the peer doesn't take the connection in time.
+    /// Fails if the connection can't be opened within the timeout.
     pub async fn client(&self) -> Result<C, LinkError> {
         self.client_with_timeout(CONNECT_TIMEOUT).await
     }
 
-    /// The same with a bound of its own on the time that a connection takes.
+    /// Returns the connected client, or connects with the given timeout.
     ///
     /// # Errors
     ///
-    /// Fails when the peer doesn't take the connection within `span`.
-    pub async fn client_with_timeout(&self, span: Duration) -> Result<C, LinkError> {
-        if let Some(client) = self.slot().clone() {
+    /// Fails if the connection can't be opened within `timeout`.
+    pub async fn client_with_timeout(&self, timeout: Duration) -> Result<C, LinkError> {
+        if let Some(client) = self.lock_client().clone() {
             return Ok(client);
         }
         let codec: fn() -> Bincode<In, Out> = Bincode::default;
         let mut connect = tcp::connect(self.address, codec);
         connect.config_mut().max_frame_length(MAX_FRAME);
-        let channel = tokio::time::timeout(span, connect)
+        let channel = tokio::time::timeout(timeout, connect)
             .await
-            .map_err(|_| LinkError::Timeout(self.address, span))?
+            .map_err(|_| LinkError::Timeout(self.address, timeout))?
             .map_err(|err| LinkError::Connect(self.address, err))?;
-        // Small frames must not wait for the ones before to be acknowledged.
+        // Nagle's algorithm would delay small frames.
         channel
             .get_ref()
             .set_nodelay(true)
             .map_err(|err| LinkError::Connect(self.address, err))?;
-        let client = (self.make)(channel);
-        *self.slot() = Some(client.clone());
+        let client = (self.spawn_client)(channel);
+        *self.lock_client() = Some(client.clone());
         Ok(client)
     }
 
-    /// Turns a call's result into the link's; a failed call drops the client.
+    /// Adds the peer's address to a failed call's error, and drops the client so that
+    /// the next call reconnects.
     ///
     /// # Errors
     ///
-    /// Passes the call's failure on.
+    /// Fails if the call failed.
     pub fn check_result<T>(
         &self,
         result: Result<T, tarpc::client::RpcError>,
@@ -152,12 +153,12 @@
         })
     }
 
-    /// Drops the client, so that the next call connects anew.
+    /// Drops the client, so that the next call reconnects.
     pub fn drop_client(&self) {
-        *self.slot() = None;
+        *self.lock_client() = None;
     }
 
-    fn slot(&self) -> std::sync::MutexGuard<'_, Option<C>> {
+    fn lock_client(&self) -> std::sync::MutexGuard<'_, Option<C>> {
         self.client.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! Links to each kind of process, by the service that it serves.
+//! Typed links to each kind of process.
 
 use std::net::SocketAddr;
 
@@ -27,28 +27,28 @@
 use crate::link::Link;
 use crate::link::MAX_PENDING;
 
-/// A link to a control replica.
+/// Link to a control replica.
 pub type ControlLink =
     Link<ControlApiClient, Response<ControlApiResponse>, ClientMessage<ControlApiRequest>>;
-/// A link to a directory.
+/// Link to a directory.
 pub type DirectoryLink =
     Link<DirectoryApiClient, Response<DirectoryApiResponse>, ClientMessage<DirectoryApiRequest>>;
-/// A link to a gateway.
+/// Link to a gateway.
 pub type GatewayLink =
     Link<GatewayApiClient, Response<GatewayApiResponse>, ClientMessage<GatewayApiRequest>>;
 
-/// A link to a hub.
+/// Link to a hub.
 pub type HubLink = Link<HubApiClient, Response<HubApiResponse>, ClientMessage<HubApiRequest>>;
 
-/// A link from one entry process to another.
+/// Link from one entry process to another.
 pub type PlaceLink =
     Link<PlaceApiClient, Response<PlaceApiResponse>, ClientMessage<PlaceApiRequest>>;
 
-/// A link from one control replica to another.
+/// Link from one control replica to another.
 pub type ReplicaLink =
     Link<ReplicaApiClient, Response<ReplicaApiResponse>, ClientMessage<ReplicaApiRequest>>;
 
-/// A link to the control replica at `address`, not yet connected.
+/// Creates an unconnected link to the control replica at `address`.
 #[must_use]
 pub fn control(address: SocketAddr) -> ControlLink {
     Link::new(address, |channel| {
@@ -56,7 +56,7 @@
     })
 }
 
-/// A link to the directory at `address`, not yet connected.
+/// Creates an unconnected link to the directory at `address`.
 #[must_use]
 pub fn directory(address: SocketAddr) -> DirectoryLink {
     Link::new(address, |channel| {
@@ -64,7 +64,7 @@
     })
 }
 
-/// A link to the gateway at `address`, not yet connected.
+/// Creates an unconnected link to the gateway at `address`.
 #[must_use]
 pub fn gateway(address: SocketAddr) -> GatewayLink {
     Link::new(address, |channel| {
@@ -72,7 +72,7 @@
     })
 }
 
-/// A link to the hub at `address`, not yet connected.
+/// Creates an unconnected link to the hub at `address`.
 #[must_use]
 pub fn hub(address: SocketAddr) -> HubLink {
     Link::new(address, |channel| {
@@ -80,7 +80,7 @@
     })
 }
 
-/// A link to the entry process at `address`, not yet connected.
+/// Creates an unconnected link to the entry process at `address`.
 #[must_use]
 pub fn place(address: SocketAddr) -> PlaceLink {
     Link::new(address, |channel| {
@@ -88,9 +88,9 @@
     })
 }
 
-/// A link between control replicas to the one at `address`, not yet connected.
+/// Creates an unconnected link from a control replica to the one at `address`.
 ///
-/// It carries as many requests as the other end takes.
+/// The client's limits on requests are raised to those of the server.
 #[must_use]
 pub fn replica(address: SocketAddr) -> ReplicaLink {
     Link::new(address, |channel| {
