--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -48,7 +48,7 @@
     Out: Serialize,
 {
     let client = link.client().await?;
-    link.judge(call(client, within(timeout)).await)
+    link.check_result(call(client, within(timeout)).await)
 }
 
 /// Calls one process after the other until one replies.
--- a/crates/control/src/link.rs
+++ b/crates/control/src/link.rs
@@ -75,7 +75,7 @@
     let attempt = async {
         partition.block_if_active().await;
         let client = link.client().await?;
-        link.judge(send(client).await)
+        link.check_result(send(client).await)
     };
     let timed_out = |_| Err(LinkError::Timeout(link.address(), timeout));
     tokio::time::timeout(timeout, attempt)
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -180,7 +180,7 @@
             return false;
         };
         let result = client.step(within(DELIVERY_TIMEOUT), envelope).await;
-        self.link.judge(result).is_ok()
+        self.link.check_result(result).is_ok()
     }
 
     /// Waits for the retry delay and drops the messages queued meanwhile, as they are stale.
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -206,7 +206,7 @@
         let desk = LocalClient::new(&server);
         let mut acceptors = JoinSet::new();
         let acceptor = Acceptor {
-            limit: MAX_CONNECTIONS,
+            max_connections: MAX_CONNECTIONS,
             stop: shutdown.stop_accepting.clone(),
             log: self.log.clone(),
         };
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -98,7 +98,7 @@
     let result = client
         .follow(link::within(wait + REPLY_MARGIN), request)
         .await;
-    let reply = link.judge(result)?;
+    let reply = link.check_result(result)?;
     Ok(merge_reply(shared, link.address(), sent, reply))
 }
 
--- a/crates/directory/src/peers.rs
+++ b/crates/directory/src/peers.rs
@@ -98,7 +98,7 @@
     let client = peer.client().await?;
     let sent = shared.clock.now();
     let result = client.exchange(link::within(REPLY_TIMEOUT), request).await;
-    Ok((sent, peer.judge(result)?))
+    Ok((sent, peer.check_result(result)?))
 }
 
 fn summary(inner: &Inner) -> Exchange {
--- a/crates/entry/src/placement/grant.rs
+++ b/crates/entry/src/placement/grant.rs
@@ -73,13 +73,13 @@
             return;
         };
         runtime.spawn(async move {
-            let Ok(client) = dispatcher.link.client_within(CONNECT_TIMEOUT).await else {
+            let Ok(client) = dispatcher.link.client_with_timeout(CONNECT_TIMEOUT).await else {
                 return;
             };
             // If the message is lost, the grant expires by itself.
             let _ = dispatcher
                 .link
-                .judge(client.ended(within(RELEASE_TIMEOUT), release).await);
+                .check_result(client.ended(within(RELEASE_TIMEOUT), release).await);
         });
     }
 }
--- a/crates/gateway/src/ledger_client.rs
+++ b/crates/gateway/src/ledger_client.rs
@@ -47,7 +47,7 @@
     pub async fn claim(&self, claim: &Claim, deadline: Instant) -> Option<Kind> {
         self.try_replicas(deadline, |link, timeout| async move {
             let client = link.client().await?;
-            let reply = link.judge(client.claim(within(timeout), claim.clone()).await)?;
+            let reply = link.check_result(client.claim(within(timeout), claim.clone()).await)?;
             Ok(reply.kind.filter(|k| !matches!(k, Kind::Unreachable(_))))
         })
         .await
@@ -58,7 +58,8 @@
         let recorded = self
             .try_replicas(deadline, |link, timeout| async move {
                 let client = link.client().await?;
-                let reply = link.judge(client.settle(within(timeout), settle.clone()).await)?;
+                let reply =
+                    link.check_result(client.settle(within(timeout), settle.clone()).await)?;
                 Ok(reply.recorded.then_some(()))
             })
             .await;
--- a/crates/gateway/src/rpc.rs
+++ b/crates/gateway/src/rpc.rs
@@ -42,7 +42,7 @@
             .await?;
     let bound = incoming.local_addr();
     let acceptor = Acceptor {
-        limit: MAX_CONNECTIONS,
+        max_connections: MAX_CONNECTIONS,
         stop: core.shutdown_token().clone(),
         log: core.log.clone(),
     };
--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -172,7 +172,7 @@
         let link = &self.links[self.index];
         let timeout = Duration::from_millis(request.wait_ms.into()) + RESPONSE_MARGIN;
         let client = link.client().await?;
-        link.judge(client.sync(within(timeout), request).await)
+        link.check_result(client.sync(within(timeout), request).await)
     }
 
     fn apply(&mut self, sent_at: Moment, reply: SyncReply) -> Next {
