--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -4,11 +4,11 @@
 //! A seed draws the faults ([`world`]): signals to processes, faults of upstreams,
 //! and connections to these by way of a [`proxy`] that delays, silences or resets.
 //! Callers call all the while ([`calls`]). At the end everything is restored, and
-//! [`judge`] looks for broken promises.
+//! [`invariants`] looks for broken promises.
 
 pub mod calls;
 pub mod crashers;
-pub mod judge;
+pub mod invariants;
 pub mod proxy;
 pub mod world;
 
@@ -21,7 +21,7 @@
 use testutils::system::SystemError;
 
 use crate::calls::Callers;
-use crate::judge::Verdict;
+use crate::invariants::Verdict;
 use crate::world::World;
 
 quick_error! {
@@ -82,5 +82,5 @@
     world.restore().await?;
     let calls = callers.stop().await;
     let crashed = world.crash().await?;
-    Ok(judge::judge(&world, &calls, crashed))
+    Ok(invariants::judge(&world, &calls, crashed))
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -9,15 +9,15 @@
 pub mod announce;
 pub mod archive;
 pub mod fault;
-pub mod pace;
 pub mod runs;
 pub mod server;
+pub mod service_time;
 pub mod settings;
 pub mod slots;
 
 mod handler;
-mod reading;
-mod reply;
+mod request;
+mod response;
 
 pub use fault::Fault;
 pub use fault::FaultKind;
