--- a/crates/standin/src/announce.rs
+++ b/crates/standin/src/announce.rs
@@ -1,4 +1,4 @@
-//! Announces a stand-in to its directories and keeps its lease.
+//! Announces a stand-in to its directories and renews its lease.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,29 +20,29 @@
 
 use crate::settings::Settings;
 
-/// Time between two announcements before a directory has said better.
-const REFRESH: Duration = Duration::from_millis(500);
-/// Least time between two announcements, whatever a directory says.
-const LEAST_REFRESH: Duration = Duration::from_millis(50);
-/// Longest wait for one directory's answer.
+/// Time between two announcements when no directory has answered.
+const DEFAULT_REFRESH_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum time between two announcements.
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of one announcement to one directory.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What an instance says of itself.
+/// Announced phase of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Display)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Phase {
-    /// It takes no work yet.
+    /// The instance doesn't accept requests yet.
     Starting,
-    /// It takes work.
+    /// The instance accepts requests.
     Ready,
-    /// It finishes its work and takes no new.
+    /// The instance finishes its requests; callers should send no new ones.
     Draining,
-    /// It leaves; sent once.
+    /// The instance has stopped; sent once.
     Gone,
 }
 
-/// The body of an announcement.
+/// Body of an announcement.
 #[derive(Debug, Serialize)]
 struct Announcement<'a> {
     service: &'a str,
@@ -56,13 +56,13 @@
     sequence: u64,
 }
 
-/// A directory's answer.
+/// A directory's response to an announcement.
 #[derive(Debug, Deserialize)]
 struct Lease {
     refresh_ms: u64,
 }
 
-/// Announces one stand-in.
+/// Sends the announcements of one stand-in.
 pub struct Announcer {
     client: Client,
     settings: Settings,
@@ -73,7 +73,7 @@
 }
 
 impl Announcer {
-    /// An announcer of the instance that listens at `address`.
+    /// Creates the announcer of the instance that listens at `address`.
     ///
     /// `incarnation` must be greater than that of any earlier process of the same instance.
     #[must_use]
@@ -88,12 +88,12 @@
         }
     }
 
-    /// Announces the phase again and again, and at once when it changes, until `Gone` was sent.
-    pub async fn keep(self: Arc<Self>, mut phase: watch::Receiver<Phase>) {
+    /// Announces the phase periodically, and at once when it changes, until `Gone` has been sent.
+    pub async fn run(self: Arc<Self>, mut phase: watch::Receiver<Phase>) {
         loop {
-            let now = *phase.borrow_and_update();
-            let refresh = self.announce(now).await;
-            if now == Phase::Gone {
+            let current = *phase.borrow_and_update();
+            let refresh = self.announce(current).await;
+            if current == Phase::Gone {
                 return;
             }
             if let Ok(Err(_)) = timeout(refresh, phase.changed()).await {
@@ -102,13 +102,16 @@
         }
     }
 
-    /// Announces `phase` to all directories; the shortest time that one asks to be refreshed in.
+    /// Announces `phase` to all directories. Returns the shortest refresh interval that one of
+    /// them asked for.
     async fn announce(&self, phase: Phase) -> Duration {
-        let sends = self.settings.directories.iter();
-        let sends = sends.map(|directory| self.send(*directory, phase));
-        let answers = join_all(sends).await;
-        let refresh = answers.into_iter().flatten().min();
-        refresh.unwrap_or(REFRESH).max(LEAST_REFRESH)
+        let requests = self.settings.directories.iter();
+        let requests = requests.map(|directory| self.send(*directory, phase));
+        let refresh_intervals = join_all(requests).await;
+        let refresh = refresh_intervals.into_iter().flatten().min();
+        refresh
+            .unwrap_or(DEFAULT_REFRESH_INTERVAL)
+            .max(MIN_REFRESH_INTERVAL)
     }
 
     async fn send(&self, directory: SocketAddr, phase: Phase) -> Option<Duration> {
@@ -125,7 +128,7 @@
             sequence,
         };
         let body = serde_json::to_vec(&announcement).unwrap_or_default();
-        let sent = self
+        let result = self
             .client
             .post(format!("http://{directory}/v1/announce"))
             .header("content-type", "application/json")
@@ -133,22 +136,22 @@
             .body(body)
             .send()
             .await;
-        let answer = match sent {
-            Ok(answer) => answer,
+        let response = match result {
+            Ok(response) => response,
             Err(err) => {
                 warn!(self.log, "announce failed"; "directory" => %directory, "phase" => %phase, "error" => %err);
                 return None;
             }
         };
-        let status = answer.status();
-        let text = answer.bytes().await.unwrap_or_default();
+        let status = response.status();
+        let body = response.bytes().await.unwrap_or_default();
         if status != StatusCode::OK {
-            let detail = String::from_utf8_lossy(&text).into_owned();
+            let detail = String::from_utf8_lossy(&body).into_owned();
             warn!(self.log, "announce refused"; "directory" => %directory, "phase" => %phase, "status" => status.as_u16(), "detail" => detail);
             return None;
         }
         info!(self.log, "announced"; "directory" => %directory, "phase" => %phase, "sequence" => sequence);
-        let lease: Lease = serde_json::from_slice(&text).ok()?;
+        let lease: Lease = serde_json::from_slice(&body).ok()?;
         Some(Duration::from_millis(lease.refresh_ms))
     }
 }
--- a/crates/standin/src/archive.rs
+++ b/crates/standin/src/archive.rs
@@ -1,39 +1,39 @@
-//! Archive answers: long, the same on each instance, served by range.
+//! Archive responses: long bodies, equal on all instances, that support range requests.
 
 use std::ops::Range;
 
 use bytes::Bytes;
 
-/// Bytes of one piece of a streamed answer.
-pub const PIECE: u64 = 16 * 1024;
+/// Size of one chunk of a streamed body, in bytes.
+pub const CHUNK_SIZE: u64 = 16 * 1024;
 
-/// What a request asks of an archive answer.
+/// The part of a body that a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Part {
-    /// All of it.
-    Whole,
-    /// One range.
-    Range(Range<u64>),
-    /// A range that lies outside.
-    Outside,
+pub enum RequestedRange {
+    /// The full body.
+    Full,
+    /// One range of bytes.
+    Partial(Range<u64>),
+    /// A range that has no byte of the body.
+    Unsatisfiable,
 }
 
-/// Reads the `range` header against a body of `size` bytes.
+/// Parses the `range` header of a request for a body of `size` bytes.
 ///
-/// A form other than one `bytes=FROM-` or `bytes=FROM-TO` asks for the whole.
+/// Anything but a single `bytes=FROM-` or `bytes=FROM-TO` asks for the full body.
 #[must_use]
-pub fn part(range: Option<&str>, size: u64) -> Part {
-    let Some((from, to)) = range.and_then(bounds) else {
-        return Part::Whole;
+pub fn parse_range(range: Option<&str>, size: u64) -> RequestedRange {
+    let Some((from, to)) = range.and_then(parse_bounds) else {
+        return RequestedRange::Full;
     };
     let end = to.map_or(size, |to| to.saturating_add(1).min(size));
     if from >= end {
-        return Part::Outside;
+        return RequestedRange::Unsatisfiable;
     }
-    Part::Range(from..end)
+    RequestedRange::Partial(from..end)
 }
 
-fn bounds(range: &str) -> Option<(u64, Option<u64>)> {
+fn parse_bounds(range: &str) -> Option<(u64, Option<u64>)> {
     let (from, to) = range.strip_prefix("bytes=")?.split_once('-')?;
     let from = from.parse().ok()?;
     if to.is_empty() {
@@ -42,28 +42,28 @@
     Some((from, Some(to.parse().ok()?)))
 }
 
-/// The bytes of the answer to `path` that lie in `range`.
+/// The bytes in `range` of the body served at `path`.
 #[must_use]
 pub fn bytes(path: &str, range: Range<u64>) -> Bytes {
-    let salt = path
+    let path_hash = path
         .bytes()
         .fold(17_u64, |sum, b| sum.wrapping_mul(31).wrapping_add(b.into()));
-    range.map(|i| byte(salt, i)).collect()
+    range.map(|i| byte_at(path_hash, i)).collect()
 }
 
-fn byte(salt: u64, i: u64) -> u8 {
-    // Printable, without a short period, so that a shifted range is seen.
-    let mixed = salt
+fn byte_at(path_hash: u64, i: u64) -> u8 {
+    // Printable, and without a short period, so that a test notices a shifted range.
+    let mixed = path_hash
         .wrapping_add(i)
         .wrapping_mul(0x9e37_79b9_7f4a_7c15)
         .rotate_left(23);
     b'a' + u8::try_from(mixed % 26).unwrap_or(0)
 }
 
-/// The ranges of at most [`PIECE`] bytes that make up `range`.
-pub fn pieces(range: Range<u64>) -> impl Iterator<Item = Range<u64>> {
+/// Splits `range` into ranges of at most [`CHUNK_SIZE`] bytes.
+pub fn chunks(range: Range<u64>) -> impl Iterator<Item = Range<u64>> {
     let end = range.end;
     (range.start..end)
-        .step_by(usize::try_from(PIECE).unwrap_or(usize::MAX))
-        .map(move |from| from..(from + PIECE).min(end))
+        .step_by(usize::try_from(CHUNK_SIZE).unwrap_or(usize::MAX))
+        .map(move |from| from..(from + CHUNK_SIZE).min(end))
 }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that a stand-in is told to show, one at a time.
+//! Faults that a stand-in can be set to show, one at a time.
 
 use std::time::Duration;
 
@@ -7,54 +7,54 @@
 use strum::Display;
 use strum::EnumString;
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Display, EnumString,
 )]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum FaultKind {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Refuses before any work, and says so.
+    /// Rejects requests before any work, with 503 and the header that marks them as shed.
     Shed,
-    /// Answers 500 at once.
+    /// Responds with 500 at once.
     Fail,
-    /// Works slower by the factor.
+    /// Multiplies the service time by `factor`.
     Slow,
-    /// Takes the work and never answers, for as long as the connection lives.
+    /// Accepts requests and never finishes them; the deadline still applies.
     Stall,
-    /// Takes the work and keeps it until the fault is switched.
+    /// Accepts requests and finishes them once the fault is changed; the deadline still applies.
     Hold,
-    /// Sends half of the body that it announced, then closes.
+    /// Sends half of the announced content length, then closes the connection.
     Short,
-    /// Finishes the work, then sends the answer later by `delay_ms`.
+    /// Finishes the work, then delays the response by `delay_ms`.
     Late,
-    /// Echoes another request's id, as if answers were crossed.
+    /// Echoes the id of the request before, as if responses were swapped.
     Crossed,
-    /// Reports no load whatever it has in flight.
+    /// Reports zero requests in flight, whatever the load.
     Lie,
-    /// Answers probes with 503 and works as ever.
+    /// Responds to probes with 503 and serves requests as usual.
     Ill,
 }
 
-/// A fault with its measures.
+/// A fault with its parameters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Factor on the service time when slow.
+    /// Factor on the service time under [`FaultKind::Slow`].
     #[serde(default = "default_factor")]
     pub factor: u32,
-    /// Delay of a late answer in milliseconds.
+    /// Delay of a response under [`FaultKind::Late`], in milliseconds.
     #[serde(default = "default_delay")]
     pub delay_ms: u64,
 }
 
 impl Fault {
-    /// `kind` with the default measures: 10 times slower, 1 s late.
+    /// Creates a fault with the default parameters: 10 times slower, 1 s late.
     #[must_use]
     pub fn new(kind: FaultKind) -> Self {
         Self {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The delay of a late answer, zero under any other fault.
+    /// Delay of a response; zero unless the fault is [`FaultKind::Late`].
     #[must_use]
     pub fn delay(&self) -> Duration {
         match self.kind {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The factor on the service time, 1 under any other fault than slow.
+    /// Factor on the service time; 1 unless the fault is [`FaultKind::Slow`].
     #[must_use]
     pub fn slowdown(&self) -> u32 {
         match self.kind {
--- a/crates/standin/src/handler.rs
+++ b/crates/standin/src/handler.rs
@@ -1,4 +1,4 @@
-//! Serves requests, probes and the test controls over HTTP.
+//! HTTP handler for requests, probes and the test controls.
 
 use std::future::Future;
 use std::path::Path;
@@ -31,7 +31,7 @@
 use tokio::time::timeout_at;
 
 use crate::archive;
-use crate::archive::Part;
+use crate::archive::RequestedRange;
 use crate::fault::Fault;
 use crate::fault::FaultKind;
 use crate::request::deadline;
@@ -47,38 +47,39 @@
 use crate::runs::Run;
 use crate::runs::RunState;
 use crate::runs::Runs;
-use crate::service_time::Pace;
+use crate::service_time::ServiceTimes;
 use crate::settings::Settings;
-use crate::slots::Place;
+use crate::slots::Admission;
 use crate::slots::Slots;
 
-/// Largest request body in bytes.
+/// Maximum size of a request body in bytes.
 const MAX_BODY: usize = 1024 * 1024;
-/// Path prefix of archive answers.
+/// Path prefix of archive responses.
 const ARCHIVE: &str = "/archive/";
 
-/// What the handler, the announcer and the owner of a stand-in share.
+/// State shared by the handler and the owner of a stand-in.
 pub struct Shared {
     pub settings: Settings,
-    /// Names this life of the instance.
-    life: String,
+    /// Identifies this incarnation of the instance, as `INSTANCE:INCARNATION`.
+    incarnation_id: String,
     pub slots: Slots,
     pub runs: Runs,
     pub fault: watch::Sender<Fault>,
     pub probes: AtomicU64,
     pub log: Logger,
-    /// Whether a request has crashed it.
+    /// Set when a request has crashed the instance.
     pub crashed: watch::Sender<bool>,
     clock: Clock,
-    pace: Mutex<Pace>,
-    drain: Mutex<Option<Moment>>,
-    last: Mutex<String>,
+    service_times: Mutex<ServiceTimes>,
+    drain_started_at: Mutex<Option<Moment>>,
+    /// Id of the latest request, which a response echoes under [`FaultKind::Crossed`].
+    last_request_id: Mutex<String>,
 }
 
 impl Shared {
     pub fn new(settings: Settings, incarnation: u64, log: Logger) -> Self {
         Self {
-            life: format!("{}:{incarnation}", settings.instance),
+            incarnation_id: format!("{}:{incarnation}", settings.instance),
             slots: Slots::new(settings.slots, settings.queue),
             runs: Runs::default(),
             fault: watch::Sender::new(Fault::default()),
@@ -86,9 +87,9 @@
             log,
             crashed: watch::Sender::new(false),
             clock: Clock::start(),
-            pace: Mutex::new(Pace::new(&settings)),
-            drain: Mutex::new(None),
-            last: Mutex::new(String::from("none")),
+            service_times: Mutex::new(ServiceTimes::new(&settings)),
+            drain_started_at: Mutex::new(None),
+            last_request_id: Mutex::new(String::from("none")),
             settings,
         }
     }
@@ -98,39 +99,41 @@
         crash.is_some_and(|crash| Path::new(path).starts_with(crash))
     }
 
-    /// Marks the begin of a drain, once.
-    pub fn begin_drain(&self) {
-        lock(&self.drain).get_or_insert(self.clock.now());
+    /// Records the start of a drain; later calls have no effect.
+    pub fn start_drain(&self) {
+        lock(&self.drain_started_at).get_or_insert(self.clock.now());
     }
 
+    /// Milliseconds since the drain started.
     fn drained_ms(&self) -> Option<u64> {
-        let begin = (*lock(&self.drain))?;
-        let span = self.clock.now().since(begin);
-        u64::try_from(span.as_millis()).ok()
+        let started_at = (*lock(&self.drain_started_at))?;
+        let elapsed = self.clock.now().since(started_at);
+        u64::try_from(elapsed.as_millis()).ok()
     }
 
     fn service_time(&self) -> Duration {
-        lock(&self.pace).time(self.clock.now())
+        lock(&self.service_times).sample(self.clock.now())
     }
 
-    fn load(&self) -> String {
-        let busy = match self.fault.borrow().kind {
+    /// Value of the load header: requests in flight, then slots.
+    fn load_header(&self) -> String {
+        let in_flight = match self.fault.borrow().kind {
             FaultKind::Lie => 0,
             _ => self.slots.in_flight(),
         };
-        format!("{busy}/{}", self.slots.count())
+        format!("{in_flight}/{}", self.slots.count())
     }
 }
 
-/// The answer to `GET /standin/runs`.
+/// Response body of `GET /standin/runs`.
 #[derive(Serialize)]
-struct Record {
+struct RunsResponse {
     probes: u64,
     in_flight: u32,
     runs: Vec<Run>,
 }
 
-/// The body of an ordinary answer, from which a caller sees whose it is.
+/// Body of an ordinary response, which lets a caller check that the response is its own.
 #[derive(Serialize)]
 struct Receipt<'a> {
     service: &'a str,
@@ -142,25 +145,25 @@
     echo: &'a str,
 }
 
-/// A request as the work needs it.
+/// An admitted request.
 struct Job {
     origin: Origin,
     fault: Fault,
-    end: Instant,
-    place: Place,
+    deadline: Instant,
+    admission: Admission,
 }
 
-/// How a job ended.
+/// Outcome of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Verdict {
+enum JobOutcome {
     Done(u64),
     Failed,
     Expired,
-    /// No work was done.
+    /// Rejected before any work was done.
     Shed,
 }
 
-/// The stand-in's one handler.
+/// Handles all paths of the stand-in.
 pub struct Upstream(pub Arc<Shared>);
 
 #[async_trait]
@@ -169,34 +172,34 @@
         let path = req.uri().path().to_owned();
         match (req.method(), path.as_str()) {
             (&Method::GET, "/rwr/load") => self.probe(res).await,
-            (&Method::GET, "/standin/runs") => self.record(res),
+            (&Method::GET, "/standin/runs") => self.list_runs(res),
             (&Method::GET, "/standin/fault") => {
                 let fault = *self.0.fault.borrow();
                 render(res, StatusCode::OK, &fault);
             }
-            (&Method::POST, "/standin/fault") => self.switch(req, res).await,
-            _ if !self.is_meant(req) => misdirected(res),
+            (&Method::POST, "/standin/fault") => self.set_fault(req, res).await,
+            _ if !self.is_for_this_incarnation(req) => misdirected(res),
             _ => self.serve(req, res, path).await,
         }
-        set(res, header::INSTANCE, &self.0.life);
-        set(res, header::LOAD, &self.0.load());
+        set(res, header::INSTANCE, &self.0.incarnation_id);
+        set(res, header::LOAD, &self.0.load_header());
     }
 }
 
 impl Upstream {
-    /// Whether the request is for this life of the instance, or for any.
-    fn is_meant(&self, req: &Request) -> bool {
-        let only = text(req, header::EXPECTED_INSTANCE);
-        only.is_empty() || only == self.0.life
+    /// Whether the request names this incarnation of the instance, or none.
+    fn is_for_this_incarnation(&self, req: &Request) -> bool {
+        let expected = text(req, header::EXPECTED_INSTANCE);
+        expected.is_empty() || expected == self.0.incarnation_id
     }
 
     async fn probe(&self, res: &mut Response) {
         self.0.probes.fetch_add(1, Ordering::Relaxed);
         let cost = self.0.settings.probe;
         if !cost.is_zero()
-            && let Some(place) = self.0.slots.enter()
+            && let Some(admission) = self.0.slots.admit()
         {
-            let _slot = place.slot().await;
+            let _slot = admission.acquire_slot().await;
             sleep(cost).await;
         }
         res.status_code(match self.0.fault.borrow().kind {
@@ -205,16 +208,16 @@
         });
     }
 
-    fn record(&self, res: &mut Response) {
-        let record = Record {
+    fn list_runs(&self, res: &mut Response) {
+        let response = RunsResponse {
             probes: self.0.probes.load(Ordering::Relaxed),
             in_flight: self.0.slots.in_flight(),
             runs: self.0.runs.all(),
         };
-        render(res, StatusCode::OK, &record);
+        render(res, StatusCode::OK, &response);
     }
 
-    async fn switch(&self, req: &mut Request, res: &mut Response) {
+    async fn set_fault(&self, req: &mut Request, res: &mut Response) {
         let body = req.payload_with_max_size(MAX_BODY).await.ok();
         let fault = body.and_then(|b| serde_json::from_slice::<Fault>(b).ok());
         let Some(fault) = fault else {
@@ -230,7 +233,7 @@
         let arrival = Instant::now();
         let fault = *self.0.fault.borrow();
         let origin = origin(req, path, self.0.drained_ms());
-        let id = self.echo(&origin, fault);
+        let id = self.echoed_request_id(&origin, fault);
         let Some(deadline) = deadline(req) else {
             refuse(res, StatusCode::BAD_REQUEST, "bad-deadline");
             return;
@@ -240,47 +243,50 @@
             refuse(res, StatusCode::PAYLOAD_TOO_LARGE, "body-too-large");
             return;
         };
-        let place = self.0.slots.enter();
-        let Some(place) = place.filter(|_| fault.kind != FaultKind::Shed) else {
+        let admission = self.0.slots.admit();
+        let Some(admission) = admission.filter(|_| fault.kind != FaultKind::Shed) else {
             shed(res);
             return;
         };
         let job = Job {
             origin: origin.clone(),
             fault,
-            end: arrival + deadline,
-            place,
+            deadline: arrival + deadline,
+            admission,
         };
-        let verdict = self.run(job).await;
+        let outcome = self.run(job).await;
         if !id.is_empty() {
             set(res, header::REQUEST_ID, &id);
         }
-        match verdict {
-            Verdict::Done(run) => self.answer(res, &origin, &body, &range, run, fault),
-            Verdict::Failed => refuse(res, StatusCode::INTERNAL_SERVER_ERROR, "failed"),
-            Verdict::Expired => refuse(res, StatusCode::GATEWAY_TIMEOUT, "deadline"),
-            Verdict::Shed => shed(res),
+        match outcome {
+            JobOutcome::Done(run) => self.respond(res, &origin, &body, &range, run, fault),
+            JobOutcome::Failed => refuse(res, StatusCode::INTERNAL_SERVER_ERROR, "failed"),
+            JobOutcome::Expired => refuse(res, StatusCode::GATEWAY_TIMEOUT, "deadline"),
+            JobOutcome::Shed => shed(res),
         }
     }
 
-    /// Runs the job, apart from its connection where cancellation isn't accepted.
-    async fn run(&self, job: Job) -> Verdict {
-        let work = work(self.0.clone(), job);
+    /// Runs the job. Unless `cancel` is set, the job runs in its own task and goes on after its
+    /// connection has closed.
+    async fn run(&self, job: Job) -> JobOutcome {
+        let work = run_job(self.0.clone(), job);
         if self.0.settings.cancel {
             return work.await;
         }
-        tokio::spawn(work).await.unwrap_or(Verdict::Failed)
+        tokio::spawn(work).await.unwrap_or(JobOutcome::Failed)
     }
 
-    fn echo(&self, origin: &Origin, fault: Fault) -> String {
-        let before = std::mem::replace(&mut *lock(&self.0.last), origin.request.clone());
+    /// Request id to put into the response.
+    fn echoed_request_id(&self, origin: &Origin, fault: Fault) -> String {
+        let previous =
+            std::mem::replace(&mut *lock(&self.0.last_request_id), origin.request.clone());
         match fault.kind {
-            FaultKind::Crossed => before,
+            FaultKind::Crossed => previous,
             _ => origin.request.clone(),
         }
     }
 
-    fn answer(
+    fn respond(
         &self,
         res: &mut Response,
         origin: &Origin,
@@ -289,9 +295,9 @@
         run: u64,
         fault: Fault,
     ) {
-        let short = fault.kind == FaultKind::Short;
+        let truncated = fault.kind == FaultKind::Short;
         if origin.path.starts_with(ARCHIVE) {
-            self.answer_archive(res, &origin.path, range, short);
+            self.respond_archive(res, &origin.path, range, truncated);
             return;
         }
         let receipt = Receipt {
@@ -304,7 +310,7 @@
             echo: &String::from_utf8_lossy(body),
         };
         render(res, StatusCode::OK, &receipt);
-        if short && let ResBody::Once(whole) = res.take_body() {
+        if truncated && let ResBody::Once(whole) = res.take_body() {
             send(
                 res,
                 vec![whole.slice(..whole.len() / 2)],
@@ -313,21 +319,21 @@
         }
     }
 
-    fn answer_archive(&self, res: &mut Response, path: &str, range: &str, short: bool) {
+    fn respond_archive(&self, res: &mut Response, path: &str, range: &str, truncated: bool) {
         let size = self.0.settings.archive.0;
-        let asked = Some(range).filter(|r| !r.is_empty());
-        let range = match archive::part(asked, size) {
-            Part::Whole => {
+        let range = Some(range).filter(|r| !r.is_empty());
+        let range = match archive::parse_range(range, size) {
+            RequestedRange::Full => {
                 res.status_code(StatusCode::OK);
                 0..size
             }
-            Part::Range(range) => {
+            RequestedRange::Partial(range) => {
                 res.status_code(StatusCode::PARTIAL_CONTENT);
-                let span = format!("bytes {}-{}/{size}", range.start, range.end - 1);
-                set(res, "content-range", &span);
+                let content_range = format!("bytes {}-{}/{size}", range.start, range.end - 1);
+                set(res, "content-range", &content_range);
                 range
             }
-            Part::Outside => {
+            RequestedRange::Unsatisfiable => {
                 refuse(res, StatusCode::RANGE_NOT_SATISFIABLE, "bad-range");
                 set(res, "content-range", &format!("bytes */{size}"));
                 return;
@@ -337,47 +343,48 @@
         set(res, "content-type", "text/plain");
         set(res, "etag", &format!("\"{size}-{}\"", path.len()));
         let length = range.end - range.start;
-        let sent = if short { length / 2 } else { length };
-        let pieces = archive::pieces(range.start..range.start + sent)
+        let sent_length = if truncated { length / 2 } else { length };
+        let chunks = archive::chunks(range.start..range.start + sent_length)
             .map(|r| archive::bytes(path, r))
             .collect();
-        send(res, pieces, length);
+        send(res, chunks, length);
     }
 }
 
-async fn work(shared: Arc<Shared>, job: Job) -> Verdict {
+async fn run_job(shared: Arc<Shared>, job: Job) -> JobOutcome {
     if job.fault.kind == FaultKind::Fail {
-        shared.runs.begin(job.origin).end(RunState::Failed);
-        return Verdict::Failed;
+        shared.runs.start(job.origin).end(RunState::Failed);
+        return JobOutcome::Failed;
     }
-    let Ok(Some(_slot)) = timeout_at(job.end, job.place.slot()).await else {
-        return Verdict::Shed;
+    let Ok(Some(_slot)) = timeout_at(job.deadline, job.admission.acquire_slot()).await else {
+        return JobOutcome::Shed;
     };
     let crashes = shared.crashes(&job.origin.path);
-    let run = shared.runs.begin(job.origin);
+    let run = shared.runs.start(job.origin);
     let number = run.number();
     if crashes {
         shared.crashed.send_replace(true);
         return std::future::pending().await;
     }
-    let spent = timeout_at(job.end, spend(&shared, job.fault)).await;
-    if spent.is_err() {
+    let completed = timeout_at(job.deadline, do_work(&shared, job.fault)).await;
+    if completed.is_err() {
         run.end(RunState::Expired);
-        return Verdict::Expired;
+        return JobOutcome::Expired;
     }
     run.end(RunState::Done);
     sleep(job.fault.delay()).await;
-    Verdict::Done(number)
+    JobOutcome::Done(number)
 }
 
-fn spend(shared: &Shared, fault: Fault) -> impl Future<Output = ()> + use<> {
+/// Waits for as long as the work of one request takes under `fault`.
+fn do_work(shared: &Shared, fault: Fault) -> impl Future<Output = ()> + use<> {
     let time = shared.service_time() * fault.slowdown();
     let mut faults = shared.fault.subscribe();
     async move {
         match fault.kind {
             FaultKind::Stall => std::future::pending().await,
             FaultKind::Hold => {
-                // An error means that the stand-in is gone, and then so is this work.
+                // Fails only when the stand-in was dropped, which ends this task as well.
                 let _ = faults.wait_for(|f| f.kind != FaultKind::Hold).await;
             }
             _ => sleep(time).await,
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,10 +1,10 @@
-//! A small stand-in for an upstream, for tests and for trying the system out.
+//! An emulated upstream for tests and for trying the system out.
 //!
-//! It speaks the same contract as a real upstream: it announces itself to the
-//! directories, serves requests from a few slots and a queue, reports its load
-//! on each answer, sheds, drains, accepts cancellation and deadlines. Faults
-//! are switched on at run time, and each run is recorded by request key, so
-//! that a test can count what truly ran.
+//! The stand-in follows the contract of a real upstream: it announces itself to
+//! the directories, serves requests from a few slots and a queue, reports its load
+//! with each response, sheds, drains, and honours cancellation and deadlines.
+//! Faults are set at run time. Each run is recorded with its idempotency key, so
+//! that a test can count which requests were run.
 
 pub mod announce;
 pub mod archive;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `rwr-standin`: a stand-in for an upstream, as a process.
+//! `rwr-standin`: an emulated upstream as a process.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -46,7 +46,7 @@
         info!(log, "ready"; "address" => %upstream.address(), "service" => service);
         tokio::select! {
             () = signals.stop() => upstream.stop().await,
-            // As a process ends that is killed: no word, and nothing is finished.
+            // Ends like a killed process: sends no announcement and finishes no request.
             () = upstream.crashed() => std::process::exit(CRASHED),
         }
         Ok(())
--- a/crates/standin/src/request.rs
+++ b/crates/standin/src/request.rs
@@ -1,4 +1,4 @@
-//! What a request says of itself.
+//! Reads the headers of a request.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 
 use crate::runs::Origin;
 
-/// Time that a request without a deadline may take.
+/// Deadline of a request that sets none, and the maximum of any deadline.
 const NO_DEADLINE: Duration = Duration::from_hours(1);
 
-/// Who asks for what; `drained_ms` is since a drain began.
+/// Reads the properties of a request that its run records. `drained_ms` is the time since the
+/// drain started.
 pub fn origin(req: &Request, path: String, drained_ms: Option<u64>) -> Origin {
     Origin {
         key: text(req, header::IDEMPOTENCY_KEY),
@@ -22,7 +23,7 @@
     }
 }
 
-/// How long the request may take; none where it says so in another form.
+/// Time that the request may take; `None` if the header is malformed.
 pub fn deadline(req: &Request) -> Option<Duration> {
     let Some(value) = req.headers().get(header::DEADLINE) else {
         return Some(NO_DEADLINE);
@@ -31,7 +32,7 @@
     Some(Duration::from_millis(millis).min(NO_DEADLINE))
 }
 
-/// A header, empty where it isn't there.
+/// Value of a header, empty if absent or not text.
 pub fn text(req: &Request, name: &str) -> String {
     let value = req.headers().get(name).and_then(|v| v.to_str().ok());
     value.unwrap_or_default().to_owned()
--- a/crates/standin/src/response.rs
+++ b/crates/standin/src/response.rs
@@ -1,4 +1,4 @@
-//! How an answer is written.
+//! Writes responses.
 
 use std::io;
 use std::time::Duration;
@@ -13,22 +13,22 @@
 use serde::Serialize;
 use tokio::time::sleep;
 
-/// Pause before a short answer's connection ends.
+/// Delay before the connection of a truncated response is closed.
 const CUT_DELAY: Duration = Duration::from_millis(20);
 
-/// Refuses before any work.
+/// Rejects a request before any work.
 pub(crate) fn shed(res: &mut Response) {
     refuse(res, StatusCode::SERVICE_UNAVAILABLE, "shed");
     set(res, header::SHED, "1");
 }
 
-/// Another instance was meant, which had this address before.
+/// Rejects a request for another instance, which used this address before.
 pub(crate) fn misdirected(res: &mut Response) {
     refuse(res, StatusCode::MISDIRECTED_REQUEST, "misdirected");
     set(res, header::SHED, "1");
 }
 
-/// Answers with a failure of the stand-in's own.
+/// Responds with an error of the stand-in itself.
 pub(crate) fn refuse(res: &mut Response, status: StatusCode, error: &'static str) {
     #[derive(Serialize)]
     struct Refusal {
@@ -37,7 +37,7 @@
     render(res, status, &Refusal { error });
 }
 
-/// Answers with a value as JSON.
+/// Responds with a value as JSON.
 pub(crate) fn render(res: &mut Response, status: StatusCode, value: &impl Serialize) {
     res.status_code(status);
     set(res, "content-type", "application/json");
@@ -45,25 +45,25 @@
     res.body(ResBody::Once(body.into()));
 }
 
-/// Announces `length` bytes and sends `pieces`; when they are fewer, the connection ends.
-pub(crate) fn send(res: &mut Response, pieces: Vec<Bytes>, length: u64) {
+/// Sends `chunks` with a content length of `length` bytes, and closes the connection if they are
+/// shorter.
+pub(crate) fn send(res: &mut Response, chunks: Vec<Bytes>, length: u64) {
     set(res, "content-length", &length.to_string());
-    let sent: usize = pieces.iter().map(Bytes::len).sum();
-    let pieces = stream::iter(pieces.into_iter().map(Ok));
+    let sent: usize = chunks.iter().map(Bytes::len).sum();
+    let chunks = stream::iter(chunks.into_iter().map(Ok));
     if sent as u64 == length {
-        res.stream(pieces);
+        res.stream(chunks);
         return;
     }
     let cut = stream::once(async {
-        // What was sent before must leave first, or the caller sees no answer at all.
+        // The chunks must be flushed first, or the caller gets no response at all.
         sleep(CUT_DELAY).await;
         Err(io::Error::from(io::ErrorKind::UnexpectedEof))
     });
-    res.stream(pieces.chain(cut));
+    res.stream(chunks.chain(cut));
 }
 
-/// Sets a header.
 pub(crate) fn set(res: &mut Response, name: &'static str, value: &str) {
-    // A value that is no header value came from a request, which can't be echoed then.
+    // Only a value copied from a request can be invalid; it is not echoed then.
     let _ = res.add_header(name, value, true);
 }
--- a/crates/standin/src/runs.rs
+++ b/crates/standin/src/runs.rs
@@ -1,4 +1,4 @@
-//! The record of what truly ran, by request key.
+//! Record of the requests that were run.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -9,61 +9,61 @@
 use serde::Serialize;
 use tokio::sync::watch;
 
-/// What became of a run.
+/// State of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunState {
-    /// It holds a slot.
+    /// The run holds a slot.
     Running,
-    /// It ended, and its answer was given out.
+    /// The work is finished, and the response can be sent.
     Done,
-    /// It answered with a failure; it may have had an effect.
+    /// The run ended with an error and may have had an effect.
     Failed,
-    /// Its connection closed, and the work was dropped.
+    /// The connection closed, and the work was dropped.
     Cancelled,
-    /// Its deadline passed, and the work was dropped.
+    /// The deadline passed, and the work was dropped.
     Expired,
 }
 
-/// One run: work that began.
+/// One run: work on a request that was started.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Run {
-    /// Number from 1, in the order of the starts.
+    /// Number from 1, in starting order.
     pub number: u64,
-    /// The request's idempotency key, empty when it had none.
+    /// Idempotency key of the request, empty if it had none.
     pub key: String,
-    /// Who called, empty when not said.
+    /// Name of the caller, empty if it was not sent.
     pub caller: String,
-    /// The request's path.
+    /// Path of the request.
     pub path: String,
-    /// The system's id of the request.
+    /// Id that the system gave the request.
     pub request: String,
-    /// The attempt's number as it was sent.
+    /// Attempt number as it was sent.
     pub attempt: String,
-    /// Milliseconds since the first announcement of `draining`, when there was one.
+    /// Milliseconds since the first announcement of `draining`, if there was one.
     pub drained_ms: Option<u64>,
-    /// What became of it.
+    /// State of the run.
     pub state: RunState,
 }
 
-/// What is known of a request when its run begins.
+/// Properties of a request that are known when its run starts.
 #[derive(Clone, Debug, Default)]
 pub struct Origin {
-    /// The idempotency key.
+    /// Idempotency key, empty if the request had none.
     pub key: String,
-    /// Who called.
+    /// Name of the caller, empty if it was not sent.
     pub caller: String,
-    /// The path.
+    /// Path of the request.
     pub path: String,
-    /// The request's id.
+    /// Id that the system gave the request.
     pub request: String,
-    /// The attempt's number.
+    /// Attempt number as it was sent.
     pub attempt: String,
-    /// Milliseconds since the drain began.
+    /// Milliseconds since the drain started, if it did.
     pub drained_ms: Option<u64>,
 }
 
-/// All runs of a stand-in since its start.
+/// All runs of a stand-in since its start. Clones share one record.
 #[derive(Clone)]
 pub struct Runs {
     list: Arc<Mutex<Vec<Run>>>,
@@ -80,9 +80,10 @@
 }
 
 impl Runs {
-    /// Records a run that begins now; dropped unfinished, it is cancelled.
+    /// Records a run that starts now. Dropping the guard before [`RunGuard::end`] records the run
+    /// as cancelled.
     #[must_use]
-    pub fn begin(&self, origin: Origin) -> RunGuard {
+    pub fn start(&self, origin: Origin) -> RunGuard {
         let mut list = self.list();
         let number = list.len() as u64 + 1;
         list.push(Run {
@@ -104,15 +105,15 @@
         }
     }
 
-    /// A copy of the record.
+    /// A copy of all runs.
     #[must_use]
     pub fn all(&self) -> Vec<Run> {
         self.list().clone()
     }
 
-    /// The runs of one key.
+    /// The runs with the idempotency key `key`.
     #[must_use]
-    pub fn of_key(&self, key: &str) -> Vec<Run> {
+    pub fn with_key(&self, key: &str) -> Vec<Run> {
         self.list()
             .iter()
             .filter(|r| r.key == key)
@@ -120,10 +121,10 @@
             .collect()
     }
 
-    /// Waits until the record satisfies `test`.
-    pub async fn wait(&self, test: impl Fn(&[Run]) -> bool) {
+    /// Waits until the runs satisfy `condition`.
+    pub async fn wait(&self, condition: impl Fn(&[Run]) -> bool) {
         let mut changes = self.changes.subscribe();
-        while !test(&self.list()) {
+        while !condition(&self.list()) {
             if changes.changed().await.is_err() {
                 return;
             }
@@ -131,8 +132,8 @@
     }
 
     fn end(&self, number: u64, state: RunState) {
-        let at = usize::try_from(number - 1).unwrap_or(usize::MAX);
-        if let Some(run) = self.list().get_mut(at) {
+        let index = usize::try_from(number - 1).unwrap_or(usize::MAX);
+        if let Some(run) = self.list().get_mut(index) {
             run.state = state;
         }
         self.changes.send_modify(|count| *count += 1);
@@ -143,7 +144,7 @@
     }
 }
 
-/// A run that has begun.
+/// A run in progress.
 pub struct RunGuard {
     runs: Runs,
     number: u64,
@@ -151,13 +152,13 @@
 }
 
 impl RunGuard {
-    /// The run's number.
+    /// Number of the run.
     #[must_use]
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Ends the run.
+    /// Ends the run with `state`.
     pub fn end(mut self, state: RunState) {
         self.ended = true;
         self.runs.end(self.number, state);
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! Starts and ends a stand-in.
+//! Starts and stops a stand-in.
 
 use std::io;
 use std::net::SocketAddr;
@@ -27,14 +27,14 @@
 use crate::runs::Runs;
 use crate::settings::Settings;
 
-/// Time between two looks at the work that is left.
-const LOOK: Duration = Duration::from_millis(10);
+/// Time between two checks for requests in flight during a stop.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 quick_error! {
-    /// Why a stand-in can't start.
+    /// Error of starting a stand-in.
     #[derive(Debug)]
     pub enum StartError {
-        /// It can't listen.
+        /// The listening socket could not be opened.
         Listen(address: SocketAddr, err: io::Error) {
             source(err)
             display("listen at {address}: {err}")
@@ -42,118 +42,119 @@
     }
 }
 
-/// A running stand-in; dropped, it ends as if killed.
+/// A running stand-in. Dropping it ends it as [`StandIn::kill`] does.
 pub struct StandIn {
     shared: Arc<Shared>,
     address: SocketAddr,
     phase: watch::Sender<Phase>,
-    serve: JoinHandle<()>,
-    announce: JoinHandle<()>,
+    server_task: JoinHandle<()>,
+    announcer_task: JoinHandle<()>,
 }
 
 /// Starts a stand-in.
 ///
 /// # Errors
 ///
-/// Fails when it can't listen.
+/// Fails if the listening socket can't be opened.
 pub async fn start(settings: Settings, log: Logger) -> Result<StandIn, StartError> {
     let listen = settings.listen;
-    let wrap = |err| StartError::Listen(listen, err);
-    let listener = TcpListener::bind(listen).await.map_err(wrap)?;
-    let address = listener.local_addr().map_err(wrap)?;
-    let acceptor = TcpAcceptor::try_from(listener).map_err(wrap)?;
+    let listen_error = |err| StartError::Listen(listen, err);
+    let listener = TcpListener::bind(listen).await.map_err(listen_error)?;
+    let address = listener.local_addr().map_err(listen_error)?;
+    let acceptor = TcpAcceptor::try_from(listener).map_err(listen_error)?;
     let incarnation = incarnation();
-    let shown = settings.announced.unwrap_or(address);
-    let announcer = Announcer::new(&settings, shown, incarnation, log.clone());
+    let announced_address = settings.announced.unwrap_or(address);
+    let announcer = Announcer::new(&settings, announced_address, incarnation, log.clone());
     let shared = Arc::new(Shared::new(settings, incarnation, log));
     let router = Router::with_path("{**path}").goal(Upstream(shared.clone()));
-    let serve = tokio::spawn(Server::new(acceptor).serve(router));
+    let server_task = tokio::spawn(Server::new(acceptor).serve(router));
     let (phase, phases) = watch::channel(Phase::Ready);
-    let announce = tokio::spawn(Arc::new(announcer).keep(phases));
+    let announcer_task = tokio::spawn(Arc::new(announcer).run(phases));
     Ok(StandIn {
         shared,
         address,
         phase,
-        serve,
-        announce,
+        server_task,
+        announcer_task,
     })
 }
 
 impl StandIn {
-    /// Where it listens.
+    /// Address that the stand-in listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The settings it runs with.
+    /// Effective settings.
     #[must_use]
     pub fn settings(&self) -> &Settings {
         &self.shared.settings
     }
 
-    /// The record of its runs.
+    /// Record of the runs.
     #[must_use]
     pub fn runs(&self) -> &Runs {
         &self.shared.runs
     }
 
-    /// Probes answered since the start.
+    /// Number of probes received since the start.
     #[must_use]
     pub fn probes(&self) -> u64 {
         self.shared.probes.load(Ordering::Relaxed)
     }
 
-    /// Requests that hold a slot or wait for one.
+    /// Number of requests that hold a slot or wait for one.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
         self.shared.slots.in_flight()
     }
 
-    /// Switches the fault.
+    /// Replaces the current fault.
     pub fn set_fault(&self, fault: Fault) {
         self.shared.fault.send_replace(fault);
     }
 
-    /// Announces `draining` from now on; it still serves what comes.
+    /// Announces `draining` from now on. Requests are still served.
     pub fn drain(&self) {
-        self.shared.begin_drain();
+        self.shared.start_drain();
         self.phase.send_replace(Phase::Draining);
         info!(self.shared.log, "drain");
     }
 
-    /// Stops gracefully: drains, lets callers turn away, finishes its work, says `gone`.
+    /// Stops gracefully: announces `draining`, waits for the `drain` time and until no request is
+    /// in flight, then announces `gone`.
     pub async fn stop(mut self) {
         self.drain();
         sleep(self.shared.settings.drain).await;
         while self.in_flight() > 0 {
-            sleep(LOOK).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
         self.phase.send_replace(Phase::Gone);
-        // A failure here is a panic of the announcer, which has printed itself.
-        let _ = (&mut self.announce).await;
+        // Fails only if the announcer panicked; the panic is already printed.
+        let _ = (&mut self.announcer_task).await;
         info!(self.shared.log, "stopped");
     }
 
-    /// Waits until a request crashes it. Its owner ends it then.
+    /// Waits until a request crashes the stand-in. The caller then has to end it.
     pub async fn crashed(&self) {
         let mut crashed = self.shared.crashed.subscribe();
         // The sender lives as long as the stand-in.
         let _ = crashed.wait_for(|crashed| *crashed).await;
     }
 
-    /// Ends at once, as a killed process would: no word, connections reset.
+    /// Ends at once like a killed process: sends no announcement and resets the connections.
     pub fn kill(self) {}
 }
 
 impl Drop for StandIn {
     fn drop(&mut self) {
-        self.serve.abort();
-        self.announce.abort();
+        self.server_task.abort();
+        self.announcer_task.abort();
     }
 }
 
-/// Microseconds of the wall clock, so that a restarted process has a greater one.
+/// Microseconds since the Unix epoch, so that a restarted process has a greater incarnation.
 fn incarnation() -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/standin/src/service_time.rs
+++ b/crates/standin/src/service_time.rs
@@ -1,4 +1,4 @@
-//! Service times: seeded jitter on a level that shifts within milliseconds.
+//! Random service times: jitter per request around a mean that changes within milliseconds.
 
 use std::time::Duration;
 
@@ -9,59 +9,62 @@
 
 use crate::settings::Settings;
 
-/// Gives each request its service time; pure, the time is passed in.
+/// Draws the service time of each request from a seeded generator. Reads no clock.
 #[derive(Debug)]
-pub struct Pace {
+pub struct ServiceTimes {
     rng: SmallRng,
-    time: Duration,
+    mean: Duration,
     jitter: f64,
-    shift: Duration,
-    swing: f64,
-    cold: u32,
-    factor: u32,
+    level_interval: Duration,
+    level_spread: f64,
+    /// Number of requests that are still to be slowed down after the start.
+    cold_remaining: u32,
+    cold_factor: u32,
+    /// Factor on the service time of all requests.
     level: f64,
-    next: Moment,
+    next_level_change: Moment,
 }
 
-impl Pace {
-    /// The pace that `settings` describe, cold.
+impl ServiceTimes {
+    /// Service times as configured by `settings`, starting cold.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
         Self {
             rng: SmallRng::seed_from_u64(settings.seed),
-            time: settings.time,
+            mean: settings.time,
             jitter: f64::from(settings.jitter.0) / 100.0,
-            shift: settings.shift,
-            swing: f64::from(settings.swing.0) / 100.0,
-            cold: settings.cold,
-            factor: settings.cold_factor,
+            level_interval: settings.shift,
+            level_spread: f64::from(settings.swing.0) / 100.0,
+            cold_remaining: settings.cold,
+            cold_factor: settings.cold_factor,
             level: 1.0,
-            next: Moment::ZERO + settings.shift,
+            next_level_change: Moment::ZERO + settings.shift,
         }
     }
 
     /// The service time of a request that starts at `now`.
-    pub fn time(&mut self, now: Moment) -> Duration {
-        self.shift_level(now);
-        let jitter = self.around(self.jitter);
-        let time = self.time.mul_f64(self.level * jitter);
-        if self.cold == 0 {
+    pub fn sample(&mut self, now: Moment) -> Duration {
+        self.update_level(now);
+        let jitter = self.random_factor(self.jitter);
+        let time = self.mean.mul_f64(self.level * jitter);
+        if self.cold_remaining == 0 {
             return time;
         }
-        self.cold -= 1;
-        time * self.factor
+        self.cold_remaining -= 1;
+        time * self.cold_factor
     }
 
-    fn shift_level(&mut self, now: Moment) {
-        if self.shift.is_zero() || now < self.next {
+    fn update_level(&mut self, now: Moment) {
+        if self.level_interval.is_zero() || now < self.next_level_change {
             return;
         }
-        self.level = self.around(self.swing);
-        let wait = self.around(0.5);
-        self.next = now + self.shift.mul_f64(wait);
+        self.level = self.random_factor(self.level_spread);
+        let interval_factor = self.random_factor(0.5);
+        self.next_level_change = now + self.level_interval.mul_f64(interval_factor);
     }
 
-    fn around(&mut self, spread: f64) -> f64 {
+    /// Draws a factor uniformly from `1 - spread` to `1 + spread`.
+    fn random_factor(&mut self, spread: f64) -> f64 {
         1.0 + spread * (self.rng.random::<f64>() * 2.0 - 1.0)
     }
 }
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a stand-in is told at its start, read from INI.
+//! Settings of a stand-in, read from INI.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -20,54 +20,54 @@
 /// Settings of one stand-in.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where it listens; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Where it says that it listens; as it does where this is none.
+    /// Address to announce; the listening address if not set.
     pub announced: Option<SocketAddr>,
-    /// The service it offers.
+    /// Service that the instance belongs to.
     pub service: ServiceName,
-    /// Its name within the service.
+    /// Name of the instance within the service.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainName,
-    /// Requests that it works on at once.
+    /// Number of requests that are processed at once.
     pub slots: u32,
-    /// Connections that it announces as its bound.
+    /// Connection limit to announce.
     pub connections: u32,
-    /// Requests that may wait for a slot; more are shed.
+    /// Maximum number of requests that wait for a slot; more are shed.
     pub queue: u32,
-    /// Mean time of one request.
+    /// Mean service time.
     pub time: Duration,
-    /// Spread of each request's time to both sides.
+    /// Maximum random deviation of each service time, up or down.
     pub jitter: Percent,
-    /// Mean time between two shifts of the level of all requests' time.
+    /// Mean time between two changes of the level of all service times; zero for none.
     pub shift: Duration,
-    /// How far the level shifts to both sides.
+    /// Maximum deviation of the level, up or down.
     pub swing: Percent,
-    /// Requests that are slow after a start.
+    /// Number of slow requests after a start.
     pub cold: u32,
-    /// Factor on the time of a cold request.
+    /// Factor on the service time of these slow requests.
     pub cold_factor: u32,
-    /// How long a probe holds a slot.
+    /// Time that a probe holds a slot.
     pub probe: Duration,
-    /// Size of an archive answer.
+    /// Size of the body of an archive response.
     pub archive: Bytes,
-    /// Whether work is dropped when its connection closes.
+    /// Whether a request is cancelled when its connection closes.
     pub cancel: bool,
-    /// Seed of the service times.
+    /// Seed of the random service times.
     pub seed: u64,
-    /// Requests for this path, or below it, crash the instance.
+    /// Requests for this path or a path below it crash the instance.
     pub crash: Option<PathBuf>,
-    /// How long a graceful stop announces `draining` before it stops taking work.
+    /// Minimum time for which a graceful stop announces `draining`.
     pub drain: Duration,
-    /// Directories that it announces itself to.
+    /// Directories to send announcements to.
     pub directories: Vec<SocketAddr>,
-    /// Least level of the log.
+    /// Minimum log level.
     pub level: Level,
 }
 
 impl Settings {
-    /// Settings with every default, on a free loopback port.
+    /// Default settings, listening on a free loopback port.
     #[must_use]
     pub fn new(service: ServiceName, instance: InstanceId, domain: DomainName) -> Self {
         Self {
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with every fault of the file.
+    /// Fails with all problems of the file.
     pub fn read(mut reader: Reader) -> Result<Self, ConfError> {
         let r = &mut reader;
         let service = r.required(MAIN, "service");
@@ -115,16 +115,16 @@
             }
             _ => None,
         };
-        // The other keys are read in any case, so that all faults are noted.
-        let spare = || Self::new(spare_service(), spare_instance(), spare_domain());
-        let mut settings = settings.unwrap_or_else(spare);
-        settings.read_work(r);
-        settings.read_rest(r);
+        // The other keys are read in any case, so that all problems are reported.
+        let unnamed = || Self::new(unnamed_service(), unnamed_instance(), unnamed_domain());
+        let mut settings = settings.unwrap_or_else(unnamed);
+        settings.read_service(r);
+        settings.read_other(r);
         reader.finish()?;
         Ok(settings)
     }
 
-    fn read_work(&mut self, r: &mut Reader) {
+    fn read_service(&mut self, r: &mut Reader) {
         self.announced = r.optional(MAIN, "announced");
         self.slots = r.or(MAIN, "slots", self.slots);
         if self.slots == 0 {
@@ -142,7 +142,7 @@
         self.probe = r.or(MAIN, "probe", self.probe);
     }
 
-    fn read_rest(&mut self, r: &mut Reader) {
+    fn read_other(&mut self, r: &mut Reader) {
         self.archive = r.or(MAIN, "archive", self.archive);
         self.cancel = r.or(MAIN, "cancel", self.cancel);
         self.seed = r.or(MAIN, "seed", self.seed);
@@ -153,19 +153,19 @@
     }
 }
 
-fn spare_service() -> ServiceName {
+fn unnamed_service() -> ServiceName {
     ServiceName::new("unnamed").expect("a valid name")
 }
 
-fn spare_instance() -> InstanceId {
+fn unnamed_instance() -> InstanceId {
     InstanceId::new("unnamed").expect("a valid name")
 }
 
-fn spare_domain() -> DomainName {
+fn unnamed_domain() -> DomainName {
     DomainName::new("unnamed").expect("a valid name")
 }
 
-/// The effective settings as INI, which [`Settings::read`] reads again.
+/// Prints the effective settings as INI that [`Settings::read`] accepts.
 impl fmt::Display for Settings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "[{MAIN}]")?;
--- a/crates/standin/src/slots.rs
+++ b/crates/standin/src/slots.rs
@@ -1,4 +1,4 @@
-//! Slots with a FIFO queue of bounded length.
+//! A limit on concurrent requests, with a bounded FIFO queue.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU32;
@@ -10,64 +10,64 @@
 /// The slots of one stand-in.
 #[derive(Clone)]
 pub struct Slots {
-    // The runtime's semaphore serves its waiters in the order of arrival.
-    free: Arc<Semaphore>,
-    flight: Arc<AtomicU32>,
+    // Tokio's semaphore is fair: waiters get permits in order of arrival.
+    permits: Arc<Semaphore>,
+    in_flight: Arc<AtomicU32>,
     count: u32,
-    queue: u32,
+    queue_limit: u32,
 }
 
 impl Slots {
-    /// `slots` slots, all free, and a queue of `queue`.
+    /// Creates `slots` free slots and a queue for `queue_limit` requests.
     #[must_use]
-    pub fn new(slots: u32, queue: u32) -> Self {
+    pub fn new(slots: u32, queue_limit: u32) -> Self {
         Self {
-            free: Arc::new(Semaphore::new(slots as usize)),
-            flight: Arc::default(),
+            permits: Arc::new(Semaphore::new(slots as usize)),
+            in_flight: Arc::default(),
             count: slots,
-            queue,
+            queue_limit,
         }
     }
 
-    /// Requests that hold a slot or wait for one.
+    /// Number of requests that hold a slot or wait for one.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
-        self.flight.load(Ordering::Relaxed)
+        self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// The number of slots.
+    /// Number of slots, free or not.
     #[must_use]
     pub fn count(&self) -> u32 {
         self.count
     }
 
-    /// Takes a place in the queue, `None` when it is full.
+    /// Admits a request to the queue; `None` if the queue is full.
     #[must_use]
-    pub fn enter(&self) -> Option<Place> {
-        let before = self.flight.fetch_add(1, Ordering::Relaxed);
-        let place = Place {
-            flight: self.flight.clone(),
-            free: self.free.clone(),
+    pub fn admit(&self) -> Option<Admission> {
+        let in_flight_before = self.in_flight.fetch_add(1, Ordering::Relaxed);
+        let admission = Admission {
+            in_flight: self.in_flight.clone(),
+            permits: self.permits.clone(),
         };
-        (before < self.count.saturating_add(self.queue)).then_some(place)
+        (in_flight_before < self.count.saturating_add(self.queue_limit)).then_some(admission)
     }
 }
 
-/// A request's place in the queue, or its slot after [`Place::slot`].
-pub struct Place {
-    flight: Arc<AtomicU32>,
-    free: Arc<Semaphore>,
+/// An admitted request, which counts as in flight until this value is dropped.
+pub struct Admission {
+    in_flight: Arc<AtomicU32>,
+    permits: Arc<Semaphore>,
 }
 
-impl Place {
-    /// Waits for a slot, which is free again when the permit is dropped.
-    pub async fn slot(&self) -> Option<OwnedSemaphorePermit> {
-        self.free.clone().acquire_owned().await.ok()
+impl Admission {
+    /// Waits for a slot, which is released when the permit is dropped.
+    pub async fn acquire_slot(&self) -> Option<OwnedSemaphorePermit> {
+        self.permits.clone().acquire_owned().await.ok()
     }
 }
 
-impl Drop for Place {
+impl Drop for Admission {
     fn drop(&mut self) {
-        self.flight.fetch_sub(1, Ordering::Relaxed);
+        self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/standin/tests/test_announce.rs
+++ b/crates/standin/tests/test_announce.rs
@@ -1,4 +1,4 @@
-//! A stand-in's announcements as a directory receives them.
+//! Announcements of a stand-in, as a directory receives them.
 
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
     );
     settings.directories = vec![listener.local_addr().unwrap()];
     settings.drain = Duration::from_millis(100);
-    let (sender, mut heard) = mpsc::unbounded_channel();
+    let (sender, mut announcements) = mpsc::unbounded_channel();
     let router = Router::with_path("v1/announce").post(Directory(sender));
     let server = Server::new(TcpAcceptor::try_from(listener).unwrap());
     let server = tokio::spawn(server.serve(router));
@@ -46,21 +46,21 @@
     let log = telemetry::log::silent();
     let upstream = standin::start(settings, log).await.unwrap();
     let address = upstream.address().to_string();
-    let first = heard.recv().await.unwrap();
+    let first = announcements.recv().await.unwrap();
     assert_eq!(first["service"], "drawings");
     assert_eq!(first["id"], "drawings-2");
     assert_eq!(first["address"], Value::String(address));
     assert_eq!(first["domain"], "pos-a");
     assert_eq!(first["slots"], 6);
     assert_eq!(first["phase"], "ready");
-    let second = heard.recv().await.unwrap();
+    let second = announcements.recv().await.unwrap();
     assert_eq!(second["incarnation"], first["incarnation"]);
     assert!(second["sequence"].as_u64() > first["sequence"].as_u64());
 
     let stop = tokio::spawn(upstream.stop());
     let mut phases = vec![];
     while phases.last() != Some(&"gone".to_owned()) {
-        let phase = heard.recv().await.unwrap()["phase"]
+        let phase = announcements.recv().await.unwrap()["phase"]
             .as_str()
             .unwrap()
             .to_owned();
--- a/crates/standin/tests/test_faults.rs
+++ b/crates/standin/tests/test_faults.rs
@@ -1,4 +1,4 @@
-//! Each fault as a caller sees it and as the record keeps it.
+//! Effects of each fault on responses and on the recorded runs.
 
 use std::time::Duration;
 
@@ -44,8 +44,8 @@
         .await
 }
 
-fn text<'a>(answer: &'a Response, name: &str) -> &'a str {
-    answer
+fn header_text<'a>(response: &'a Response, name: &str) -> &'a str {
+    response
         .headers()
         .get(name)
         .map_or("", |v| v.to_str().unwrap())
@@ -96,11 +96,16 @@
         let mut fault = Fault::new(case.kind);
         fault.delay_ms = 5;
         upstream.set_fault(fault);
-        let answer = grant(&upstream, "k1").await.unwrap();
-        assert_eq!(answer.status(), case.status, "{}", case.kind);
-        assert_eq!(text(&answer, header::SHED), case.shed, "{}", case.kind);
-        assert_eq!(text(&answer, header::LOAD), "0/6", "{}", case.kind);
-        let runs = upstream.runs().of_key("k1");
+        let response = grant(&upstream, "k1").await.unwrap();
+        assert_eq!(response.status(), case.status, "{}", case.kind);
+        assert_eq!(
+            header_text(&response, header::SHED),
+            case.shed,
+            "{}",
+            case.kind
+        );
+        assert_eq!(header_text(&response, header::LOAD), "0/6", "{}", case.kind);
+        let runs = upstream.runs().with_key("k1");
         let states: Vec<RunState> = runs.iter().map(|r| r.state).collect();
         assert_eq!(states, case.states, "{}", case.kind);
     }
@@ -111,26 +116,26 @@
     let upstream = start(settings()).await;
     upstream.set_fault(Fault::new(FaultKind::Short));
     for path in ["/grant", "/archive/1970"] {
-        let answer = reqwest::get(url(&upstream, path)).await.unwrap();
-        assert_eq!(answer.status(), 200, "{path}");
-        assert!(answer.content_length().unwrap() > 0, "{path}");
-        assert!(answer.bytes().await.is_err(), "{path}");
+        let response = reqwest::get(url(&upstream, path)).await.unwrap();
+        assert_eq!(response.status(), 200, "{path}");
+        assert!(response.content_length().unwrap() > 0, "{path}");
+        assert!(response.bytes().await.is_err(), "{path}");
     }
 }
 
 #[tokio::test]
 async fn test_faults_crossed_id() {
     let upstream = start(settings()).await;
-    let answer = grant(&upstream, "k1").await.unwrap();
-    assert_eq!(text(&answer, header::REQUEST_ID), "k1");
+    let response = grant(&upstream, "k1").await.unwrap();
+    assert_eq!(header_text(&response, header::REQUEST_ID), "k1");
     upstream.set_fault(Fault::new(FaultKind::Crossed));
-    let answer = grant(&upstream, "k2").await.unwrap();
-    assert_eq!(text(&answer, header::REQUEST_ID), "k1");
+    let response = grant(&upstream, "k2").await.unwrap();
+    assert_eq!(header_text(&response, header::REQUEST_ID), "k1");
 }
 
 #[tokio::test]
 async fn test_faults_cancelled_when_closed() {
-    // The work is dropped or kept when its connection closes, as the settings say.
+    // When the connection closes, the request is cancelled only if `cancel` is set.
     let cases = [
         (FaultKind::Stall, true, RunState::Cancelled),
         (FaultKind::Hold, true, RunState::Cancelled),
@@ -160,8 +165,8 @@
         upstream.runs().wait(|runs| runs.len() == 1).await;
         upstream.set_fault(Fault::default());
     };
-    let (answer, ()) = tokio::join!(grant(&upstream, "k1"), release);
-    assert_eq!(answer.unwrap().status(), 200);
+    let (response, ()) = tokio::join!(grant(&upstream, "k1"), release);
+    assert_eq!(response.unwrap().status(), 200);
 }
 
 #[tokio::test]
@@ -187,15 +192,15 @@
     upstream.set_fault(Fault::new(FaultKind::Hold));
     let second = async {
         upstream.runs().wait(|runs| runs.len() == 1).await;
-        let answer = grant(&upstream, "k2").await.unwrap();
+        let response = grant(&upstream, "k2").await.unwrap();
         upstream.set_fault(Fault::default());
-        answer
+        response
     };
     let (first, second) = tokio::join!(grant(&upstream, "k1"), second);
     assert_eq!(first.unwrap().status(), 200);
     assert_eq!(second.status(), 503);
-    assert_eq!(text(&second, header::SHED), "1");
-    assert!(upstream.runs().of_key("k2").is_empty());
+    assert_eq!(header_text(&second, header::SHED), "1");
+    assert!(upstream.runs().with_key("k2").is_empty());
 }
 
 #[tokio::test]
@@ -230,14 +235,14 @@
         if !range.is_empty() {
             request = request.header("range", range);
         }
-        let answer = request.send().await.unwrap();
-        assert_eq!(answer.status(), status, "{range}");
-        let body = answer.bytes().await.unwrap();
+        let response = request.send().await.unwrap();
+        assert_eq!(response.status(), status, "{range}");
+        let body = response.bytes().await.unwrap();
         assert_eq!(body, archive::bytes("/archive/1970", expected), "{range}");
     }
     let request = Client::new().get(url(&upstream, "/archive/1970"));
-    let answer = request.header("range", "bytes=100000-").send().await;
-    assert_eq!(answer.unwrap().status(), 416);
+    let response = request.header("range", "bytes=100000-").send().await;
+    assert_eq!(response.unwrap().status(), 416);
 }
 
 #[tokio::test]
@@ -246,8 +251,8 @@
     settings.probe = Duration::from_millis(5);
     let upstream = start(settings).await;
     let probe = url(&upstream, "/rwr/load");
-    let answer = reqwest::get(&probe).await.unwrap();
-    assert_eq!(text(&answer, header::LOAD), "0/6");
+    let response = reqwest::get(&probe).await.unwrap();
+    assert_eq!(header_text(&response, header::LOAD), "0/6");
     assert_eq!(upstream.probes(), 1);
     upstream.kill();
     tokio::task::yield_now().await;
@@ -255,27 +260,27 @@
 }
 
 #[tokio::test]
-async fn test_request_for_another_life_is_not_run() {
+async fn test_request_for_another_incarnation_is_not_run() {
     let upstream = start(settings()).await;
-    let send = async |only: Option<&str>| {
+    let send = async |expected: Option<&str>| {
         let mut request = Client::new().get(url(&upstream, "/blocks/7"));
-        if let Some(only) = only {
-            request = request.header(header::EXPECTED_INSTANCE, only);
+        if let Some(expected) = expected {
+            request = request.header(header::EXPECTED_INSTANCE, expected);
         }
         request.send().await.unwrap()
     };
-    let answer = send(None).await;
-    assert_eq!(answer.status(), 200);
-    let life = text(&answer, header::INSTANCE);
-    assert_eq!(send(Some(life)).await.status(), 200);
+    let response = send(None).await;
+    assert_eq!(response.status(), 200);
+    let incarnation = header_text(&response, header::INSTANCE);
+    assert_eq!(send(Some(incarnation)).await.status(), 200);
     let earlier = send(Some("another:1")).await;
     assert_eq!(earlier.status(), 421);
-    assert_eq!(text(&earlier, header::SHED), "1");
+    assert_eq!(header_text(&earlier, header::SHED), "1");
     assert_eq!(upstream.runs().all().len(), 2);
 }
 
 #[tokio::test]
-async fn test_ill_answers_probes_with_a_failure_and_works() {
+async fn test_ill_fails_probes_and_serves_requests() {
     let upstream = start(settings()).await;
     upstream.set_fault(Fault::new(FaultKind::Ill));
     let probe = reqwest::get(url(&upstream, "/rwr/load")).await.unwrap();
--- a/crates/standin/tests/test_process.rs
+++ b/crates/standin/tests/test_process.rs
@@ -1,4 +1,4 @@
-//! The process: exit codes, the log on standard output, the stop on a signal.
+//! Exit codes, standard output and signals of the process.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -9,7 +9,7 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_rwr-standin");
 
-fn file(name: &str, listen: &str) -> String {
+fn write_config(name: &str, listen: &str) -> String {
     let text = format!(
         "[standin]\nlisten = {listen}\nservice = grants\ninstance = grants-1\ndomain = milano\ndrain = 0ms\n"
     );
@@ -18,7 +18,7 @@
     path.display().to_string()
 }
 
-/// Arguments, the exit code, and a part of each stream.
+/// Arguments, the expected exit code, and a text that each stream contains.
 struct Case<'a> {
     arguments: Vec<&'a str>,
     code: i32,
@@ -28,11 +28,11 @@
 
 #[test]
 fn test_process_exit_codes() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = taken.local_addr().expect("an address").to_string();
-    let good = file("process-good.ini", "127.0.0.1:0");
-    let bad = file("process-bad.ini", "localhost");
-    let busy = file("process-busy.ini", &address);
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("an address").to_string();
+    let good = write_config("process-good.ini", "127.0.0.1:0");
+    let bad = write_config("process-bad.ini", "localhost");
+    let busy = write_config("process-busy.ini", &address);
     let case = |arguments, code, out, err| Case {
         arguments,
         code,
@@ -54,18 +54,18 @@
         let output = output.expect("it runs");
         let out = String::from_utf8_lossy(&output.stdout);
         let err = String::from_utf8_lossy(&output.stderr);
-        let said = format!("{:?}: {out} {err}", case.arguments);
-        assert_eq!(output.status.code(), Some(case.code), "{said}");
-        assert!(out.contains(case.out), "{said}");
-        assert!(err.contains(case.err), "{said}");
-        assert_eq!(out.is_empty(), case.out.is_empty(), "{said}");
-        assert_eq!(err.is_empty(), case.err.is_empty(), "{said}");
+        let context = format!("{:?}: {out} {err}", case.arguments);
+        assert_eq!(output.status.code(), Some(case.code), "{context}");
+        assert!(out.contains(case.out), "{context}");
+        assert!(err.contains(case.err), "{context}");
+        assert_eq!(out.is_empty(), case.out.is_empty(), "{context}");
+        assert_eq!(err.is_empty(), case.err.is_empty(), "{context}");
     }
 }
 
 #[test]
 fn test_process_stops_on_signal() {
-    let config = file("process-stop.ini", "127.0.0.1:0");
+    let config = write_config("process-stop.ini", "127.0.0.1:0");
     for signal in ["-TERM", "-INT"] {
         let mut child = Command::new(BINARY)
             .args(["--config", &config])
--- a/crates/standin/tests/test_settings.rs
+++ b/crates/standin/tests/test_settings.rs
@@ -1,9 +1,9 @@
-//! Settings of a stand-in: what is read, refused and printed.
+//! Reading, rejecting and printing the settings of a stand-in.
 
 use conf::Reader;
 use standin::Settings;
 
-const LEAST: &str =
+const MINIMAL: &str =
     "[standin]\nlisten = 127.0.0.1:0\nservice = grants\ninstance = grants-1\ndomain = milano\n";
 
 fn read(text: &str) -> Result<Settings, String> {
@@ -13,7 +13,7 @@
 
 #[test]
 fn test_settings_printed_are_read_again() {
-    let settings = read(LEAST).unwrap();
+    let settings = read(MINIMAL).unwrap();
     let printed = settings.to_string();
     assert_eq!(read(&printed).unwrap().to_string(), printed);
 }
