--- a/crates/demo/examples/slopes/part/gateway.rs
+++ b/crates/demo/examples/slopes/part/gateway.rs
@@ -5,8 +5,8 @@
 
 use base::header;
 use base::prelude::*;
+use load::CallOutcome;
 use load::Options;
-use load::Verdict;
 use reqwest::Client;
 use standin::StandIn;
 use tokio::task::JoinSet;
@@ -96,7 +96,7 @@
                 let mut options = self.options(service, 10)?;
                 options.span = Duration::from_secs(1);
                 let reports = load::run(options).await?;
-                if reports[0].count(Verdict::Ok) == reports[0].sent() {
+                if reports[0].count(CallOutcome::Ok) == reports[0].sent() {
                     break;
                 }
                 tokio::time::sleep(LOOK).await;
@@ -203,5 +203,8 @@
     row.with("cpu_us", usage::micros(after.cpu_since(&before), calls))
         .with("log_lines", usage::ratio(after.lines - before.lines, calls))
         .with("log_bytes", usage::ratio(after.bytes - before.bytes, calls))
-        .with("not_ok", usage::float(calls - report.count(Verdict::Ok)))
+        .with(
+            "not_ok",
+            usage::float(calls - report.count(CallOutcome::Ok)),
+        )
 }
--- a/crates/load/src/call.rs
+++ b/crates/load/src/call.rs
@@ -10,7 +10,7 @@
 use reqwest::Response;
 
 use crate::options::Options;
-use crate::report::Verdict;
+use crate::report::CallOutcome;
 use crate::target::Target;
 
 /// Time that a call without a deadline may take.
@@ -44,19 +44,19 @@
     }
 
     /// Makes call number `number`; goes to the next address only where no connection came about.
-    pub async fn call(&self, number: u64) -> Verdict {
+    pub async fn call(&self, number: u64) -> CallOutcome {
         let Ok(addresses) = self.target.addresses().await else {
-            return Verdict::NoAddress;
+            return CallOutcome::NoAddress;
         };
         for address in addresses.iter() {
             match self.request(*address, number).send().await {
                 Ok(answer) => return judge(answer).await,
                 Err(err) if err.is_connect() => {}
-                Err(err) if err.is_timeout() => return Verdict::Timeout,
-                Err(_) => return Verdict::Broken,
+                Err(err) if err.is_timeout() => return CallOutcome::Timeout,
+                Err(_) => return CallOutcome::Broken,
             }
         }
-        Verdict::Connect
+        CallOutcome::Connect
     }
 
     fn request(&self, address: SocketAddr, number: u64) -> RequestBuilder {
@@ -84,19 +84,19 @@
     }
 }
 
-async fn judge(answer: Response) -> Verdict {
+async fn judge(answer: Response) -> CallOutcome {
     let status = answer.status();
     let outcome = answer.headers().get(header::OUTCOME);
     let outcome = outcome.and_then(|v| v.to_str().ok()?.parse().ok());
     match answer.bytes().await {
-        Err(err) if err.is_timeout() => return Verdict::Timeout,
-        Err(_) => return Verdict::Broken,
+        Err(err) if err.is_timeout() => return CallOutcome::Timeout,
+        Err(_) => return CallOutcome::Broken,
         Ok(_) => {}
     }
     match outcome {
-        Some(Outcome::NotRun) => Verdict::NotRun,
-        Some(Outcome::Unknown) => Verdict::Unknown,
-        None if status.is_success() => Verdict::Ok,
-        None => Verdict::Status,
+        Some(Outcome::NotRun) => CallOutcome::NotRun,
+        Some(Outcome::Unknown) => CallOutcome::Unknown,
+        None if status.is_success() => CallOutcome::Ok,
+        None => CallOutcome::Status,
     }
 }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -13,8 +13,8 @@
 
 pub use options::Options;
 pub use options::OptionsError;
+pub use report::CallOutcome;
 pub use report::Report;
-pub use report::Verdict;
 pub use run::LoadError;
 pub use run::run;
 pub use target::Target;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -126,7 +126,7 @@
         Err(err) => return fail(FAILURE, &err),
     };
     print(&reports, plain);
-    let answered = reports.iter().all(|r| r.count(load::Verdict::Ok) > 0);
+    let answered = reports.iter().all(|r| r.count(load::CallOutcome::Ok) > 0);
     if answered {
         return ExitCode::SUCCESS;
     }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -16,7 +16,7 @@
 /// What became of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter)]
 #[strum(serialize_all = "snake_case")]
-pub enum Verdict {
+pub enum CallOutcome {
     /// The upstream's answer, 2xx, whole.
     Ok,
     /// The upstream's own answer of another status.
@@ -65,9 +65,9 @@
     /// Adds a call that ended `latency` after its intended time and left `lag` after it.
     ///
     /// Only calls with an upstream's whole answer count into the latency.
-    pub fn add(&mut self, verdict: Verdict, latency: Duration, lag: Duration) {
+    pub fn add(&mut self, verdict: CallOutcome, latency: Duration, lag: Duration) {
         self.counts[verdict as usize] += 1;
-        if verdict == Verdict::Ok {
+        if verdict == CallOutcome::Ok {
             self.latency.saturating_record(micros(latency));
         }
         self.lag.saturating_record(micros(lag));
@@ -75,7 +75,7 @@
 
     /// Calls that ended so.
     #[must_use]
-    pub fn count(&self, verdict: Verdict) -> u64 {
+    pub fn count(&self, verdict: CallOutcome) -> u64 {
         self.counts[verdict as usize]
     }
 
@@ -100,7 +100,7 @@
     /// Answered calls a second.
     #[must_use]
     pub fn rate(&self) -> f64 {
-        let ok = u32::try_from(self.count(Verdict::Ok)).unwrap_or(u32::MAX);
+        let ok = u32::try_from(self.count(CallOutcome::Ok)).unwrap_or(u32::MAX);
         f64::from(ok) / self.span.as_secs_f64()
     }
 
@@ -111,7 +111,7 @@
             format!("target={}", self.name),
             format!("sent={}", self.sent()),
         ];
-        items.extend(Verdict::iter().map(|v| format!("{v}={}", self.count(v))));
+        items.extend(CallOutcome::iter().map(|v| format!("{v}={}", self.count(v))));
         let spans = self.spans();
         items.extend(spans.map(|(name, span)| format!("{name}_us={}", span.as_micros())));
         items.push(format!("rate={:.1}", self.rate()));
@@ -133,9 +133,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{:<12} {}", "target", self.name)?;
         writeln!(f, "{:<12} {}", "sent", self.sent())?;
-        for verdict in Verdict::iter() {
+        for verdict in CallOutcome::iter() {
             let count = self.count(verdict);
-            if count > 0 || verdict == Verdict::Ok {
+            if count > 0 || verdict == CallOutcome::Ok {
                 writeln!(f, "{:<12} {count}", verdict.to_string())?;
             }
         }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -17,8 +17,8 @@
 use crate::call::Calls;
 use crate::options::Options;
 use crate::options::OptionsError;
+use crate::report::CallOutcome;
 use crate::report::Report;
-use crate::report::Verdict;
 use crate::target::Target;
 
 /// Calls under way at once; more are counted as unsent.
@@ -114,7 +114,7 @@
         thread::sleep(intended.saturating_duration_since(Instant::now()));
         let index = usize::try_from(number).unwrap_or(0) % lanes.len();
         let Ok(permit) = flight.clone().try_acquire_owned() else {
-            add(&lanes[index], Verdict::Unsent, intended, Duration::ZERO);
+            add(&lanes[index], CallOutcome::Unsent, intended, Duration::ZERO);
             continue;
         };
         let lanes = lanes.clone();
@@ -127,7 +127,7 @@
     }
 }
 
-fn add(lane: &Lane, verdict: Verdict, intended: Instant, lag: Duration) {
+fn add(lane: &Lane, verdict: CallOutcome, intended: Instant, lag: Duration) {
     lock(&lane.report).add(verdict, intended.elapsed(), lag);
 }
 
--- a/crates/load/tests/test_load.rs
+++ b/crates/load/tests/test_load.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use base::prelude::*;
+use load::CallOutcome;
 use load::Options;
 use load::OptionsError;
-use load::Verdict;
 use load::arrival::Arrivals;
 use load::arrival::Spacing;
 use load::report::Report;
@@ -124,11 +124,11 @@
     let (mut through, mut direct) = (Report::new("gateway", span), Report::new("direct", span));
     for i in 1..=100 {
         let time = Duration::from_micros(i);
-        through.add(Verdict::Ok, time + Duration::from_micros(50), time);
-        direct.add(Verdict::Ok, time, time);
+        through.add(CallOutcome::Ok, time + Duration::from_micros(50), time);
+        direct.add(CallOutcome::Ok, time, time);
     }
     // A refusal is quick and says nothing of the latency of an answer.
-    through.add(Verdict::NotRun, Duration::ZERO, Duration::ZERO);
+    through.add(CallOutcome::NotRun, Duration::ZERO, Duration::ZERO);
     assert_eq!(added_micros(&through, &direct, 0.5), 50);
     assert_eq!(added_micros(&through, &direct, 0.99), 50);
     assert_eq!(through.sent(), 101);
@@ -142,9 +142,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn test_run_verdicts() {
     let cases = [
-        (FaultKind::None, Verdict::Ok),
-        (FaultKind::Fail, Verdict::Status),
-        (FaultKind::Short, Verdict::Broken),
+        (FaultKind::None, CallOutcome::Ok),
+        (FaultKind::Fail, CallOutcome::Status),
+        (FaultKind::Short, CallOutcome::Broken),
     ];
     for (kind, verdict) in cases {
         let upstream = upstream().await;
@@ -169,8 +169,8 @@
     options.spacing = Spacing::Even;
     let reports = load::run(options).await.unwrap();
     let (through, direct) = (&reports[0], &reports[1]);
-    assert_eq!(through.count(Verdict::Ok), through.sent(), "{through}");
-    assert_eq!(direct.count(Verdict::Ok), direct.sent(), "{direct}");
+    assert_eq!(through.count(CallOutcome::Ok), through.sent(), "{through}");
+    assert_eq!(direct.count(CallOutcome::Ok), direct.sent(), "{direct}");
     let mut keys: Vec<String> = upstream.runs().all().into_iter().map(|r| r.key).collect();
     keys.sort();
     keys.dedup();
@@ -183,5 +183,5 @@
     let mut options = options(None);
     options.directories = vec![named];
     let reports = load::run(options).await.unwrap();
-    assert_eq!(reports[0].count(Verdict::NoAddress), reports[0].sent());
+    assert_eq!(reports[0].count(CallOutcome::NoAddress), reports[0].sent());
 }
