--- a/crates/demo/examples/slopes/part/gateway.rs
+++ b/crates/demo/examples/slopes/part/gateway.rs
@@ -94,7 +94,7 @@
         for service in [0, 1] {
             loop {
                 let mut options = self.options(service, 10)?;
-                options.span = Duration::from_secs(1);
+                options.duration = Duration::from_secs(1);
                 let reports = load::run(options).await?;
                 if reports[0].count(CallOutcome::Ok) == reports[0].sent() {
                     break;
@@ -109,7 +109,7 @@
         let mut options = Options::new(ServiceName::new(&service_name(service))?);
         options.address = Some(self.address);
         options.rate = rate;
-        options.span = SPAN;
+        options.duration = SPAN;
         if service == 1 {
             options.keyed = true;
             options.caller = CallerName::new("supervisor").ok();
--- a/crates/load/src/arrival.rs
+++ b/crates/load/src/arrival.rs
@@ -32,13 +32,13 @@
 impl Arrivals {
     /// Arrivals at `rate` a second for `span`.
     #[must_use]
-    pub fn new(spacing: Spacing, rate: u32, span: Duration, seed: u64) -> Self {
+    pub fn new(spacing: Spacing, rate: u32, duration: Duration, seed: u64) -> Self {
         Self {
             spacing,
             rng: SmallRng::seed_from_u64(seed),
             gap: 1.0 / f64::from(rate),
             at: 0.0,
-            end: span.as_secs_f64(),
+            end: duration.as_secs_f64(),
         }
     }
 
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -104,7 +104,7 @@
         "keyed" => options.keyed = true,
         "deadline-ms" => options.deadline = Some(Duration::from_millis(parser.value()?.parse()?)),
         "rate" => options.rate = parser.value()?.parse()?,
-        "seconds" => options.span = Duration::from_secs(parser.value()?.parse()?),
+        "seconds" => options.duration = Duration::from_secs(parser.value()?.parse()?),
         "even" => options.spacing = Spacing::Even,
         "seed" => options.seed = parser.value()?.parse()?,
         _ => return Err(Arg::Long(name).unexpected()),
--- a/crates/load/src/options.rs
+++ b/crates/load/src/options.rs
@@ -34,8 +34,8 @@
             display("a rate of {rate} is not in 1 to {MAX_RATE} a second")
         }
         /// The run is empty or too long.
-        Span(span: Duration) {
-            display("a run of {span:?} is not in 1 s to {MAX_SPAN:?}")
+        Span(duration: Duration) {
+            display("a run of {duration:?} is not in 1 s to {MAX_SPAN:?}")
         }
     }
 }
@@ -58,7 +58,7 @@
     /// Calls a second.
     pub rate: u32,
     /// How long calls are sent.
-    pub span: Duration,
+    pub duration: Duration,
     /// How the times between calls are spread.
     pub spacing: Spacing,
     /// Deadline of each call.
@@ -83,7 +83,7 @@
             caller: None,
             path: String::from("/"),
             rate: 100,
-            span: Duration::from_secs(10),
+            duration: Duration::from_secs(10),
             spacing: Spacing::Poisson,
             deadline: None,
             keyed: false,
@@ -110,8 +110,8 @@
         if self.rate == 0 || self.rate > MAX_RATE {
             return Err(OptionsError::Rate(self.rate));
         }
-        if self.span < Duration::from_secs(1) || self.span > MAX_SPAN {
-            return Err(OptionsError::Span(self.span));
+        if self.duration < Duration::from_secs(1) || self.duration > MAX_SPAN {
+            return Err(OptionsError::Span(self.duration));
         }
         Ok(())
     }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -43,7 +43,7 @@
     /// What was called, for the reader.
     pub name: &'static str,
     /// How long calls were sent.
-    pub span: Duration,
+    pub duration: Duration,
     counts: [u64; 9],
     latency: Histogram<u64>,
     lag: Histogram<u64>,
@@ -52,10 +52,10 @@
 impl Report {
     /// An empty report.
     #[must_use]
-    pub fn new(name: &'static str, span: Duration) -> Self {
+    pub fn new(name: &'static str, duration: Duration) -> Self {
         Self {
             name,
-            span,
+            duration,
             counts: [0; 9],
             latency: histogram(),
             lag: histogram(),
@@ -101,7 +101,7 @@
     #[must_use]
     pub fn rate(&self) -> f64 {
         let ok = u32::try_from(self.count(CallOutcome::Ok)).unwrap_or(u32::MAX);
-        f64::from(ok) / self.span.as_secs_f64()
+        f64::from(ok) / self.duration.as_secs_f64()
     }
 
     /// One line of key=value pairs.
@@ -113,7 +113,7 @@
         ];
         items.extend(CallOutcome::iter().map(|v| format!("{v}={}", self.count(v))));
         let spans = self.spans();
-        items.extend(spans.map(|(name, span)| format!("{name}_us={}", span.as_micros())));
+        items.extend(spans.map(|(name, duration)| format!("{name}_us={}", duration.as_micros())));
         items.push(format!("rate={:.1}", self.rate()));
         items.join(" ")
     }
@@ -139,8 +139,8 @@
                 writeln!(f, "{:<12} {count}", verdict.to_string())?;
             }
         }
-        for (name, span) in self.spans() {
-            writeln!(f, "{name:<12} {:.3} ms", millis(span))?;
+        for (name, duration) in self.spans() {
+            writeln!(f, "{name:<12} {:.3} ms", millis(duration))?;
         }
         write!(f, "{:<12} {:.1}/s", "rate", self.rate())
     }
@@ -159,10 +159,10 @@
     Histogram::new_with_bounds(1, MAX_MICROS, DIGITS).expect("constant bounds that are valid")
 }
 
-fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-fn millis(span: Duration) -> f64 {
-    span.as_secs_f64() * 1_000.0
+fn millis(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1_000.0
 }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -98,7 +98,7 @@
 fn lane(name: &'static str, target: Target, options: &Options) -> Result<Lane, LoadError> {
     Ok(Lane {
         calls: Calls::new(target, options.clone())?,
-        report: Mutex::new(Report::new(name, options.span)),
+        report: Mutex::new(Report::new(name, options.duration)),
     })
 }
 
@@ -108,7 +108,12 @@
 /// to a millisecond only, which would drown the latency that is looked for.
 fn send(options: &Options, lanes: &Arc<[Lane]>, flight: &Arc<Semaphore>, handle: &Handle) {
     let start = Instant::now();
-    let arrivals = Arrivals::new(options.spacing, options.rate, options.span, options.seed);
+    let arrivals = Arrivals::new(
+        options.spacing,
+        options.rate,
+        options.duration,
+        options.seed,
+    );
     for (number, offset) in (0_u64..).zip(arrivals) {
         let intended = start + offset;
         thread::sleep(intended.saturating_duration_since(Instant::now()));
--- a/crates/load/tests/test_load.rs
+++ b/crates/load/tests/test_load.rs
@@ -35,7 +35,7 @@
     let mut options = Options::new(service());
     options.address = address;
     options.rate = 100;
-    options.span = Duration::from_secs(1);
+    options.duration = Duration::from_secs(1);
     options
 }
 
@@ -90,7 +90,7 @@
         (|o| o.rate = 0, OptionsError::Rate(0)),
         (|o| o.rate = 50_001, OptionsError::Rate(50_001)),
         (
-            |o| o.span = Duration::from_secs(301),
+            |o| o.duration = Duration::from_secs(301),
             OptionsError::Span(Duration::from_secs(301)),
         ),
     ];
@@ -104,13 +104,13 @@
 
 #[test]
 fn test_arrivals_rate_kept() {
-    let span = Duration::from_secs(100);
+    let duration = Duration::from_secs(100);
     for (spacing, least, most) in [
         (Spacing::Even, 9_999, 10_000),
         (Spacing::Poisson, 9_500, 10_500),
     ] {
         for seed in 0..10 {
-            let times: Vec<Duration> = Arrivals::new(spacing, 100, span, seed).collect();
+            let times: Vec<Duration> = Arrivals::new(spacing, 100, duration, seed).collect();
             let count = times.len();
             assert!((least..=most).contains(&count), "{spacing} {seed} {count}");
             assert!(times.is_sorted());
@@ -120,8 +120,11 @@
 
 #[test]
 fn test_report_added_latency() {
-    let span = Duration::from_secs(1);
-    let (mut through, mut direct) = (Report::new("gateway", span), Report::new("direct", span));
+    let duration = Duration::from_secs(1);
+    let (mut through, mut direct) = (
+        Report::new("gateway", duration),
+        Report::new("direct", duration),
+    );
     for i in 1..=100 {
         let time = Duration::from_micros(i);
         through.add(CallOutcome::Ok, time + Duration::from_micros(50), time);
