--- a/crates/load/src/call.rs
+++ b/crates/load/src/call.rs
@@ -1,4 +1,4 @@
-//! One call as a caller makes it.
+//! Sends calls and classifies their responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,24 +13,24 @@
 use crate::report::CallOutcome;
 use crate::target::Target;
 
-/// Time that a call without a deadline may take.
+/// Timeout of a call without a deadline.
 const NO_DEADLINE: Duration = Duration::from_secs(10);
-/// Time that a caller waits beyond its deadline, for the word that it passed.
-const GRACE: Duration = Duration::from_millis(500);
+/// Time that the client waits beyond the deadline for a response that reports it as expired.
+const DEADLINE_GRACE: Duration = Duration::from_millis(500);
 
-/// Makes calls to one target.
-pub struct Calls {
+/// Sends calls to one target.
+pub struct LoadClient {
     client: Client,
     target: Target,
     options: Options,
 }
 
-impl Calls {
-    /// Calls to `target` as `options` say.
+impl LoadClient {
+    /// Creates a client that calls `target` as configured by `options`.
     ///
     /// # Errors
     ///
-    /// Fails when the HTTP client can't be had.
+    /// Fails if the HTTP client can't be created.
     pub fn new(target: Target, options: Options) -> Result<Self, reqwest::Error> {
         let client = Client::builder()
             .redirect(reqwest::redirect::Policy::none())
@@ -43,14 +43,15 @@
         })
     }
 
-    /// Makes call number `number`; goes to the next address only where no connection came about.
+    /// Sends call number `number`. Tries the next address only if the connection to the one before
+    /// failed.
     pub async fn call(&self, number: u64) -> CallOutcome {
         let Ok(addresses) = self.target.addresses().await else {
             return CallOutcome::NoAddress;
         };
         for address in addresses.iter() {
             match self.request(*address, number).send().await {
-                Ok(answer) => return judge(answer).await,
+                Ok(response) => return classify_response(response).await,
                 Err(err) if err.is_connect() => {}
                 Err(err) if err.is_timeout() => return CallOutcome::Timeout,
                 Err(_) => return CallOutcome::Broken,
@@ -80,15 +81,15 @@
             request = request.header(header::DEADLINE, millis);
         }
         let deadline = options.deadline.unwrap_or(NO_DEADLINE);
-        request.timeout(deadline + GRACE)
+        request.timeout(deadline + DEADLINE_GRACE)
     }
 }
 
-async fn judge(answer: Response) -> CallOutcome {
-    let status = answer.status();
-    let outcome = answer.headers().get(header::OUTCOME);
+async fn classify_response(response: Response) -> CallOutcome {
+    let status = response.status();
+    let outcome = response.headers().get(header::OUTCOME);
     let outcome = outcome.and_then(|v| v.to_str().ok()?.parse().ok());
-    match answer.bytes().await {
+    match response.bytes().await {
         Err(err) if err.is_timeout() => return CallOutcome::Timeout,
         Err(_) => return CallOutcome::Broken,
         Ok(_) => {}
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,8 +1,8 @@
 //! An open-loop load tool, for loopback only.
 //!
-//! Calls leave at times that are fixed beforehand, whatever the answers do,
-//! and each latency is measured from the intended time. So a stall shows in
-//! every call that it held up, and not just in the one that met it.
+//! Calls are sent at precomputed times, independent of the responses, and each
+//! latency is measured from the intended time. A stall therefore counts in the
+//! latency of every call that it delays (no coordinated omission).
 
 pub mod arrival;
 pub mod call;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -66,34 +66,38 @@
 }
 
 fn parse() -> Result<Command, lexopt::Error> {
-    let mut options = Options::new(ServiceName::new("unnamed").map_err(custom)?);
-    let mut named = false;
+    let mut options = Options::new(ServiceName::new("unnamed").map_err(custom_error)?);
+    let mut has_service = false;
     let mut plain = false;
     let mut parser = Parser::from_env();
     while let Some(arg) = parser.next()? {
         match arg {
             Arg::Long("service") => {
                 options.service = parser.value()?.parse_with(ServiceName::new)?;
-                named = true;
+                has_service = true;
             }
             Arg::Long("plain") => plain = true,
             Arg::Long("help") | Arg::Short('h') => return Ok(Command::Help),
             Arg::Long("version") => return Ok(Command::Version),
             Arg::Long(name) => {
                 let name = name.to_owned();
-                take(&mut options, &name, &mut parser)?;
+                parse_option(&mut options, &name, &mut parser)?;
             }
             _ => return Err(arg.unexpected()),
         }
     }
-    if !named {
+    if !has_service {
         return Err("--service NAME is required, see --help".into());
     }
-    options.check().map_err(custom)?;
+    options.check().map_err(custom_error)?;
     Ok(Command::Run(Box::new(options), plain))
 }
 
-fn take(options: &mut Options, name: &str, parser: &mut Parser) -> Result<(), lexopt::Error> {
+fn parse_option(
+    options: &mut Options,
+    name: &str,
+    parser: &mut Parser,
+) -> Result<(), lexopt::Error> {
     match name {
         "directory" => options.directories.push(parser.value()?.parse()?),
         "address" => options.address = Some(parser.value()?.parse()?),
@@ -112,7 +116,7 @@
     Ok(())
 }
 
-fn custom(err: impl std::error::Error + Send + Sync + 'static) -> lexopt::Error {
+fn custom_error(err: impl std::error::Error + Send + Sync + 'static) -> lexopt::Error {
     lexopt::Error::Custom(Box::new(err))
 }
 
@@ -125,15 +129,15 @@
         Ok(reports) => reports,
         Err(err) => return fail(FAILURE, &err),
     };
-    print(&reports, plain);
-    let answered = reports.iter().all(|r| r.count(load::CallOutcome::Ok) > 0);
-    if answered {
+    print_reports(&reports, plain);
+    let all_answered = reports.iter().all(|r| r.count(load::CallOutcome::Ok) > 0);
+    if all_answered {
         return ExitCode::SUCCESS;
     }
     ExitCode::from(FAILURE)
 }
 
-fn print(reports: &[Report], plain: bool) {
+fn print_reports(reports: &[Report], plain: bool) {
     for report in reports {
         if plain {
             println!("{}", report.plain());
@@ -141,11 +145,11 @@
             println!("{report}\n");
         }
     }
-    let [through, direct] = reports else {
+    let [gateway, direct] = reports else {
         return;
     };
-    let p50 = added_micros(through, direct, 0.5);
-    let p99 = added_micros(through, direct, 0.99);
+    let p50 = added_micros(gateway, direct, 0.5);
+    let p99 = added_micros(gateway, direct, 0.99);
     if plain {
         println!("added_p50_us={p50} added_p99_us={p99}");
     } else {
--- a/crates/load/src/options.rs
+++ b/crates/load/src/options.rs
@@ -1,4 +1,4 @@
-//! What a load run is told, checked before any call leaves.
+//! Options of a load run.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,71 +8,71 @@
 
 use crate::arrival::Spacing;
 
-/// Most calls a second.
+/// Maximum number of calls per second.
 pub const MAX_RATE: u32 = 50_000;
-/// Longest run.
-pub const MAX_SPAN: Duration = Duration::from_mins(5);
+/// Maximum duration of a run.
+pub const MAX_DURATION: Duration = Duration::from_mins(5);
 
 quick_error! {
-    /// Why options are refused.
+    /// Error of checking options.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum OptionsError {
-        /// Load goes to this machine only.
+        /// An address is not a loopback address.
         NotLoopback(address: SocketAddr) {
-            display("{address} is no loopback address; load goes to 127.0.0.0/8 only")
+            display("{address} is not a loopback address; load is sent to loopback addresses only")
         }
-        /// Nowhere to send.
+        /// Neither an address nor a directory is given.
         NoTarget {
-            display("give --address or --directory")
+            display("--address or --directory is required")
         }
-        /// More than one way to find the target.
+        /// Both an address and a directory are given.
         TwoTargets {
-            display("give --address or --directory, not both")
+            display("--address and --directory can't be combined")
         }
-        /// The rate is zero or too great.
-        Rate(rate: u32) {
-            display("a rate of {rate} is not in 1 to {MAX_RATE} a second")
+        /// The rate is zero or too high.
+        RateOutOfRange(rate: u32) {
+            display("a rate of {rate} calls per second is outside 1 to {MAX_RATE}")
         }
-        /// The run is empty or too long.
-        Span(duration: Duration) {
-            display("a run of {duration:?} is not in 1 s to {MAX_SPAN:?}")
+        /// The duration is too short or too long.
+        DurationOutOfRange(duration: Duration) {
+            display("a duration of {duration:?} is outside 1s to {MAX_DURATION:?}")
         }
     }
 }
 
-/// One load run.
+/// Options of one load run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// A fixed address, or none when the directories are asked.
+    /// Fixed address to call instead of the addresses that the directories return.
     pub address: Option<SocketAddr>,
-    /// Directories in the order in which they are asked.
+    /// Directories, in the order in which they are queried.
     pub directories: Vec<SocketAddr>,
-    /// An upstream to call directly as well, in the same run.
+    /// Address of an upstream that every second call is sent to directly.
     pub compare: Option<SocketAddr>,
-    /// The service called.
+    /// Service to call.
     pub service: ServiceName,
-    /// Who calls.
+    /// Caller name to send.
     pub caller: Option<CallerName>,
-    /// The path called.
+    /// Path to call.
     pub path: String,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: u32,
     /// How long calls are sent.
     pub duration: Duration,
-    /// How the times between calls are spread.
+    /// Distribution of the times between calls.
     pub spacing: Spacing,
     /// Deadline of each call.
     pub deadline: Option<Duration>,
     /// Whether each call carries an idempotency key of its own.
     pub keyed: bool,
-    /// Body; a call with one is a POST.
+    /// Request body; the method is POST if it isn't empty, GET otherwise.
     pub body: String,
     /// Seed of the arrival times and keys.
     pub seed: u64,
 }
 
 impl Options {
-    /// Calls of `service`, 100 a second for 10 s.
+    /// Default options: 100 calls of `service` per second for 10 s.
     #[must_use]
     pub fn new(service: ServiceName) -> Self {
         Self {
@@ -92,11 +92,12 @@
         }
     }
 
-    /// Checks all bounds.
+    /// Validates the options.
     ///
     /// # Errors
     ///
-    /// Fails on an address outside loopback, no or two kinds of target, or a bound that is broken.
+    /// Fails on an address outside loopback, on no or two kinds of target, and on a rate or
+    /// duration out of range.
     pub fn check(&self) -> Result<(), OptionsError> {
         let addresses = self.address.iter().chain(&self.compare);
         for address in addresses.chain(&self.directories) {
@@ -108,16 +109,16 @@
             _ => {}
         }
         if self.rate == 0 || self.rate > MAX_RATE {
-            return Err(OptionsError::Rate(self.rate));
+            return Err(OptionsError::RateOutOfRange(self.rate));
         }
-        if self.duration < Duration::from_secs(1) || self.duration > MAX_SPAN {
-            return Err(OptionsError::Span(self.duration));
+        if self.duration < Duration::from_secs(1) || self.duration > MAX_DURATION {
+            return Err(OptionsError::DurationOutOfRange(self.duration));
         }
         Ok(())
     }
 }
 
-/// Refuses any address but one of this machine's loopback.
+/// Checks that `address` is a loopback address.
 ///
 /// # Errors
 ///
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run measured, as a table or as key=value lines.
+//! Measurements of a run, printed as a table or as key=value lines.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,39 +8,39 @@
 use strum::EnumIter;
 use strum::IntoEnumIterator;
 
-/// Greatest latency that is recorded, in microseconds.
+/// Maximum recorded latency, in microseconds.
 const MAX_MICROS: u64 = 600_000_000;
-/// Significant digits of a latency.
+/// Significant decimal digits of a recorded latency.
 const DIGITS: u8 = 3;
 
-/// What became of one call.
+/// Outcome of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter)]
 #[strum(serialize_all = "snake_case")]
 pub enum CallOutcome {
-    /// The upstream's answer, 2xx, whole.
+    /// A complete response of the upstream with status 2xx.
     Ok,
-    /// The upstream's own answer of another status.
+    /// A complete response of the upstream with another status.
     Status,
-    /// Refused, certainly not run.
+    /// The system reported that the request was not run.
     NotRun,
-    /// It may have run.
+    /// The system reported that the request may have run.
     Unknown,
-    /// No whole answer: the connection broke or the body was short.
+    /// No complete response: the connection broke or the body was truncated.
     Broken,
-    /// No connection to any address.
+    /// Connecting failed for all addresses.
     Connect,
-    /// No answer in time.
+    /// No complete response in time.
     Timeout,
     /// No address was known.
     NoAddress,
-    /// Never sent, as too many calls were under way.
+    /// Not sent because too many calls were in flight.
     Unsent,
 }
 
-/// Figures of one target.
+/// Measurements of one target.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// What was called, for the reader.
+    /// Name of the target, as printed.
     pub name: &'static str,
     /// How long calls were sent.
     pub duration: Duration,
@@ -50,7 +50,7 @@
 }
 
 impl Report {
-    /// An empty report.
+    /// Creates an empty report.
     #[must_use]
     pub fn new(name: &'static str, duration: Duration) -> Self {
         Self {
@@ -62,49 +62,49 @@
         }
     }
 
-    /// Adds a call that ended `latency` after its intended time and left `lag` after it.
+    /// Records a call that was sent `lag` after its intended time and ended `latency` after it.
     ///
-    /// Only calls with an upstream's whole answer count into the latency.
-    pub fn add(&mut self, verdict: CallOutcome, latency: Duration, lag: Duration) {
-        self.counts[verdict as usize] += 1;
-        if verdict == CallOutcome::Ok {
+    /// Only calls with the outcome `Ok` count into the latency.
+    pub fn add(&mut self, outcome: CallOutcome, latency: Duration, lag: Duration) {
+        self.counts[outcome as usize] += 1;
+        if outcome == CallOutcome::Ok {
             self.latency.saturating_record(micros(latency));
         }
         self.lag.saturating_record(micros(lag));
     }
 
-    /// Calls that ended so.
+    /// Number of calls with this outcome.
     #[must_use]
-    pub fn count(&self, verdict: CallOutcome) -> u64 {
-        self.counts[verdict as usize]
+    pub fn count(&self, outcome: CallOutcome) -> u64 {
+        self.counts[outcome as usize]
     }
 
-    /// All calls.
+    /// Number of all calls, including unsent ones.
     #[must_use]
     pub fn sent(&self) -> u64 {
         self.counts.iter().sum()
     }
 
-    /// Latency below which `share` (0 to 1) of the answered calls stayed.
+    /// Latency of the `Ok` calls at `quantile` (0 to 1).
     #[must_use]
-    pub fn latency(&self, share: f64) -> Duration {
-        Duration::from_micros(self.latency.value_at_quantile(share))
+    pub fn latency(&self, quantile: f64) -> Duration {
+        Duration::from_micros(self.latency.value_at_quantile(quantile))
     }
 
-    /// How late the tool itself was for 99 in 100 calls.
+    /// 99th percentile of the delay with which the tool itself sent calls.
     #[must_use]
     pub fn lag(&self) -> Duration {
         Duration::from_micros(self.lag.value_at_quantile(0.99))
     }
 
-    /// Answered calls a second.
+    /// `Ok` calls per second.
     #[must_use]
     pub fn rate(&self) -> f64 {
         let ok = u32::try_from(self.count(CallOutcome::Ok)).unwrap_or(u32::MAX);
         f64::from(ok) / self.duration.as_secs_f64()
     }
 
-    /// One line of key=value pairs.
+    /// Formats the report as one line of key=value pairs.
     #[must_use]
     pub fn plain(&self) -> String {
         let mut items = vec![
@@ -112,13 +112,15 @@
             format!("sent={}", self.sent()),
         ];
         items.extend(CallOutcome::iter().map(|v| format!("{v}={}", self.count(v))));
-        let spans = self.spans();
-        items.extend(spans.map(|(name, duration)| format!("{name}_us={}", duration.as_micros())));
+        let percentiles = self.percentiles();
+        items.extend(
+            percentiles.map(|(name, duration)| format!("{name}_us={}", duration.as_micros())),
+        );
         items.push(format!("rate={:.1}", self.rate()));
         items.join(" ")
     }
 
-    fn spans(&self) -> [(&'static str, Duration); 4] {
+    fn percentiles(&self) -> [(&'static str, Duration); 4] {
         [
             ("p50", self.latency(0.5)),
             ("p99", self.latency(0.99)),
@@ -128,35 +130,35 @@
     }
 }
 
-/// A table for people.
+/// Prints a human-readable table.
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{:<12} {}", "target", self.name)?;
         writeln!(f, "{:<12} {}", "sent", self.sent())?;
-        for verdict in CallOutcome::iter() {
-            let count = self.count(verdict);
-            if count > 0 || verdict == CallOutcome::Ok {
-                writeln!(f, "{:<12} {count}", verdict.to_string())?;
+        for outcome in CallOutcome::iter() {
+            let count = self.count(outcome);
+            if count > 0 || outcome == CallOutcome::Ok {
+                writeln!(f, "{:<12} {count}", outcome.to_string())?;
             }
         }
-        for (name, duration) in self.spans() {
+        for (name, duration) in self.percentiles() {
             writeln!(f, "{name:<12} {:.3} ms", millis(duration))?;
         }
         write!(f, "{:<12} {:.1}/s", "rate", self.rate())
     }
 }
 
-/// Latency that the gateway adds to a direct call, at one share of the calls.
+/// Latency that the gateway adds to direct calls at `quantile`, in microseconds.
 ///
-/// Negative where the way through the gateway was faster.
+/// Negative if calls through the gateway were faster.
 #[must_use]
-pub fn added_micros(through: &Report, direct: &Report, share: f64) -> i64 {
-    let signed = |r: &Report| i64::try_from(r.latency(share).as_micros()).unwrap_or(i64::MAX);
-    signed(through) - signed(direct)
+pub fn added_micros(gateway: &Report, direct: &Report, quantile: f64) -> i64 {
+    let signed = |r: &Report| i64::try_from(r.latency(quantile).as_micros()).unwrap_or(i64::MAX);
+    signed(gateway) - signed(direct)
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_MICROS, DIGITS).expect("constant bounds that are valid")
+    Histogram::new_with_bounds(1, MAX_MICROS, DIGITS).expect("valid constant bounds")
 }
 
 fn micros(duration: Duration) -> u64 {
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,4 +1,4 @@
-//! Sends the calls of one run at their intended times.
+//! Runs the load: sends each call at its intended time.
 
 use std::io;
 use std::sync::Arc;
@@ -14,39 +14,39 @@
 use tokio::task;
 
 use crate::arrival::Arrivals;
-use crate::call::Calls;
+use crate::call::LoadClient;
 use crate::options::Options;
 use crate::options::OptionsError;
 use crate::report::CallOutcome;
 use crate::report::Report;
 use crate::target::Target;
 
-/// Calls under way at once; more are counted as unsent.
-const MAX_FLIGHT: u32 = 20_000;
+/// Maximum number of calls in flight; further calls are counted as unsent.
+const MAX_IN_FLIGHT: u32 = 20_000;
 
 quick_error! {
-    /// Why a run can't be made.
+    /// Error of a run.
     #[derive(Debug)]
     pub enum LoadError {
-        /// The options.
+        /// The options are invalid.
         Options(err: OptionsError) {
             from()
             source(err)
             display("{err}")
         }
-        /// The HTTP client.
+        /// The HTTP client could not be created.
         Client(err: reqwest::Error) {
             from()
             source(err)
-            display("client: {err}")
+            display("can't create HTTP client: {err}")
         }
-        /// The thread that keeps the times.
+        /// The thread that schedules the calls could not be started.
         Thread(err: io::Error) {
             from()
             source(err)
-            display("thread: {err}")
+            display("can't start scheduling thread: {err}")
         }
-        /// That thread panicked, which it has printed itself.
+        /// The thread that schedules the calls panicked.
         Panic(err: task::JoinError) {
             from()
             source(err)
@@ -55,58 +55,67 @@
     }
 }
 
-/// One target's calls and figures.
-struct Lane {
-    calls: Calls,
+/// Client and measurements of one target.
+struct TargetRun {
+    client: LoadClient,
     report: Mutex<Report>,
 }
 
-/// Makes one run; with `compare` set, calls alternate between the target and
-/// the direct address, which come first and second in the answer.
+/// Executes one run. With `compare` set, calls alternate between the target and
+/// the direct address; the result holds their reports in this order.
 ///
 /// # Errors
 ///
-/// Fails on options that [`Options::check`] refuses, or without an HTTP client.
+/// Fails if [`Options::check`] fails or the HTTP client can't be created.
 pub async fn run(options: Options) -> Result<Vec<Report>, LoadError> {
     options.check()?;
-    let lanes = lanes(&options)?;
-    let flight = Arc::new(Semaphore::new(MAX_FLIGHT as usize));
+    let targets = targets(&options)?;
+    let in_flight = Arc::new(Semaphore::new(MAX_IN_FLIGHT as usize));
     let handle = Handle::current();
-    let pace = {
-        let (lanes, flight) = (lanes.clone(), flight.clone());
-        move || send(&options, &lanes, &flight, &handle)
+    let schedule = {
+        let (targets, in_flight) = (targets.clone(), in_flight.clone());
+        move || send_calls(&options, &targets, &in_flight, &handle)
     };
-    task::spawn_blocking(pace).await?;
-    // All permits are back when the last call has ended; each call is bounded in time.
-    let all = flight.acquire_many(MAX_FLIGHT).await;
-    drop(all);
-    Ok(lanes.iter().map(|l| lock(&l.report).clone()).collect())
+    task::spawn_blocking(schedule).await?;
+    // Waits for the last call to end; each call has a timeout.
+    let permits = in_flight.acquire_many(MAX_IN_FLIGHT).await;
+    drop(permits);
+    Ok(targets.iter().map(|t| lock(&t.report).clone()).collect())
 }
 
-fn lanes(options: &Options) -> Result<Arc<[Lane]>, LoadError> {
+fn targets(options: &Options) -> Result<Arc<[TargetRun]>, LoadError> {
     let target = match options.address {
         Some(address) => Target::Fixed(address),
         None => Target::directory(options.directories.clone(), options.service.clone()),
     };
-    let mut lanes = vec![lane("gateway", target, options)?];
+    let mut targets = vec![target_run("gateway", target, options)?];
     if let Some(direct) = options.compare {
-        lanes.push(lane("direct", Target::Fixed(direct), options)?);
+        targets.push(target_run("direct", Target::Fixed(direct), options)?);
     }
-    Ok(lanes.into())
+    Ok(targets.into())
 }
 
-fn lane(name: &'static str, target: Target, options: &Options) -> Result<Lane, LoadError> {
-    Ok(Lane {
-        calls: Calls::new(target, options.clone())?,
+fn target_run(
+    name: &'static str,
+    target: Target,
+    options: &Options,
+) -> Result<TargetRun, LoadError> {
+    Ok(TargetRun {
+        client: LoadClient::new(target, options.clone())?,
         report: Mutex::new(Report::new(name, options.duration)),
     })
 }
 
-/// Spawns each call at its time.
+/// Spawns each call at its intended time.
 ///
-/// A thread's sleep is exact to some tens of microseconds, the runtime's timer
-/// to a millisecond only, which would drown the latency that is looked for.
-fn send(options: &Options, lanes: &Arc<[Lane]>, flight: &Arc<Semaphore>, handle: &Handle) {
+/// Runs on a thread of its own: the runtime's timer has a resolution of only 1 ms,
+/// which is coarser than the latencies to measure.
+fn send_calls(
+    options: &Options,
+    targets: &Arc<[TargetRun]>,
+    in_flight: &Arc<Semaphore>,
+    handle: &Handle,
+) {
     let start = Instant::now();
     let arrivals = Arrivals::new(
         options.spacing,
@@ -117,23 +126,28 @@
     for (number, offset) in (0_u64..).zip(arrivals) {
         let intended = start + offset;
         thread::sleep(intended.saturating_duration_since(Instant::now()));
-        let index = usize::try_from(number).unwrap_or(0) % lanes.len();
-        let Ok(permit) = flight.clone().try_acquire_owned() else {
-            add(&lanes[index], CallOutcome::Unsent, intended, Duration::ZERO);
+        let index = usize::try_from(number).unwrap_or(0) % targets.len();
+        let Ok(permit) = in_flight.clone().try_acquire_owned() else {
+            add(
+                &targets[index],
+                CallOutcome::Unsent,
+                intended,
+                Duration::ZERO,
+            );
             continue;
         };
-        let lanes = lanes.clone();
+        let targets = targets.clone();
         handle.spawn(async move {
             let lag = intended.elapsed();
-            let verdict = lanes[index].calls.call(number).await;
-            add(&lanes[index], verdict, intended, lag);
+            let outcome = targets[index].client.call(number).await;
+            add(&targets[index], outcome, intended, lag);
             drop(permit);
         });
     }
 }
 
-fn add(lane: &Lane, verdict: CallOutcome, intended: Instant, lag: Duration) {
-    lock(&lane.report).add(verdict, intended.elapsed(), lag);
+fn add(target_run: &TargetRun, outcome: CallOutcome, intended: Instant, lag: Duration) {
+    lock(&target_run.report).add(outcome, intended.elapsed(), lag);
 }
 
 fn lock(report: &Mutex<Report>) -> std::sync::MutexGuard<'_, Report> {
--- a/crates/load/src/target.rs
+++ b/crates/load/src/target.rs
@@ -1,4 +1,4 @@
-//! Where calls go: a fixed address, or what a directory says, kept as told.
+//! Address of a target: fixed, or looked up in a directory and cached.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,74 +14,74 @@
 use crate::options::OptionsError;
 use crate::options::check_loopback;
 
-/// Longest wait for a directory.
+/// Timeout of a request to a directory.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
 quick_error! {
-    /// Why no address is known.
+    /// Error of looking up addresses.
     #[derive(Debug)]
     pub enum TargetError {
-        /// No directory answered.
-        Silent(err: reqwest::Error) {
+        /// The request to a directory failed.
+        Request(err: reqwest::Error) {
             source(err)
-            display("directory: {err}")
+            display("directory request failed: {err}")
         }
-        /// A directory answered with another status.
-        Refused(status: u16) {
-            display("directory: status {status}")
+        /// A directory responded with a status other than 200.
+        Status(status: u16) {
+            display("directory responded with status {status}")
         }
-        /// A directory's answer can't be read.
-        Answer(err: serde_json::Error) {
+        /// A directory's response could not be parsed.
+        InvalidResponse(err: serde_json::Error) {
             source(err)
-            display("directory's answer: {err}")
+            display("invalid response from directory: {err}")
         }
-        /// A directory named an address outside loopback.
+        /// A directory returned an address outside loopback.
         Address(err: OptionsError) {
             from()
             source(err)
             display("{err}")
         }
-        /// There is no directory to ask.
+        /// No directory is configured.
         NoDirectory {
-            display("no directory to ask")
+            display("no directory configured")
         }
     }
 }
 
 #[derive(Deserialize)]
 struct Route {
-    addresses: Vec<Named>,
+    addresses: Vec<RouteAddress>,
     max_age_ms: u64,
 }
 
 #[derive(Deserialize)]
-struct Named {
+struct RouteAddress {
     address: SocketAddr,
 }
 
-/// A directory's answer, valid until `end`.
-struct Kept {
+/// Addresses from a directory, valid until `expires_at`.
+struct CachedRoute {
     addresses: Vec<SocketAddr>,
-    end: Instant,
+    expires_at: Instant,
 }
 
-/// Finds the address of each call.
+/// Source of the addresses of a target.
 pub enum Target {
-    /// Always the same.
+    /// A fixed address.
     Fixed(SocketAddr),
-    /// As the directories say.
-    Directory(Box<Finder>),
+    /// The addresses that the directories return.
+    Directory(Box<RouteResolver>),
 }
 
 impl Target {
-    /// A target that asks `directories`, the first one first.
+    /// Creates a target that queries `directories` in order until one responds.
     #[must_use]
     pub fn directory(directories: Vec<SocketAddr>, service: ServiceName) -> Self {
-        Self::Directory(Box::new(Finder {
+        Self::Directory(Box::new(RouteResolver {
             client: Client::new(),
             directories,
             service,
-            kept: Mutex::new(None),
+            cached: Mutex::new(None),
         }))
     }
 
@@ -89,66 +89,66 @@
     ///
     /// # Errors
     ///
-    /// Fails when no directory gives any.
+    /// Fails if no directory returns a valid response.
     pub async fn addresses(&self) -> Result<Arc<[SocketAddr]>, TargetError> {
         match self {
             Self::Fixed(address) => Ok([*address].into()),
-            Self::Directory(finder) => finder.addresses().await,
+            Self::Directory(resolver) => resolver.addresses().await,
         }
     }
 }
 
-/// Asks directories and keeps their answer for as long as it says.
-pub struct Finder {
+/// Queries directories and caches the response for its `max_age_ms`.
+pub struct RouteResolver {
     client: Client,
     directories: Vec<SocketAddr>,
     service: ServiceName,
-    kept: Mutex<Option<Kept>>,
+    cached: Mutex<Option<CachedRoute>>,
 }
 
-impl Finder {
+impl RouteResolver {
     async fn addresses(&self) -> Result<Arc<[SocketAddr]>, TargetError> {
-        // Held over the question, so that calls that wait for it share one answer.
-        let mut kept = self.kept.lock().await;
-        if let Some(kept) = &*kept
-            && Instant::now() < kept.end
+        // Locked during the query, so that concurrent calls share one response.
+        let mut cached = self.cached.lock().await;
+        if let Some(cached) = &*cached
+            && Instant::now() < cached.expires_at
         {
-            return Ok(kept.addresses.as_slice().into());
+            return Ok(cached.addresses.as_slice().into());
         }
-        let fresh = self.ask_all().await?;
-        let addresses = fresh.addresses.as_slice().into();
-        *kept = Some(fresh);
+        let route = self.query_all().await?;
+        let addresses = route.addresses.as_slice().into();
+        *cached = Some(route);
         Ok(addresses)
     }
 
-    async fn ask_all(&self) -> Result<Kept, TargetError> {
-        let mut failure = TargetError::NoDirectory;
+    async fn query_all(&self) -> Result<CachedRoute, TargetError> {
+        let mut last_error = TargetError::NoDirectory;
         for directory in &self.directories {
-            match self.ask(*directory).await {
-                Ok(kept) => return Ok(kept),
-                Err(err) => failure = err,
+            match self.query(*directory).await {
+                Ok(cached) => return Ok(cached),
+                Err(err) => last_error = err,
             }
         }
-        Err(failure)
+        Err(last_error)
     }
 
-    async fn ask(&self, directory: SocketAddr) -> Result<Kept, TargetError> {
+    async fn query(&self, directory: SocketAddr) -> Result<CachedRoute, TargetError> {
         let url = format!("http://{directory}/v1/route?service={}", self.service);
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let send = self.client.get(url).timeout(TIMEOUT).send();
-        let answer = send.await.map_err(TargetError::Silent)?;
-        if answer.status() != 200 {
-            return Err(TargetError::Refused(answer.status().as_u16()));
+        let response = send.await.map_err(TargetError::Request)?;
+        if response.status() != 200 {
+            return Err(TargetError::Status(response.status().as_u16()));
         }
-        let body = answer.bytes().await.map_err(TargetError::Silent)?;
-        let route: Route = serde_json::from_slice(&body).map_err(TargetError::Answer)?;
+        let body = response.bytes().await.map_err(TargetError::Request)?;
+        let route: Route = serde_json::from_slice(&body).map_err(TargetError::InvalidResponse)?;
         let addresses: Vec<SocketAddr> = route.addresses.iter().map(|a| a.address).collect();
         for address in &addresses {
             check_loopback(*address)?;
         }
-        Ok(Kept {
+        Ok(CachedRoute {
             addresses,
-            end: asked + Duration::from_millis(route.max_age_ms),
+            expires_at: requested_at + Duration::from_millis(route.max_age_ms),
         })
     }
 }
--- a/crates/load/tests/test_load.rs
+++ b/crates/load/tests/test_load.rs
@@ -1,4 +1,4 @@
-//! The tool against a stand-in and against a fake directory.
+//! Runs load against a stand-in and a fake directory.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 use standin::StandIn;
 use tokio::net::TcpListener;
 
-type Spoil = fn(&mut Options);
+type Modify = fn(&mut Options);
 
 fn service() -> ServiceName {
     ServiceName::new("status").unwrap()
@@ -48,7 +48,7 @@
     standin::start(settings, log).await.unwrap()
 }
 
-/// Answers each question for a route with one address.
+/// Responds to each route query with one address.
 struct Directory(SocketAddr);
 
 #[async_trait]
@@ -61,11 +61,11 @@
     }
 }
 
-async fn directory(named: SocketAddr) -> SocketAddr {
+async fn directory(returned: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = Server::new(TcpAcceptor::try_from(listener).unwrap());
-    tokio::spawn(server.serve(Router::with_path("v1/route").get(Directory(named))));
+    tokio::spawn(server.serve(Router::with_path("v1/route").get(Directory(returned))));
     address
 }
 
@@ -73,7 +73,7 @@
 fn test_options_refused() {
     let outside: SocketAddr = "192.0.2.1:80".parse().unwrap();
     let inside: SocketAddr = "127.0.0.1:80".parse().unwrap();
-    let cases: [(Spoil, OptionsError); 7] = [
+    let cases: [(Modify, OptionsError); 7] = [
         (
             |o| o.address = Some("192.0.2.1:80".parse().unwrap()),
             OptionsError::NotLoopback(outside),
@@ -87,17 +87,17 @@
             |o| o.directories = vec!["127.0.0.1:1".parse().unwrap()],
             OptionsError::TwoTargets,
         ),
-        (|o| o.rate = 0, OptionsError::Rate(0)),
-        (|o| o.rate = 50_001, OptionsError::Rate(50_001)),
+        (|o| o.rate = 0, OptionsError::RateOutOfRange(0)),
+        (|o| o.rate = 50_001, OptionsError::RateOutOfRange(50_001)),
         (
             |o| o.duration = Duration::from_secs(301),
-            OptionsError::Span(Duration::from_secs(301)),
+            OptionsError::DurationOutOfRange(Duration::from_secs(301)),
         ),
     ];
-    for (spoil, expected) in cases {
+    for (modify, expected) in cases {
         let mut options = options(Some(inside));
         assert_eq!(options.check(), Ok(()));
-        spoil(&mut options);
+        modify(&mut options);
         assert_eq!(options.check(), Err(expected));
     }
 }
@@ -105,14 +105,14 @@
 #[test]
 fn test_arrivals_rate_kept() {
     let duration = Duration::from_secs(100);
-    for (spacing, least, most) in [
+    for (spacing, min, max) in [
         (Spacing::Even, 9_999, 10_000),
         (Spacing::Poisson, 9_500, 10_500),
     ] {
         for seed in 0..10 {
             let times: Vec<Duration> = Arrivals::new(spacing, 100, duration, seed).collect();
             let count = times.len();
-            assert!((least..=most).contains(&count), "{spacing} {seed} {count}");
+            assert!((min..=max).contains(&count), "{spacing} {seed} {count}");
             assert!(times.is_sorted());
         }
     }
@@ -121,41 +121,41 @@
 #[test]
 fn test_report_added_latency() {
     let duration = Duration::from_secs(1);
-    let (mut through, mut direct) = (
+    let (mut gateway, mut direct) = (
         Report::new("gateway", duration),
         Report::new("direct", duration),
     );
     for i in 1..=100 {
         let time = Duration::from_micros(i);
-        through.add(CallOutcome::Ok, time + Duration::from_micros(50), time);
+        gateway.add(CallOutcome::Ok, time + Duration::from_micros(50), time);
         direct.add(CallOutcome::Ok, time, time);
     }
-    // A refusal is quick and says nothing of the latency of an answer.
-    through.add(CallOutcome::NotRun, Duration::ZERO, Duration::ZERO);
-    assert_eq!(added_micros(&through, &direct, 0.5), 50);
-    assert_eq!(added_micros(&through, &direct, 0.99), 50);
-    assert_eq!(through.sent(), 101);
+    // Refusals must not count into the latency, as they are faster than responses.
+    gateway.add(CallOutcome::NotRun, Duration::ZERO, Duration::ZERO);
+    assert_eq!(added_micros(&gateway, &direct, 0.5), 50);
+    assert_eq!(added_micros(&gateway, &direct, 0.99), 50);
+    assert_eq!(gateway.sent(), 101);
     assert!(
-        through.plain().contains(" not_run=1 "),
+        gateway.plain().contains(" not_run=1 "),
         "{}",
-        through.plain()
+        gateway.plain()
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn test_run_verdicts() {
+async fn test_run_outcomes() {
     let cases = [
         (FaultKind::None, CallOutcome::Ok),
         (FaultKind::Fail, CallOutcome::Status),
         (FaultKind::Short, CallOutcome::Broken),
     ];
-    for (kind, verdict) in cases {
+    for (kind, outcome) in cases {
         let upstream = upstream().await;
         upstream.set_fault(Fault::new(kind));
         let reports = load::run(options(Some(upstream.address()))).await.unwrap();
         let report = &reports[0];
         assert!(report.sent() > 0);
-        assert_eq!(report.count(verdict), report.sent(), "{kind}: {report}");
+        assert_eq!(report.count(outcome), report.sent(), "{kind}: {report}");
     }
 }
 
@@ -171,20 +171,20 @@
     options.keyed = true;
     options.spacing = Spacing::Even;
     let reports = load::run(options).await.unwrap();
-    let (through, direct) = (&reports[0], &reports[1]);
-    assert_eq!(through.count(CallOutcome::Ok), through.sent(), "{through}");
+    let (gateway, direct) = (&reports[0], &reports[1]);
+    assert_eq!(gateway.count(CallOutcome::Ok), gateway.sent(), "{gateway}");
     assert_eq!(direct.count(CallOutcome::Ok), direct.sent(), "{direct}");
     let mut keys: Vec<String> = upstream.runs().all().into_iter().map(|r| r.key).collect();
     keys.sort();
     keys.dedup();
-    assert_eq!(keys.len() as u64, through.sent() + direct.sent());
+    assert_eq!(keys.len() as u64, gateway.sent() + direct.sent());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn test_run_directory_names_outside() {
-    let named = directory("192.0.2.1:80".parse().unwrap()).await;
+async fn test_run_refuses_non_loopback_address_from_directory() {
+    let returned = directory("192.0.2.1:80".parse().unwrap()).await;
     let mut options = options(None);
-    options.directories = vec![named];
+    options.directories = vec![returned];
     let reports = load::run(options).await.unwrap();
     assert_eq!(reports[0].count(CallOutcome::NoAddress), reports[0].sent());
 }
