--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -7,7 +7,7 @@
 //! [`invariants`] looks for broken promises.
 
 pub mod calls;
-pub mod crashers;
+pub mod crashing_upstreams;
 pub mod invariants;
 pub mod proxy;
 pub mod world;
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -25,7 +25,7 @@
 use testutils::tables::STATUS;
 
 use crate::SoakError;
-use crate::crashers::Crashers;
+use crate::crashing_upstreams::Crashers;
 use crate::proxy::Mode;
 use crate::proxy::Proxy;
 
