--- a/crates/soak/src/calls.rs
+++ b/crates/soak/src/calls.rs
@@ -1,4 +1,4 @@
-//! Callers that call without a break, and what they got.
+//! Callers that send requests continuously and record the replies.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,25 +22,25 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-/// Callers at once.
+/// Number of concurrent callers.
 const CALLERS: u64 = 4;
 /// Deadline of each call.
 const DEADLINE: Duration = Duration::from_secs(2);
-/// A caller leaves after this, answer or not.
-const PATIENCE: Duration = Duration::from_secs(4);
-/// Pause between two calls for what crashes instances.
+/// Time after which a caller gives up waiting for a reply.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// Pause between two requests that crash an instance.
 const CRASH_PAUSE: Duration = Duration::from_millis(150);
 /// Pause between two calls of one caller.
-const PAUSE: Duration = Duration::from_millis(8);
+const CALL_PAUSE: Duration = Duration::from_millis(8);
 
 /// One call.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The path, which no other call has.
+    /// Path of the request, unique to this call.
     pub path: String,
-    /// It must not run twice.
+    /// Whether the request must not run more than once.
     pub once: bool,
-    /// What came; none when the caller left before anything did.
+    /// Reply; `None` if the caller gave up waiting.
     pub reply: Option<Reply>,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl Callers {
-    /// Starts them; each uses all `fronts` in turn.
+    /// Starts the callers; each sends to all `fronts` in turn.
     #[must_use]
     pub fn start(fronts: Vec<SocketAddr>) -> Self {
         let fronts: Arc<[SocketAddr]> = fronts.into();
@@ -71,7 +71,7 @@
                         .lock()
                         .unwrap_or_else(PoisonError::into_inner)
                         .push(call);
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(CALL_PAUSE).await;
                 }
             });
         }
@@ -81,15 +81,14 @@
                 if stopped.is_cancelled() {
                     return;
                 }
-                // Whatever it gets is right: it has no answer.
-                crash(*front).await;
+                send_crash_request(*front).await;
                 tokio::time::sleep(CRASH_PAUSE).await;
             }
         });
         Self { stop, tasks, calls }
     }
 
-    /// Stops them; all calls that were made.
+    /// Stops the callers and returns all calls that they made.
     pub async fn stop(mut self) -> Vec<Call> {
         self.stop.cancel();
         while self.tasks.join_next().await.is_some() {}
@@ -106,8 +105,9 @@
         _ => Ask::post(GRANTS, &format!("{ONCE}{number}"), "block 7"),
     };
     let ask = ask.at(HOST).within(DEADLINE);
-    let turn = usize::try_from(number / 2).unwrap_or(0) % fronts.len();
-    let reply = tokio::time::timeout(PATIENCE, Caller::new().call(fronts[turn], &ask)).await;
+    let front_index = usize::try_from(number / 2).unwrap_or(0) % fronts.len();
+    let reply =
+        tokio::time::timeout(CALL_TIMEOUT, Caller::new().call(fronts[front_index], &ask)).await;
     Call {
         path: ask.path,
         once,
@@ -115,9 +115,8 @@
     }
 }
 
-/// Sends the request that crashes what runs it.
-pub async fn crash(front: SocketAddr) {
+/// Sends the request that crashes the instance that runs it. Any reply or none is accepted.
+pub async fn send_crash_request(front: SocketAddr) {
     let ask = Ask::get(LOOKUPS, CRASH).at(HOST).within(DEADLINE);
-    // A caller may leave before an answer comes.
-    let _ = tokio::time::timeout(PATIENCE, Caller::new().call(front, &ask)).await;
+    let _ = tokio::time::timeout(CALL_TIMEOUT, Caller::new().call(front, &ask)).await;
 }
--- a/crates/soak/src/crashing_upstreams.rs
+++ b/crates/soak/src/crashing_upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams that one request crashes, as processes without proxies.
+//! Upstream processes, without proxies, that a certain request crashes.
 
 use std::net::SocketAddr;
 
@@ -10,68 +10,73 @@
 use crate::SoakError;
 use crate::calls;
 
-/// Upstreams that a request crashes.
-const CRASHERS: usize = 4;
-/// Calls for what crashes them, once all is restored.
-const CRASH_CALLS: usize = 10;
-/// Crashes that may still come then: three, as every process that knew of those before may have
-/// been lost, and three more that were sent before it is known again.
-const CRASHES: usize = 6;
+/// Number of these upstreams.
+const UPSTREAMS: usize = 4;
+/// Number of crash requests sent to the restored system.
+const CRASH_REQUESTS: usize = 10;
+/// Maximum number of crashes that these requests may cause: three until the request is recognised
+/// again, as every process that knew of the earlier crashes may have been lost, and three by
+/// requests sent before that.
+const MAX_CRASHES: usize = 6;
 
-/// One upstream, in one of its lives.
-struct Crasher {
+/// One upstream, with its current process.
+struct CrashingUpstream {
     settings: standin::Settings,
     upstream: Upstream,
 }
 
-/// All of them.
-pub struct Crashers(Vec<Crasher>);
+/// All upstreams that the crash request crashes.
+pub struct CrashingUpstreams(Vec<CrashingUpstream>);
 
-impl Crashers {
-    /// Starts them.
+impl CrashingUpstreams {
+    /// Starts the upstreams.
     ///
     /// # Errors
     ///
-    /// Fails when one isn't ready in time.
+    /// Fails if an upstream isn't ready in time.
     pub async fn start(layout: &mut Layout) -> Result<Self, SoakError> {
         let mut all = vec![];
-        for number in 0..CRASHERS {
+        for number in 0..UPSTREAMS {
             let mut settings = layout.upstream(LOOKUPS, number);
             settings.crash = Some(CRASH.into());
             let upstream = Upstream::start(&settings).await?;
-            all.push(Crasher { settings, upstream });
+            all.push(CrashingUpstream { settings, upstream });
         }
         Ok(Self(all))
     }
 
-    /// Starts those anew that have crashed, and gives how many these were.
+    /// Restarts the upstreams that have crashed and returns their number.
     ///
     /// # Errors
     ///
-    /// Fails when one isn't ready in time.
-    pub async fn start_anew(&mut self) -> Result<usize, SoakError> {
+    /// Fails if an upstream isn't ready in time.
+    pub async fn restart_crashed(&mut self) -> Result<usize, SoakError> {
         let mut crashed = 0;
-        for crasher in &mut self.0 {
-            if crasher.upstream.process.has_ended() {
-                crasher.upstream = Upstream::start(&crasher.settings).await?;
+        for crashing in &mut self.0 {
+            if crashing.upstream.process.has_ended() {
+                crashing.upstream = Upstream::start(&crashing.settings).await?;
                 crashed += 1;
             }
         }
         Ok(crashed)
     }
 
-    /// Calls for what crashes them by way of all entry processes; what that shows to be broken,
-    /// if anything.
+    /// Sends crash requests through all entry processes in turn. Returns a description of the
+    /// violated guarantee if too many upstreams crashed.
     ///
     /// # Errors
     ///
-    /// Fails when one can't be started anew.
-    pub async fn crash(&mut self, fronts: &[SocketAddr]) -> Result<Option<String>, SoakError> {
+    /// Fails if an upstream can't be restarted.
+    pub async fn check_crashes(
+        &mut self,
+        fronts: &[SocketAddr],
+    ) -> Result<Option<String>, SoakError> {
         let mut crashed = 0;
-        for front in fronts.iter().cycle().take(CRASH_CALLS) {
-            calls::crash(*front).await;
-            crashed += self.start_anew().await?;
+        for front in fronts.iter().cycle().take(CRASH_REQUESTS) {
+            calls::send_crash_request(*front).await;
+            crashed += self.restart_crashed().await?;
         }
-        Ok((crashed > CRASHES).then(|| format!("{crashed} upstreams crashed in the end")))
+        Ok((crashed > MAX_CRASHES)
+            .then(|| format!("{crashed} upstreams crashed after the restore")))
     }
 }
--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -1,4 +1,4 @@
-//! Which promises a run broke.
+//! Checks the guarantees of the system against the calls and runs of a soak run.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -9,72 +9,73 @@
 use crate::calls::Call;
 use crate::world::World;
 
-/// Statuses by which the system promises that the request has not run.
+/// Statuses that guarantee that the request was not run.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
-/// What the system says of a request that it refuses as it crashes instances.
+/// Body of the response to a request that is refused because it crashes instances.
 const QUARANTINED: &str = "quarantined";
 
-/// What a run showed.
+/// Result of a soak run.
 #[derive(Clone, Debug, Default)]
-pub struct Verdict {
-    /// Calls made.
+pub struct Report {
+    /// Number of calls.
     pub calls: usize,
-    /// Calls whose own whole answer came.
+    /// Number of calls with a complete successful response.
     pub answered: usize,
-    /// What was broken, empty when nothing was.
-    pub broken: Vec<String>,
-    /// What was done to the system, in order.
+    /// Violated guarantees, one description each.
+    pub violations: Vec<String>,
+    /// Steps applied to the system, in order.
     pub steps: Vec<String>,
 }
 
-impl fmt::Display for Verdict {
+impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             calls,
             answered,
-            broken,
+            violations,
             steps,
         } = self;
         write!(
             f,
             "{answered} of {calls} calls answered, {} broken",
-            broken.len()
+            violations.len()
         )?;
-        if broken.is_empty() {
+        if violations.is_empty() {
             return Ok(());
         }
-        let mut told = broken.iter().chain(steps);
-        told.try_for_each(|what| write!(f, "\n  {what}"))
+        let mut details = violations.iter().chain(steps);
+        details.try_for_each(|line| write!(f, "\n  {line}"))
     }
 }
 
-/// Judges what callers got against what truly ran; `crashed` is what the end showed.
+/// Checks the replies to `calls` against the recorded runs. `crash_violation` is the result of
+/// [`World::check_crashes`].
 #[must_use]
-pub fn judge(world: &World, calls: &[Call], crashed: Option<String>) -> Verdict {
-    let mut ran: HashMap<String, usize> = HashMap::new();
+pub fn check(world: &World, calls: &[Call], crash_violation: Option<String>) -> Report {
+    let mut run_counts: HashMap<String, usize> = HashMap::new();
     for run in world.runs() {
-        *ran.entry(run.path).or_default() += 1;
+        *run_counts.entry(run.path).or_default() += 1;
     }
-    let mut verdict = Verdict {
+    let mut report = Report {
         calls: calls.len(),
         steps: world.steps().to_vec(),
-        ..Verdict::default()
+        ..Report::default()
     };
     for call in calls {
-        let count = ran.get(&call.path).copied().unwrap_or(0);
-        verdict.answered += usize::from(call.reply.as_ref().is_some_and(Reply::is_ok));
-        if let Some(what) = broken(call, count) {
-            verdict.broken.push(what);
+        let count = run_counts.get(&call.path).copied().unwrap_or(0);
+        report.answered += usize::from(call.reply.as_ref().is_some_and(Reply::is_ok));
+        if let Some(violation) = violation(call, count) {
+            report.violations.push(violation);
         }
     }
-    verdict.broken.extend(world.backward_tables());
-    verdict.broken.extend(crashed);
-    verdict
+    report.violations.extend(world.table_regressions());
+    report.violations.extend(crash_violation);
+    report
 }
 
-/// What the call shows to be broken, if anything; its request ran `count` times.
-fn broken(call: &Call, count: usize) -> Option<String> {
+/// The guarantee that a call shows to be violated, if any, given that its request ran `count` times.
+fn violation(call: &Call, count: usize) -> Option<String> {
     let path = &call.path;
     if call.once && count > 1 {
         return Some(format!("{path} ran {count} times"));
@@ -82,18 +83,21 @@
     let reply = call.reply.as_ref()?;
     if call.once && NOT_RUN.contains(&reply.status) && count > 0 {
         return Some(format!(
-            "{path} ran though it was answered {}",
+            "{path} was run despite its reply with status {}",
             reply.status
         ));
     }
     if reply.body == QUARANTINED {
-        return Some(format!("{path} was refused for another's crashes"));
+        return Some(format!(
+            "{path} was quarantined for the crashes of another request"
+        ));
     }
     if !reply.is_ok() {
         return None;
     }
     let own = reply.receipt().is_some_and(|receipt| receipt.path == *path);
-    // What an upstream has run that has crashed since isn't known.
-    let lost = path.starts_with(FRAGILE);
-    (!own || (count == 0 && !lost)).then(|| format!("{path} got another's answer: {reply:?}"))
+    // A crash of a process loses its record of runs.
+    let record_may_be_lost = path.starts_with(FRAGILE);
+    (!own || (count == 0 && !record_may_be_lost))
+        .then(|| format!("{path} got the response of another request: {reply:?}"))
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,10 +1,10 @@
-//! A randomized soak: hubs and entry processes as real processes, faults from
-//! outside them, and promises checked from what callers and upstreams saw.
+//! A randomized soak test: injects faults into a system of real hub and entry processes
+//! and checks its guarantees from the replies to callers and the runs of upstreams.
 //!
-//! A seed draws the faults ([`world`]): signals to processes, faults of upstreams,
-//! and connections to these by way of a [`proxy`] that delays, silences or resets.
-//! Callers call all the while ([`calls`]). At the end everything is restored, and
-//! [`invariants`] looks for broken promises.
+//! A seed determines the faults ([`world`]): signals to processes, faults of upstreams,
+//! and a [`proxy`] in front of these that delays, withholds or resets traffic. Callers
+//! send requests all the time ([`calls`]). At the end the system is restored, and
+//! [`invariants`] looks for violated guarantees.
 
 pub mod calls;
 pub mod crashing_upstreams;
@@ -21,32 +21,32 @@
 use testutils::system::SystemError;
 
 use crate::calls::Callers;
-use crate::invariants::Verdict;
+use crate::invariants::Report;
 use crate::world::World;
 
 quick_error! {
-    /// Why a run couldn't be made.
+    /// Error of a soak run.
     #[derive(Debug)]
     pub enum SoakError {
-        /// A process or a table.
+        /// Starting the system or publishing a table failed.
         System(err: SystemError) {
             from()
             source(err)
             display("{err}")
         }
-        /// A process.
+        /// Starting or signalling a process failed.
         Process(err: ProcessError) {
             from()
             source(err)
             display("{err}")
         }
-        /// An upstream.
+        /// Starting an emulated upstream failed.
         StandIn(err: standin::StartError) {
             from()
             source(err)
             display("stand-in: {err}")
         }
-        /// A proxy.
+        /// Starting a proxy failed.
         Proxy(err: std::io::Error) {
             from()
             source(err)
@@ -55,32 +55,33 @@
     }
 }
 
-/// One run.
+/// Parameters of a soak run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Of the faults and their times.
+    /// Seed of the faults and the pauses between them.
     pub seed: u64,
-    /// Faults, one after the other; they last and overlap.
+    /// Number of steps. The fault of a step lasts, so that faults overlap.
     pub steps: u32,
-    /// Longest time between two of them.
-    pub pause: Duration,
+    /// Maximum pause after a step.
+    pub max_pause: Duration,
 }
 
-/// Runs `plan` and judges it.
+/// Runs `plan` and checks the guarantees.
 ///
 /// # Errors
 ///
-/// Fails when the system can't be started, or doesn't serve again at the end.
-pub async fn run(plan: Plan) -> Result<Verdict, SoakError> {
+/// Fails if the system can't be started, or doesn't serve requests again after the faults have
+/// ended.
+pub async fn run(plan: Plan) -> Result<Report, SoakError> {
     let mut rng = SmallRng::seed_from_u64(plan.seed);
     let mut world = World::start(&mut rng).await?;
     let callers = Callers::start(world.fronts());
     for _ in 0..plan.steps {
         world.step(&mut rng).await?;
-        world.rest(&mut rng, plan.pause).await;
+        world.pause(&mut rng, plan.max_pause).await;
     }
     world.restore().await?;
     let calls = callers.stop().await;
-    let crashed = world.crash().await?;
-    Ok(invariants::judge(&world, &calls, crashed))
+    let crash_violation = world.check_crashes().await?;
+    Ok(invariants::check(&world, &calls, crash_violation))
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `rwr-soak`: runs seeds of the soak, and says which broke a promise.
+//! `rwr-soak`: runs the soak test for a range of seeds and reports violated guarantees.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use lexopt::ValueExt;
 use soak::Plan;
 
-/// Longest time between two faults.
-const PAUSE: Duration = Duration::from_millis(400);
+/// Maximum pause after a step.
+const MAX_PAUSE: Duration = Duration::from_millis(400);
 
-/// What is run.
+/// Command line options.
 struct Options {
     first: u64,
     count: u64,
@@ -21,7 +21,7 @@
 rwr-soak [--first SEED] [--count N] [--steps N]
 
 Runs N seeds from SEED on, each with its own hubs, entry processes and upstreams on
-loopback, and prints what each showed. Exit 1 when one broke a promise.
+loopback, and prints the result of each. Exits with 1 if one violated a guarantee.
 ";
 
 fn options() -> Result<Option<Options>, lexopt::Error> {
@@ -56,24 +56,24 @@
             return ExitCode::from(2);
         }
     };
-    let mut bad = 0;
+    let mut failed = 0;
     for seed in options.first..options.first.saturating_add(options.count) {
         let plan = Plan {
             seed,
             steps: options.steps,
-            pause: PAUSE,
+            max_pause: MAX_PAUSE,
         };
         match soak::run(plan).await {
-            Ok(verdict) => {
-                println!("seed {seed}: {verdict}");
-                bad += u64::from(!verdict.broken.is_empty());
+            Ok(report) => {
+                println!("seed {seed}: {report}");
+                failed += u64::from(!report.violations.is_empty());
             }
             Err(err) => {
-                println!("seed {seed}: not served again: {err}");
-                bad += 1;
+                println!("seed {seed}: run failed: {err}");
+                failed += 1;
             }
         }
     }
-    println!("{bad} of {} seeds broke something", options.count);
-    ExitCode::from(u8::from(bad > 0))
+    println!("{failed} of {} seeds broke something", options.count);
+    ExitCode::from(u8::from(failed > 0))
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy on loopback that harms the connections by way of it.
+//! A TCP proxy on loopback that injects network faults.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,46 +14,45 @@
 use tokio::sync::watch;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Bytes that are passed on at once.
-const CHUNK: usize = 16 * 1024;
-/// How much later a delayed chunk goes on.
+/// Maximum number of bytes that are forwarded at once.
+const CHUNK_SIZE: usize = 16 * 1024;
+/// Delay of a chunk under [`Mode::Delay`].
 const DELAY: Duration = Duration::from_millis(60);
 
-/// What the proxy does.
+/// Treatment of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Mode {
-    /// Passes everything on.
+    /// Forwards everything.
     Pass,
-    /// Passes everything on later.
+    /// Forwards everything with a delay.
     Delay,
-    /// Takes connections and passes nothing on.
+    /// Accepts connections and forwards nothing.
     Silent,
-    /// Passes requests on and no answers.
+    /// Forwards requests but no responses.
     Mute,
     /// Closes every connection.
     Reset,
 }
 
-/// Which way bytes go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    ToUpstream,
+    ToClient,
 }
 
-/// A proxy before one upstream; its connections end when it is dropped.
+/// A proxy in front of one upstream. Dropping it closes its connections.
 pub struct Proxy {
     mode: watch::Sender<Mode>,
     _task: AbortOnDropHandle<()>,
 }
 
 impl Proxy {
-    /// Listens at `listen` for connections to `target`.
+    /// Starts a proxy that forwards connections to `listen` to `target`.
     ///
     /// # Errors
     ///
-    /// Fails when it can't listen.
+    /// Fails if the listening socket can't be opened.
     pub async fn start(listen: SocketAddr, target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let mode = watch::Sender::new(Mode::Pass);
@@ -64,75 +63,76 @@
         })
     }
 
-    /// Does so from now on.
-    pub fn set(&self, mode: Mode) {
+    /// Changes the mode, also for open connections.
+    pub fn set_mode(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 }
 
 async fn accept(listener: TcpListener, target: SocketAddr, mode: watch::Receiver<Mode>) {
-    // Its connections end with it.
-    let mut open = tokio::task::JoinSet::new();
+    // Dropping the set closes the connections.
+    let mut connections = tokio::task::JoinSet::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             return;
         };
-        open.spawn(pass(stream, target, mode.clone()));
-        while open.try_join_next().is_some() {}
+        connections.spawn(forward_connection(stream, target, mode.clone()));
+        while connections.try_join_next().is_some() {}
     }
 }
 
-/// Passes one connection on, until either side or a reset ends it.
-async fn pass(stream: TcpStream, target: SocketAddr, mode: watch::Receiver<Mode>) {
-    let Ok(other) = TcpStream::connect(target).await else {
+/// Forwards one connection until either side or a reset ends it.
+async fn forward_connection(stream: TcpStream, target: SocketAddr, mode: watch::Receiver<Mode>) {
+    let Ok(upstream) = TcpStream::connect(target).await else {
         return;
     };
-    let (from, back) = stream.into_split();
-    let (answers, there) = other.into_split();
+    let (client_reader, client_writer) = stream.into_split();
+    let (upstream_reader, upstream_writer) = upstream.into_split();
     tokio::select! {
-        () = pump(from, there, Way::There, mode.clone()) => {}
-        () = pump(answers, back, Way::Back, mode) => {}
+        () = forward(client_reader, upstream_writer, Direction::ToUpstream, mode.clone()) => {}
+        () = forward(upstream_reader, client_writer, Direction::ToClient, mode) => {}
     }
 }
 
-async fn pump(
-    mut from: OwnedReadHalf,
-    mut to: OwnedWriteHalf,
-    way: Way,
+async fn forward(
+    mut reader: OwnedReadHalf,
+    mut writer: OwnedWriteHalf,
+    direction: Direction,
     mut mode: watch::Receiver<Mode>,
 ) {
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; CHUNK_SIZE];
     loop {
         let count = tokio::select! {
-            count = from.read(&mut buffer) => count.unwrap_or(0),
-            () = reset(mode.clone()) => return,
+            count = reader.read(&mut buffer) => count.unwrap_or(0),
+            () = wait_for_reset(mode.clone()) => return,
         };
-        if count == 0 || !gate(&mut mode, way).await {
+        if count == 0 || !wait_until_open(&mut mode, direction).await {
             return;
         }
-        if to.write_all(&buffer[..count]).await.is_err() {
+        if writer.write_all(&buffer[..count]).await.is_err() {
             return;
         }
     }
 }
 
-async fn reset(mut mode: watch::Receiver<Mode>) {
+async fn wait_for_reset(mut mode: watch::Receiver<Mode>) {
     // The sender lives as long as the proxy.
     let _ = mode.wait_for(|mode| *mode == Mode::Reset).await;
 }
 
-/// Waits until bytes may go on; false when the connection is to end.
-async fn gate(mode: &mut watch::Receiver<Mode>, way: Way) -> bool {
+/// Waits until bytes may be forwarded in `direction`. Returns false if the connection has to be
+/// closed.
+async fn wait_until_open(mode: &mut watch::Receiver<Mode>, direction: Direction) -> bool {
     loop {
-        let now = *mode.borrow_and_update();
-        match (now, way) {
-            (Mode::Pass, _) | (Mode::Mute, Way::There) => return true,
+        let current = *mode.borrow_and_update();
+        match (current, direction) {
+            (Mode::Pass, _) | (Mode::Mute, Direction::ToUpstream) => return true,
             (Mode::Delay, _) => {
                 tokio::time::sleep(DELAY).await;
                 return true;
             }
             (Mode::Reset, _) => return false,
-            (Mode::Silent, _) | (Mode::Mute, Way::Back) => {
+            (Mode::Silent, _) | (Mode::Mute, Direction::ToClient) => {
                 if mode.changed().await.is_err() {
                     return false;
                 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -1,4 +1,4 @@
-//! The system under faults: what is drawn, done and restored.
+//! The system under test: applies random faults and restores it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,19 +25,19 @@
 use testutils::tables::STATUS;
 
 use crate::SoakError;
-use crate::crashing_upstreams::Crashers;
+use crate::crashing_upstreams::CrashingUpstreams;
 use crate::proxy::Mode;
 use crate::proxy::Proxy;
 
-/// Hubs.
+/// Number of hubs.
 const HUBS: usize = 3;
-/// Entry processes.
+/// Number of entry processes.
 const ENTRIES: usize = 2;
-/// Upstreams of each service.
+/// Number of upstreams per service.
 const UPSTREAMS: usize = 2;
-/// Port of the upstreams behind their proxies.
-const BEHIND: u16 = 7090;
-/// What an upstream is told to show, one at a time.
+/// Port that the upstreams behind proxies listen on.
+const UPSTREAM_PORT: u16 = 7090;
+/// Faults that are set on an upstream, one at a time.
 const FAULTS: [FaultKind; 8] = [
     FaultKind::None,
     FaultKind::Shed,
@@ -48,7 +48,7 @@
     FaultKind::Crossed,
     FaultKind::Ill,
 ];
-/// What its proxy does.
+/// Modes of the proxy in front of an upstream.
 const MODES: [Mode; 5] = [
     Mode::Pass,
     Mode::Delay,
@@ -57,31 +57,36 @@
     Mode::Reset,
 ];
 
-/// What is done to a process next.
+/// Fault that is injected into a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 #[strum(serialize_all = "kebab-case")]
-enum Signal {
+enum ProcessFault {
     Kill,
     Stop,
     Freeze,
     HangUp,
 }
 
-/// All of them.
-const SIGNALS: [Signal; 4] = [Signal::Kill, Signal::Stop, Signal::Freeze, Signal::HangUp];
+const PROCESS_FAULTS: [ProcessFault; 4] = [
+    ProcessFault::Kill,
+    ProcessFault::Stop,
+    ProcessFault::Freeze,
+    ProcessFault::HangUp,
+];
 
-/// One upstream with the proxy before it.
-struct Site {
+/// One upstream with the proxy in front of it.
+struct ProxiedUpstream {
     settings: standin::Settings,
+    /// `None` after a kill.
     upstream: Option<StandIn>,
     proxy: Proxy,
-    /// The runs of all its lives.
-    lives: Vec<Runs>,
+    /// Runs of each incarnation.
+    runs: Vec<Runs>,
     _host: Host,
 }
 
-/// A process that may be down or frozen.
-struct Seat {
+/// A hub or entry process, which may be down or frozen.
+struct ProcessState {
     hub: bool,
     index: usize,
     frozen: bool,
@@ -90,67 +95,67 @@
 /// The running system.
 pub struct World {
     fleet: Fleet,
-    seats: Vec<Seat>,
-    sites: Vec<Site>,
-    crashers: Crashers,
+    processes: Vec<ProcessState>,
+    upstreams: Vec<ProxiedUpstream>,
+    crashing_upstreams: CrashingUpstreams,
     version: u64,
-    /// The logs of entry processes that have ended.
+    /// Log lines of each entry process that has ended.
     logs: Vec<Vec<String>>,
     steps: Vec<String>,
 }
 
 impl World {
-    /// Starts the system, and waits until it serves.
+    /// Starts the system and waits until it serves requests.
     ///
     /// # Errors
     ///
-    /// Fails when a part can't start.
+    /// Fails if a part can't be started.
     pub async fn start(rng: &mut SmallRng) -> Result<Self, SoakError> {
         let mut fleet = Fleet::start(HUBS, ENTRIES).await?;
-        let crashers = Crashers::start(&mut fleet.layout).await?;
-        let seat = |hub, index| Seat {
+        let crashing_upstreams = CrashingUpstreams::start(&mut fleet.layout).await?;
+        let process = |hub, index| ProcessState {
             hub,
             index,
             frozen: false,
         };
-        let hubs = (0..HUBS).map(|index| seat(true, index));
-        let entries = (0..ENTRIES).map(|index| seat(false, index));
+        let hubs = (0..HUBS).map(|index| process(true, index));
+        let entries = (0..ENTRIES).map(|index| process(false, index));
         let mut world = Self {
-            seats: hubs.chain(entries).collect(),
+            processes: hubs.chain(entries).collect(),
             fleet,
-            sites: vec![],
-            crashers,
+            upstreams: vec![],
+            crashing_upstreams,
             version: 0,
             logs: vec![],
             steps: vec![],
         };
         for service in [STATUS, GRANTS] {
             for number in 0..UPSTREAMS {
-                let site = world.site(service, number, rng).await?;
-                world.sites.push(site);
+                let upstream = world.start_upstream(service, number, rng).await?;
+                world.upstreams.push(upstream);
             }
         }
-        world.change().await?;
-        world.wait_served().await?;
+        world.publish_table().await?;
+        world.wait_until_served().await?;
         Ok(world)
     }
 
-    async fn site(
+    async fn start_upstream(
         &mut self,
         service: &str,
         number: usize,
         rng: &mut SmallRng,
-    ) -> Result<Site, SoakError> {
+    ) -> Result<ProxiedUpstream, SoakError> {
         let host = Host::new();
         let mut settings = self.fleet.layout.upstream(service, number);
         let front = settings.listen;
-        settings.listen = host.at(BEHIND);
+        settings.listen = host.at(UPSTREAM_PORT);
         settings.announced = Some(front);
         settings.seed = rng.random();
         let proxy = Proxy::start(front, settings.listen).await?;
         let upstream = standin::start(settings.clone(), silent()).await?;
-        Ok(Site {
-            lives: vec![upstream.runs().clone()],
+        Ok(ProxiedUpstream {
+            runs: vec![upstream.runs().clone()],
             upstream: Some(upstream),
             settings,
             proxy,
@@ -158,113 +163,113 @@
         })
     }
 
-    /// Where callers connect.
+    /// Addresses that callers connect to.
     #[must_use]
     pub fn fronts(&self) -> Vec<SocketAddr> {
         self.fleet.layout.entries.iter().map(|e| e.front).collect()
     }
 
-    /// Does one thing, as the random numbers say.
+    /// Applies one random step to the system.
     ///
     /// # Errors
     ///
-    /// Fails when a process can't be started or signalled.
+    /// Fails if a process can't be started or signalled.
     pub async fn step(&mut self, rng: &mut SmallRng) -> Result<(), SoakError> {
-        let crashed = self.crashers.start_anew().await?;
+        let crashed = self.crashing_upstreams.restart_crashed().await?;
         if crashed > 0 {
-            self.note(format!("{crashed} upstreams crashed"));
+            self.record_step(format!("{crashed} upstreams crashed"));
         }
         match rng.random_range(0..10) {
-            0..4 => self.disturb(rng).await?,
+            0..4 => self.inject_process_fault(rng).await?,
             4..6 => {
-                let at = rng.random_range(0..self.sites.len());
+                let position = rng.random_range(0..self.upstreams.len());
                 let mode = MODES[rng.random_range(0..MODES.len())];
-                self.sites[at].proxy.set(mode);
-                self.note(format!("proxy {at}: {mode}"));
+                self.upstreams[position].proxy.set_mode(mode);
+                self.record_step(format!("proxy {position}: {mode}"));
             }
             6..8 => {
-                let at = rng.random_range(0..self.sites.len());
+                let position = rng.random_range(0..self.upstreams.len());
                 let kind = FAULTS[rng.random_range(0..FAULTS.len())];
-                if let Some(upstream) = &self.sites[at].upstream {
+                if let Some(upstream) = &self.upstreams[position].upstream {
                     upstream.set_fault(Fault::new(kind));
                 }
-                self.note(format!("upstream {at}: {kind}"));
+                self.record_step(format!("upstream {position}: {kind}"));
             }
-            8 => self.kill_or_start(rng).await?,
+            8 => self.kill_or_restart_upstream(rng).await?,
             _ => {
                 self.version += 1;
-                // Taken or not: hubs may be down, and it is put again at the end.
+                // May be refused, as hubs may be down; a newer table is published at the end.
                 let table = tables::with_fragile(self.version);
-                let taken = self.fleet.layout.put_once(&table).await;
-                self.note(format!("table {}: taken {taken}", self.version));
+                let accepted = self.fleet.layout.put_once(&table).await;
+                self.record_step(format!("table {}: accepted {accepted}", self.version));
             }
         }
         Ok(())
     }
 
-    fn note(&mut self, step: String) {
+    fn record_step(&mut self, step: String) {
         self.steps.push(step);
     }
 
-    /// What was done, in order.
+    /// Descriptions of the applied steps, in order.
     #[must_use]
     pub fn steps(&self) -> &[String] {
         &self.steps
     }
 
-    /// Waits up to `most`.
-    pub async fn rest(&self, rng: &mut SmallRng, most: Duration) {
-        tokio::time::sleep(most.mul_f64(rng.random())).await;
+    /// Waits for a random time of up to `max`.
+    pub async fn pause(&self, rng: &mut SmallRng, max: Duration) {
+        tokio::time::sleep(max.mul_f64(rng.random())).await;
     }
 
-    /// Signals a process that runs, or brings back one that doesn't.
-    async fn disturb(&mut self, rng: &mut SmallRng) -> Result<(), SoakError> {
-        let at = rng.random_range(0..self.seats.len());
-        let signal = SIGNALS[rng.random_range(0..SIGNALS.len())];
-        let Seat { hub, index, frozen } = self.seats[at];
+    /// Applies a random fault to a running process, or restores a process that is down or frozen.
+    async fn inject_process_fault(&mut self, rng: &mut SmallRng) -> Result<(), SoakError> {
+        let position = rng.random_range(0..self.processes.len());
+        let fault = PROCESS_FAULTS[rng.random_range(0..PROCESS_FAULTS.len())];
+        let ProcessState { hub, index, frozen } = self.processes[position];
         let kind = if hub { "hub" } else { "entry" };
-        if self.slot(at).is_none() || frozen {
-            self.note(format!("{kind} {index}: back"));
-            return self.bring_back(at).await;
+        if self.slot(position).is_none() || frozen {
+            self.record_step(format!("{kind} {index}: restored"));
+            return self.restore_process(position).await;
         }
-        self.note(format!("{kind} {index}: {signal}"));
-        match signal {
-            Signal::HangUp => self.process(at).hang_up()?,
-            Signal::Freeze => {
-                self.process(at).freeze()?;
-                self.seats[at].frozen = true;
+        self.record_step(format!("{kind} {index}: {fault}"));
+        match fault {
+            ProcessFault::HangUp => self.process(position).hang_up()?,
+            ProcessFault::Freeze => {
+                self.process(position).freeze()?;
+                self.processes[position].frozen = true;
             }
-            Signal::Kill | Signal::Stop => self.end(at, signal).await?,
+            ProcessFault::Kill | ProcessFault::Stop => self.end_process(position, fault).await?,
         }
         Ok(())
     }
 
-    async fn end(&mut self, at: usize, signal: Signal) -> Result<(), SoakError> {
-        let Some(mut process) = self.slot(at).take() else {
+    async fn end_process(&mut self, position: usize, fault: ProcessFault) -> Result<(), SoakError> {
+        let Some(mut process) = self.slot(position).take() else {
             return Ok(());
         };
-        if signal == Signal::Stop {
+        if fault == ProcessFault::Stop {
             process.terminate()?;
             process.wait().await?;
-            self.keep_log(at, process.lines());
+            self.store_log(position, process.lines());
             return Ok(());
         }
-        self.keep_log(at, process.lines());
+        self.store_log(position, process.lines());
         process.kill().await?;
         Ok(())
     }
 
-    fn keep_log(&mut self, at: usize, lines: Vec<String>) {
-        if !self.seats[at].hub {
+    fn store_log(&mut self, position: usize, lines: Vec<String>) {
+        if !self.processes[position].hub {
             self.logs.push(lines);
         }
     }
 
-    async fn bring_back(&mut self, at: usize) -> Result<(), SoakError> {
-        let Seat { hub, index, frozen } = self.seats[at];
+    async fn restore_process(&mut self, position: usize) -> Result<(), SoakError> {
+        let ProcessState { hub, index, frozen } = self.processes[position];
         if frozen {
-            self.process(at).resume()?;
-            self.seats[at].frozen = false;
+            self.process(position).resume()?;
+            self.processes[position].frozen = false;
             return Ok(());
         }
         let process = if hub {
@@ -272,12 +277,12 @@
         } else {
             self.fleet.new_entry(index).await?
         };
-        *self.slot(at) = Some(process);
+        *self.slot(position) = Some(process);
         Ok(())
     }
 
-    fn slot(&mut self, at: usize) -> &mut Option<Process> {
-        let Seat { hub, index, .. } = self.seats[at];
+    fn slot(&mut self, position: usize) -> &mut Option<Process> {
+        let ProcessState { hub, index, .. } = self.processes[position];
         if hub {
             &mut self.fleet.hubs[index]
         } else {
@@ -285,69 +290,70 @@
         }
     }
 
-    /// The process of a seat where one runs.
-    fn process(&mut self, at: usize) -> &Process {
-        let process = self.slot(at).as_ref();
-        process.unwrap_or_else(|| unreachable!("asked for only where it runs"))
+    /// The process at `position`, which must be running.
+    fn process(&mut self, position: usize) -> &Process {
+        let process = self.slot(position).as_ref();
+        process.unwrap_or_else(|| unreachable!("only called for a running process"))
     }
 
-    /// Kills an upstream, or starts it anew at its address.
-    async fn kill_or_start(&mut self, rng: &mut SmallRng) -> Result<(), SoakError> {
-        let at = rng.random_range(0..self.sites.len());
-        if let Some(upstream) = self.sites[at].upstream.take() {
+    /// Kills a random upstream, or restarts it if it was killed before.
+    async fn kill_or_restart_upstream(&mut self, rng: &mut SmallRng) -> Result<(), SoakError> {
+        let position = rng.random_range(0..self.upstreams.len());
+        if let Some(upstream) = self.upstreams[position].upstream.take() {
             upstream.kill();
-            self.note(format!("upstream {at}: killed"));
+            self.record_step(format!("upstream {position}: killed"));
             return Ok(());
         }
-        self.note(format!("upstream {at}: started"));
-        self.sites[at].start().await
+        self.record_step(format!("upstream {position}: started"));
+        self.upstreams[position].start().await
     }
 
-    /// Calls for what crashes upstreams, on the restored system; what that shows to be broken,
-    /// if anything.
+    /// Sends requests that crash upstreams to the restored system. Returns the violated guarantee,
+    /// if any.
     ///
     /// # Errors
     ///
-    /// Fails when an upstream can't be started.
-    pub async fn crash(&mut self) -> Result<Option<String>, SoakError> {
+    /// Fails if an upstream can't be started.
+    pub async fn check_crashes(&mut self) -> Result<Option<String>, SoakError> {
         let fronts = self.fronts();
-        self.crashers.crash(&fronts).await
+        self.crashing_upstreams.check_crashes(&fronts).await
     }
 
-    async fn change(&mut self) -> Result<(), SoakError> {
+    /// Publishes the next version of the table.
+    async fn publish_table(&mut self) -> Result<(), SoakError> {
         self.version += 1;
         let table = tables::with_fragile(self.version);
         Ok(self.fleet.layout.put(&table).await?)
     }
 
-    /// Ends all faults and waits until every entry process has the newest table and
-    /// serves both services.
+    /// Ends all faults, publishes a table, and waits until every entry process uses it and serves
+    /// all services.
     ///
     /// # Errors
     ///
-    /// Fails when that takes too long.
+    /// Fails if a process can't be restored, or on a timeout.
     pub async fn restore(&mut self) -> Result<(), SoakError> {
-        for at in 0..self.seats.len() {
-            if self.seats[at].frozen || self.slot(at).is_none() {
-                self.bring_back(at).await?;
+        for position in 0..self.processes.len() {
+            if self.processes[position].frozen || self.slot(position).is_none() {
+                self.restore_process(position).await?;
             }
         }
-        for site in &mut self.sites {
-            site.proxy.set(Mode::Pass);
-            match &site.upstream {
+        for proxied in &mut self.upstreams {
+            proxied.proxy.set_mode(Mode::Pass);
+            match &proxied.upstream {
                 Some(upstream) => upstream.set_fault(Fault::default()),
-                None => site.start().await?,
+                None => proxied.start().await?,
             }
         }
-        self.crashers.start_anew().await?;
-        self.change().await?;
+        self.crashing_upstreams.restart_crashed().await?;
+        self.publish_table().await?;
         for index in 0..ENTRIES {
             self.fleet.wait_table(index, self.version).await?;
         }
-        self.wait_served().await
+        self.wait_until_served().await
     }
 
-    async fn wait_served(&self) -> Result<(), SoakError> {
+    async fn wait_until_served(&self) -> Result<(), SoakError> {
         let asks = [
             Ask::get(STATUS, "/read/wait").at(HOST),
             Ask::post(GRANTS, "/once/wait", "block 7").at(HOST),
@@ -355,44 +361,44 @@
         ];
         for index in 0..ENTRIES {
             for ask in &asks {
-                let what = format!("answer of {} at entry {index}", ask.service);
-                wait(&what, async || self.fleet.call(index, ask).await.is_ok()).await?;
+                let goal = format!("response of {} at entry {index}", ask.service);
+                wait(&goal, async || self.fleet.call(index, ask).await.is_ok()).await?;
             }
         }
         Ok(())
     }
 
-    /// The runs of all upstreams in all their lives.
+    /// Runs of all proxied upstreams, over all incarnations.
     pub fn runs(&self) -> impl Iterator<Item = Run> + '_ {
-        let lives = self.sites.iter().flat_map(|site| &site.lives);
-        lives.flat_map(Runs::all)
+        let runs = self.upstreams.iter().flat_map(|proxied| &proxied.runs);
+        runs.flat_map(Runs::all)
     }
 
-    /// Tables that an entry process put in force after a newer one.
+    /// Descriptions of tables that an entry process applied after a newer one.
     #[must_use]
-    pub fn backward_tables(&self) -> Vec<String> {
+    pub fn table_regressions(&self) -> Vec<String> {
         let running = self.fleet.entries.iter().flatten().map(Process::lines);
         let logs = self.logs.iter().cloned().chain(running);
-        logs.filter_map(|lines| backward(&lines)).collect()
+        logs.filter_map(|lines| table_regression(&lines)).collect()
     }
 }
 
-impl Site {
+impl ProxiedUpstream {
     async fn start(&mut self) -> Result<(), SoakError> {
         let upstream = standin::start(self.settings.clone(), silent()).await?;
-        self.lives.push(upstream.runs().clone());
+        self.runs.push(upstream.runs().clone());
         self.upstream = Some(upstream);
         Ok(())
     }
 }
 
-/// The first table in a process's log that is older than the one before it.
-fn backward(lines: &[String]) -> Option<String> {
+/// Finds the first table in a process's log that isn't newer than the table before it.
+fn table_regression(lines: &[String]) -> Option<String> {
     let tables = lines
         .iter()
         .filter(|line| field(line, "msg") == Some("route table"));
     let versions = tables.filter_map(|line| field(line, "version")?.parse().ok());
     let versions: Vec<u64> = versions.collect();
-    let back = versions.windows(2).find(|pair| pair[1] <= pair[0])?;
-    Some(format!("table {} in force after {}", back[1], back[0]))
+    let pair = versions.windows(2).find(|pair| pair[1] <= pair[0])?;
+    Some(format!("table {} in force after {}", pair[1], pair[0]))
 }
--- a/crates/soak/tests/test_soak.rs
+++ b/crates/soak/tests/test_soak.rs
@@ -1,4 +1,4 @@
-//! A few seeds of the soak, short ones, and every seed that ever broke something.
+//! Short soak runs with fixed seeds. A seed that has found a violation gets a test of its own.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
     let plan = Plan {
         seed,
         steps,
-        pause: Duration::from_millis(150),
+        max_pause: Duration::from_millis(150),
     };
-    let verdict = soak::run(plan).await.expect("serves again");
-    assert!(verdict.answered > 0, "{verdict}");
-    assert!(verdict.broken.is_empty(), "{verdict}");
+    let report = soak::run(plan).await.expect("serves again");
+    assert!(report.answered > 0, "{report}");
+    assert!(report.violations.is_empty(), "{report}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
