--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -116,7 +116,7 @@
 }
 
 async fn wait_for_reset(mut mode: watch::Receiver<Mode>) {
-    // The sender lives as long as the proxy.
+    // Cannot fail: the proxy owns the sender and this task.
     let _ = mode.wait_for(|mode| *mode == Mode::Reset).await;
 }
 
--- a/crates/standin/src/handler.rs
+++ b/crates/standin/src/handler.rs
@@ -310,12 +310,8 @@
             echo: &String::from_utf8_lossy(body),
         };
         render(res, StatusCode::OK, &receipt);
-        if truncated && let ResBody::Once(whole) = res.take_body() {
-            send(
-                res,
-                vec![whole.slice(..whole.len() / 2)],
-                whole.len() as u64,
-            );
+        if truncated && let ResBody::Once(full) = res.take_body() {
+            send(res, vec![full.slice(..full.len() / 2)], full.len() as u64);
         }
     }
 
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -139,7 +139,7 @@
     /// Waits until a request crashes the stand-in. The caller then has to end it.
     pub async fn crashed(&self) {
         let mut crashed = self.shared.crashed.subscribe();
-        // The sender lives as long as the stand-in.
+        // Cannot fail: `self` owns the sender.
         let _ = crashed.wait_for(|crashed| *crashed).await;
     }
 
