--- a/crates/demo/src/routes.rs
+++ b/crates/demo/src/routes.rs
@@ -8,9 +8,9 @@
 use quick_error::quick_error;
 use standin::StandIn;
 use telemetry::log::silent;
-use testutils::Ask;
 use testutils::Caller;
 use testutils::Layout;
+use testutils::Request;
 use testutils::system::SystemError;
 use testutils::system::wait;
 use testutils::tables;
@@ -138,8 +138,8 @@
     /// Waits until every entry process serves both services.
     async fn wait_upstreams(&self) -> Result<(), SystemError> {
         let asks = [
-            Ask::get(STATUS, "/read/first").at(HOST),
-            Ask::post(GRANTS, "/once/first", "block 7").at(HOST),
+            Request::get(STATUS, "/read/first").at(HOST),
+            Request::post(GRANTS, "/once/first", "block 7").at(HOST),
         ];
         for settings in &self.layout.entries {
             for ask in &asks {
@@ -159,7 +159,7 @@
             for number in 0..CALLS {
                 let path = format!("/read/{number}");
                 let reply = Caller::new()
-                    .call(settings.front, &Ask::get(STATUS, &path).at(HOST))
+                    .call(settings.front, &Request::get(STATUS, &path).at(HOST))
                     .await;
                 let own = reply.receipt().is_some_and(|receipt| receipt.path == path);
                 answered += usize::from(reply.is_ok() && own);
--- a/crates/demo/src/traffic.rs
+++ b/crates/demo/src/traffic.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use testutils::Ask;
 use testutils::Caller;
 use testutils::Reply;
+use testutils::Request;
 use testutils::caller::End;
 use testutils::new_key;
 use tokio::sync::watch;
@@ -37,7 +37,7 @@
     /// The kind of work.
     pub shape: Shape,
     /// What was asked.
-    pub ask: Ask,
+    pub ask: Request,
     /// The entry host that was called, none when no directory named one.
     pub gateway: Option<SocketAddr>,
     /// What the caller got.
@@ -131,7 +131,7 @@
     /// Makes one call by the addresses that a directory named.
     ///
     /// The next address is tried only when no connection came about.
-    pub async fn call(&mut self, shape: Shape, ask: Ask) -> Record {
+    pub async fn call(&mut self, shape: Shape, ask: Request) -> Record {
         let begin = Instant::now();
         self.find(ask.service).await;
         let mut gateway = None;
@@ -170,25 +170,25 @@
 
 /// The request number `number` of a caller of `shape`, different from every other.
 #[must_use]
-pub fn ask(shape: Shape, number: usize) -> Ask {
+pub fn ask(shape: Shape, number: usize) -> Request {
     let body = format!("{} asks {number}", shape.caller);
     let path = match shape.class {
         Class::Deferred => format!("/archive/{number}"),
         _ => format!("/blocks/{number}"),
     };
     let ask = match shape.class {
-        Class::Urgent | Class::Deferred => Ask::get(shape.service, &path),
-        Class::Once => Ask::post(shape.service, &path, &body).keyed(&new_key()),
-        Class::Durable => Ask::post(shape.service, &path, &body),
+        Class::Urgent | Class::Deferred => Request::get(shape.service, &path),
+        Class::Once => Request::post(shape.service, &path, &body).keyed(&new_key()),
+        Class::Durable => Request::post(shape.service, &path, &body),
     };
-    Ask {
+    Request {
         caller: shape.caller,
         ..ask
     }
 }
 
 /// Makes one call to `gateway`, whatever the directories say.
-pub async fn call_at(gateway: SocketAddr, shape: Shape, ask: Ask) -> Record {
+pub async fn call_at(gateway: SocketAddr, shape: Shape, ask: Request) -> Record {
     let begin = Instant::now();
     let reply = Caller::new().call(gateway, &ask).await;
     Record {
--- a/crates/soak/src/calls.rs
+++ b/crates/soak/src/calls.rs
@@ -8,9 +8,9 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use testutils::Ask;
 use testutils::Caller;
 use testutils::Reply;
+use testutils::Request;
 use testutils::tables::CRASH;
 use testutils::tables::FRAGILE;
 use testutils::tables::GRANTS;
@@ -101,9 +101,9 @@
 async fn call(fronts: &[SocketAddr], number: u64) -> Call {
     let once = number.is_multiple_of(2);
     let ask = match number % 4 {
-        1 => Ask::get(LOOKUPS, &format!("{FRAGILE}{number}")),
-        3 => Ask::get(STATUS, &format!("{READ}{number}")),
-        _ => Ask::post(GRANTS, &format!("{ONCE}{number}"), "block 7"),
+        1 => Request::get(LOOKUPS, &format!("{FRAGILE}{number}")),
+        3 => Request::get(STATUS, &format!("{READ}{number}")),
+        _ => Request::post(GRANTS, &format!("{ONCE}{number}"), "block 7"),
     };
     let ask = ask.at(HOST).within(DEADLINE);
     let turn = usize::try_from(number / 2).unwrap_or(0) % fronts.len();
@@ -117,7 +117,7 @@
 
 /// Sends the request that crashes what runs it.
 pub async fn crash(front: SocketAddr) {
-    let ask = Ask::get(LOOKUPS, CRASH).at(HOST).within(DEADLINE);
+    let ask = Request::get(LOOKUPS, CRASH).at(HOST).within(DEADLINE);
     // A caller may leave before an answer comes.
     let _ = tokio::time::timeout(PATIENCE, Caller::new().call(front, &ask)).await;
 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -12,10 +12,10 @@
 use standin::runs::Runs;
 use strum::Display;
 use telemetry::log::silent;
-use testutils::Ask;
 use testutils::Fleet;
 use testutils::Host;
 use testutils::Process;
+use testutils::Request;
 use testutils::process::field;
 use testutils::system::wait;
 use testutils::tables;
@@ -349,9 +349,9 @@
 
     async fn wait_served(&self) -> Result<(), SoakError> {
         let asks = [
-            Ask::get(STATUS, "/read/wait").at(HOST),
-            Ask::post(GRANTS, "/once/wait", "block 7").at(HOST),
-            Ask::get(LOOKUPS, "/fragile/wait").at(HOST),
+            Request::get(STATUS, "/read/wait").at(HOST),
+            Request::post(GRANTS, "/once/wait", "block 7").at(HOST),
+            Request::get(LOOKUPS, "/fragile/wait").at(HOST),
         ];
         for index in 0..ENTRIES {
             for ask in &asks {
--- a/crates/testutils/src/caller.rs
+++ b/crates/testutils/src/caller.rs
@@ -12,7 +12,7 @@
 
 /// One request of a caller.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Request {
     /// The service.
     pub service: &'static str,
     /// The method.
@@ -33,7 +33,7 @@
     pub host: Option<&'static str>,
 }
 
-impl Ask {
+impl Request {
     /// A `GET` of `path` with a deadline of 10 s.
     #[must_use]
     pub fn get(service: &'static str, path: &str) -> Self {
@@ -192,7 +192,7 @@
     }
 
     /// Sends `ask` to the gateway at `address`.
-    pub async fn call(&self, address: SocketAddr, ask: &Ask) -> Reply {
+    pub async fn call(&self, address: SocketAddr, ask: &Request) -> Reply {
         let url = format!("http://{address}{}", ask.path);
         let mut request = self
             .client
--- a/crates/testutils/src/fleet.rs
+++ b/crates/testutils/src/fleet.rs
@@ -11,9 +11,9 @@
 use wire::link::within;
 use wire::peer;
 
-use crate::caller::Ask;
 use crate::caller::Caller;
 use crate::caller::Reply;
+use crate::caller::Request;
 use crate::folder::Folder;
 use crate::host::Host;
 use crate::plan::ASK;
@@ -236,7 +236,7 @@
     }
 
     /// Sends `ask` to the entry process at `index`.
-    pub async fn call(&self, index: usize, ask: &Ask) -> Reply {
+    pub async fn call(&self, index: usize, ask: &Request) -> Reply {
         let address = self.layout.entries[index].front;
         Caller::new().call(address, ask).await
     }
--- a/crates/testutils/src/lib.rs
+++ b/crates/testutils/src/lib.rs
@@ -16,9 +16,9 @@
 pub mod tables;
 pub mod upstream;
 
-pub use caller::Ask;
 pub use caller::Caller;
 pub use caller::Reply;
+pub use caller::Request;
 pub use caller::new_key;
 pub use fleet::Fleet;
 pub use fleet::Layout;
--- a/crates/testutils/tests/test_config.rs
+++ b/crates/testutils/tests/test_config.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use testutils::Ask;
 use testutils::Caller;
+use testutils::Request;
 use testutils::System;
 use testutils::operator;
 use testutils::operator::explain;
@@ -129,7 +129,7 @@
     sleep(system.plan.gateways[0].lease.length + Duration::from_secs(1)).await;
     // The call waits in the frozen process's socket and is its first when it goes on.
     let gateway = system.gateway(0);
-    let ask = Ask::post(services::GRANTS, "/grants", "block 7").keyed(&testutils::new_key());
+    let ask = Request::post(services::GRANTS, "/grants", "block 7").keyed(&testutils::new_key());
     let call = tokio::spawn(async move { Caller::new().call(gateway, &ask).await });
     frozen.resume().unwrap();
     let reply = call.await.unwrap();
--- a/crates/testutils/tests/test_crash.rs
+++ b/crates/testutils/tests/test_crash.rs
@@ -1,9 +1,9 @@
 //! Requests that crash the upstreams that run them.
 
 use futures::future::join_all;
-use testutils::Ask;
 use testutils::Caller;
 use testutils::Fleet;
+use testutils::Request;
 use testutils::System;
 use testutils::Upstream;
 use testutils::process::field;
@@ -46,7 +46,7 @@
 
 /// Sends one request after the other, by way of all entry processes. The first two reach
 /// instances; once every process knows, none of the others does.
-async fn refused_everywhere(asks: Vec<Ask>) {
+async fn refused_everywhere(asks: Vec<Request>) {
     let (fleet, mut upstreams) = start().await;
     for (number, ask) in asks.iter().enumerate() {
         let reply = fleet.call(number % ENTRIES, ask).await;
@@ -64,7 +64,7 @@
     let ended = crashed(&mut upstreams);
     assert!(ended <= ALLOWED, "{ended} of {INSTANCES} instances crashed");
     for number in 0..ENTRIES {
-        let ask = Ask::get(STATUS, &format!("/read/{number}")).at(HOST);
+        let ask = Request::get(STATUS, &format!("/read/{number}")).at(HOST);
         let reply = fleet.call(number, &ask).await;
         assert!(reply.is_ok(), "{reply:?}");
     }
@@ -76,7 +76,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_crash_request_that_crashes_instances_is_refused_by_every_entry_process() {
-    let ask = Ask::get(STATUS, CRASH).at(HOST);
+    let ask = Request::get(STATUS, CRASH).at(HOST);
     refused_everywhere(vec![ask; 12]).await;
 }
 
@@ -84,9 +84,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn test_crash_request_of_changing_callers_is_refused_by_every_entry_process() {
     let callers = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"];
-    let asks = callers.into_iter().map(|caller| Ask {
+    let asks = callers.into_iter().map(|caller| Request {
         caller,
-        ..Ask::get(STATUS, &format!("{CRASH}?try={caller}")).at(HOST)
+        ..Request::get(STATUS, &format!("{CRASH}?try={caller}")).at(HOST)
     });
     refused_everywhere(asks.collect()).await;
 }
@@ -97,8 +97,8 @@
 async fn test_crash_request_beside_those_that_crash_instances_is_served() {
     let (fleet, mut upstreams) = start().await;
     for number in 0..INSTANCES / 2 - 1 {
-        let bad = Ask::get(STATUS, &format!("{CRASH}/{number}")).at(HOST);
-        let good = Ask::get(STATUS, "/read/same").at(HOST);
+        let bad = Request::get(STATUS, &format!("{CRASH}/{number}")).at(HOST);
+        let good = Request::get(STATUS, "/read/same").at(HOST);
         let beside = (0..ENTRIES).map(|index| fleet.call(index, &good));
         let (bad, beside) = tokio::join!(fleet.call(number % ENTRIES, &bad), join_all(beside));
         assert_eq!(bad.status, 502, "{bad:?}");
@@ -108,7 +108,7 @@
     }
     assert!(crashed(&mut upstreams) <= INSTANCES - 2);
     for index in 0..ENTRIES {
-        let ask = Ask::get(STATUS, "/read/same").at(HOST);
+        let ask = Request::get(STATUS, "/read/same").at(HOST);
         wait("answer", async || fleet.call(index, &ask).await.is_ok())
             .await
             .unwrap();
@@ -119,7 +119,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn test_crash_refusal_outlives_every_hub_and_reaches_new_entry_processes() {
     let (mut fleet, mut upstreams) = start().await;
-    let ask = Ask::get(STATUS, CRASH).at(HOST);
+    let ask = Request::get(STATUS, CRASH).at(HOST);
     for number in 0..4 {
         fleet.call(number % ENTRIES, &ask).await;
     }
@@ -159,7 +159,7 @@
         upstreams.push(system.start_upstream(&settings).await.unwrap());
     }
     for number in 0..12 {
-        let ask = Ask::get(services::STATUS, CRASH);
+        let ask = Request::get(services::STATUS, CRASH);
         let reply = Caller::new().call(system.gateway(number % 2), &ask).await;
         assert!(matches!(reply.status, 502 | 503), "{reply:?}");
     }
--- a/crates/testutils/tests/test_fleet.rs
+++ b/crates/testutils/tests/test_fleet.rs
@@ -6,10 +6,10 @@
 use base::prelude::*;
 use standin::Fault;
 use standin::FaultKind;
-use testutils::Ask;
 use testutils::Fleet;
 use testutils::Operator;
 use testutils::Reply;
+use testutils::Request;
 use testutils::Upstream;
 use testutils::process::field;
 use testutils::system::wait;
@@ -18,12 +18,12 @@
 use testutils::tables::HOST;
 use testutils::tables::STATUS;
 
-fn read(number: usize) -> Ask {
-    Ask::get(STATUS, &format!("/read/{number}")).at(HOST)
+fn read(number: usize) -> Request {
+    Request::get(STATUS, &format!("/read/{number}")).at(HOST)
 }
 
-fn once(number: usize) -> Ask {
-    Ask::post(GRANTS, &format!("/once/{number}"), "block 7").at(HOST)
+fn once(number: usize) -> Request {
+    Request::post(GRANTS, &format!("/once/{number}"), "block 7").at(HOST)
 }
 
 /// Three hubs and two entry processes with the table in force.
@@ -37,7 +37,7 @@
 }
 
 /// Calls until an upstream's own answer comes.
-async fn served(fleet: &Fleet, index: usize, ask: &Ask) -> Reply {
+async fn served(fleet: &Fleet, index: usize, ask: &Request) -> Reply {
     wait("served call", async || fleet.call(index, ask).await.is_ok())
         .await
         .unwrap();
--- a/crates/testutils/tests/test_freeze.rs
+++ b/crates/testutils/tests/test_freeze.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use base::prelude::*;
-use testutils::Ask;
 use testutils::Caller;
 use testutils::Reply;
+use testutils::Request;
 use testutils::System;
 use testutils::Upstream;
 use testutils::services;
@@ -16,12 +16,12 @@
 /// Deadline of each send; claims are held a few seconds longer.
 const DEADLINE: Duration = Duration::from_secs(1);
 
-async fn send(system: &System, entry: usize, ask: &Ask) -> Reply {
+async fn send(system: &System, entry: usize, ask: &Request) -> Reply {
     Caller::new().call(system.gateway(entry), ask).await
 }
 
 /// Sends again through gateway 1 until the reply says more than that the key is in flight.
-async fn settle(system: &System, ask: &Ask) {
+async fn settle(system: &System, ask: &Request) {
     wait("settled key", async || {
         let reply = send(system, 1, ask).await;
         reply.is_ok() || (reply.outcome == Some(Outcome::Unknown) && reply.reason != "in-flight")
@@ -41,11 +41,11 @@
         upstreams.push(upstream);
     }
     let asks = (0..GRANTS).map(|i| {
-        Ask::post(services::GRANTS, &format!("/grants/{i}"), "block 7")
+        Request::post(services::GRANTS, &format!("/grants/{i}"), "block 7")
             .keyed(&testutils::new_key())
             .within(DEADLINE)
     });
-    let asks: Vec<Ask> = asks.collect();
+    let asks: Vec<Request> = asks.collect();
 
     // The freeze hits claims, sends and runs at whatever point they are.
     let first = system.gateways[0].as_ref().unwrap();
@@ -88,7 +88,7 @@
     settings.cancel = false;
     let upstream = system.start_upstream(&settings).await.unwrap();
     upstream.process.freeze().unwrap();
-    let ask = Ask::post(services::GRANTS, "/grants", "block 7");
+    let ask = Request::post(services::GRANTS, "/grants", "block 7");
     let ask = ask.keyed(&testutils::new_key()).within(DEADLINE);
     let first = send(&system, 0, &ask).await;
     assert!(!first.is_ok(), "{first:?}");
--- a/crates/testutils/tests/test_once.rs
+++ b/crates/testutils/tests/test_once.rs
@@ -8,9 +8,9 @@
 use standin::FaultKind;
 use standin::Run;
 use standin::RunState;
-use testutils::Ask;
 use testutils::Caller;
 use testutils::Reply;
+use testutils::Request;
 use testutils::System;
 use testutils::Upstream;
 use testutils::services;
@@ -87,7 +87,7 @@
 struct Trial {
     system: System,
     upstream: Upstream,
-    ask: Ask,
+    ask: Request,
 }
 
 impl Trial {
@@ -97,7 +97,7 @@
         // It finishes what it began, so that nothing hides a second run.
         settings.cancel = false;
         let upstream = system.start_upstream(&settings).await.unwrap();
-        let ask = Ask::post(services::GRANTS, "/grants", "block 7");
+        let ask = Request::post(services::GRANTS, "/grants", "block 7");
         let ask = ask.keyed(&testutils::new_key()).within(DEADLINE);
         Self {
             system,
--- a/crates/testutils/tests/test_path.rs
+++ b/crates/testutils/tests/test_path.rs
@@ -7,8 +7,8 @@
 use standin::FaultKind;
 use standin::RunState;
 use standin::archive;
-use testutils::Ask;
 use testutils::Caller;
+use testutils::Request;
 use testutils::System;
 use testutils::process::PATIENCE;
 use testutils::services;
@@ -28,7 +28,7 @@
     assert!(domains.contains(&"milano") && domains.contains(&"torino"));
 
     // A grant goes by way of the first of them, and its answer is its own.
-    let ask = Ask::post(services::GRANTS, "/grants", "block 7").keyed(&testutils::new_key());
+    let ask = Request::post(services::GRANTS, "/grants", "block 7").keyed(&testutils::new_key());
     let reply = caller.call(route.addresses[0].address, &ask).await;
     assert!(reply.is_ok(), "{reply:?}");
     let receipt = reply.receipt().unwrap();
@@ -41,11 +41,11 @@
     assert_eq!(runs[0].attempt, "1");
 
     // An archive answer arrives whole, and by range.
-    let ask = Ask::get(services::REGISTER, "/archive/1970");
+    let ask = Request::get(services::REGISTER, "/archive/1970");
     let reply = caller.call(system.gateway(1), &ask).await;
     assert!(reply.is_ok(), "{} {}", reply.status, reply.reason);
     assert!(reply.body == archive::bytes("/archive/1970", 0..256 * 1024));
-    let ask = Ask {
+    let ask = Request {
         range: Some("bytes=1000-1999".into()),
         ..ask
     };
@@ -63,10 +63,10 @@
     system.wait_route(0, services::GRANTS, 1).await.unwrap();
     let key = testutils::new_key();
     let cases = [
-        (Ask::get("nobody.knows", "/"), 404),
-        (Ask::get(services::DRAWINGS, "/no-instance"), 503),
+        (Request::get("nobody.knows", "/"), 404),
+        (Request::get(services::DRAWINGS, "/no-instance"), 503),
         (
-            Ask::post(services::GRANTS, "/large", &"x".repeat(65 * 1024)).keyed(&key),
+            Request::post(services::GRANTS, "/large", &"x".repeat(65 * 1024)).keyed(&key),
             413,
         ),
     ];
@@ -100,7 +100,7 @@
         .set_fault(Fault::new(FaultKind::Stall))
         .await
         .unwrap();
-    let ask = Ask::get(services::STATUS, "/block/7");
+    let ask = Request::get(services::STATUS, "/block/7");
     let caller = Caller::new();
     let gateway = system.gateway(0);
     let call = tokio::spawn(async move { caller.call(gateway, &ask).await });
@@ -127,7 +127,7 @@
         .set_fault(Fault::new(FaultKind::Stall))
         .await
         .unwrap();
-    let ask = Ask::get(services::STATUS, "/block/7").within(Duration::from_secs(2));
+    let ask = Request::get(services::STATUS, "/block/7").within(Duration::from_secs(2));
     let caller = Caller::new();
     let call = caller.call(system.gateway(0), &ask);
     let reply = timeout(PATIENCE, call).await.unwrap();
--- a/crates/testutils/tests/test_process.rs
+++ b/crates/testutils/tests/test_process.rs
@@ -4,12 +4,12 @@
 
 use base::prelude::*;
 use standin::Settings;
-use testutils::Ask;
 use testutils::Binary;
 use testutils::Caller;
 use testutils::Host;
 use testutils::Process;
 use testutils::ProcessError;
+use testutils::Request;
 use testutils::process::field;
 
 fn settings(host: &Host) -> Settings {
@@ -31,7 +31,7 @@
 #[tokio::test]
 async fn test_process_restart_on_same_address() {
     let host = Host::new();
-    let ask = Ask::post("grants", "/grant", "block 7").keyed("k1");
+    let ask = Request::post("grants", "/grant", "block 7").keyed("k1");
     for _ in 0..2 {
         let process = start(&host).await;
         let address = process.address("address").unwrap();
@@ -61,7 +61,7 @@
     let address = process.address("address").unwrap();
     process.freeze().unwrap();
     let call = tokio::spawn(async move {
-        let ask = Ask::get("grants", "/status");
+        let ask = Request::get("grants", "/status");
         Caller::new().call(address, &ask).await
     });
     process.resume().unwrap();
--- a/crates/testutils/tests/test_stop.rs
+++ b/crates/testutils/tests/test_stop.rs
@@ -3,9 +3,9 @@
 
 use standin::Fault;
 use standin::FaultKind;
-use testutils::Ask;
 use testutils::Caller;
 use testutils::Process;
+use testutils::Request;
 use testutils::System;
 use testutils::Upstream;
 use testutils::process::field;
@@ -42,7 +42,7 @@
     hold(&upstream, FaultKind::Hold).await;
     let gateway = system.gateway(0);
     let calls = (0..CALLS).map(|i| {
-        let ask = Ask::get(services::STATUS, &format!("/block/{i}"));
+        let ask = Request::get(services::STATUS, &format!("/block/{i}"));
         tokio::spawn(async move { Caller::new().call(gateway, &ask).await })
     });
     let calls: Vec<_> = calls.collect();
@@ -61,7 +61,7 @@
             .unwrap();
         hold(&upstream, FaultKind::None).await;
         let reply = Caller::new()
-            .call(gateway, &Ask::get(services::STATUS, "/late"))
+            .call(gateway, &Request::get(services::STATUS, "/late"))
             .await;
         assert!(reply.is_ok(), "{reply:?}");
     }
@@ -79,7 +79,7 @@
 
     // Others serve on, and nobody is sent to a gateway that has left.
     let reply = Caller::new()
-        .call(system.gateway(1), &Ask::get(services::STATUS, "/after"))
+        .call(system.gateway(1), &Request::get(services::STATUS, "/after"))
         .await;
     assert!(reply.is_ok(), "{stopped:?} {reply:?}");
     if stopped == Stopped::Gateway {
@@ -118,7 +118,7 @@
     let mut number = 0;
     // Calls go on all through the drain, up to the end of the process.
     loop {
-        let ask = Ask::get(services::STATUS, &format!("/block/{number}"));
+        let ask = Request::get(services::STATUS, &format!("/block/{number}"));
         let reply = caller.call(system.gateway(0), &ask).await;
         assert!(reply.is_ok(), "{number} {reply:?}");
         number += 1;
--- a/crates/testutils/tests/test_upstream_faults.rs
+++ b/crates/testutils/tests/test_upstream_faults.rs
@@ -5,9 +5,9 @@
 
 use standin::Fault;
 use standin::FaultKind;
-use testutils::Ask;
 use testutils::Caller;
 use testutils::Reply;
+use testutils::Request;
 use testutils::System;
 use testutils::Upstream;
 use testutils::services;
@@ -33,7 +33,7 @@
         let (turn, gateway) = (turn.clone(), system.gateway(i % 2));
         tokio::spawn(async move {
             let _turn = turn.acquire_owned().await.unwrap();
-            let ask = Ask::get(services::STATUS, &format!("/block/{i}")).within(DEADLINE);
+            let ask = Request::get(services::STATUS, &format!("/block/{i}")).within(DEADLINE);
             Caller::new().call(gateway, &ask).await
         })
     });
