--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -268,7 +268,7 @@
             return Ok(());
         }
         let process = if hub {
-            self.fleet.new_hub(index).await?
+            self.fleet.start_hub(index).await?
         } else {
             self.fleet.new_entry(index).await?
         };
--- a/crates/testutils/src/fleet.rs
+++ b/crates/testutils/src/fleet.rs
@@ -150,7 +150,7 @@
             entries: vec![],
             layout: Layout::new(hubs, entries)?,
         };
-        let started = join_all((0..hubs).map(|i| fleet.new_hub(i))).await;
+        let started = join_all((0..hubs).map(|i| fleet.start_hub(i))).await;
         for process in started {
             fleet.hubs.push(Some(process?));
         }
@@ -166,7 +166,7 @@
     /// # Errors
     ///
     /// Fails when it isn't ready in time.
-    pub async fn new_hub(&self, index: usize) -> Result<Process, ProcessError> {
+    pub async fn start_hub(&self, index: usize) -> Result<Process, ProcessError> {
         Process::start(Binary::Hub, &self.layout.hubs[index].to_string()).await
     }
 
--- a/crates/testutils/tests/test_crash.rs
+++ b/crates/testutils/tests/test_crash.rs
@@ -132,7 +132,7 @@
         hub.take().unwrap().kill().await.unwrap();
     }
     for index in 0..3 {
-        fleet.hubs[index] = Some(fleet.new_hub(index).await.unwrap());
+        fleet.hubs[index] = Some(fleet.start_hub(index).await.unwrap());
     }
     fleet.entries[2].take().unwrap().kill().await.unwrap();
     fleet.entries[2] = Some(fleet.new_entry(2).await.unwrap());
--- a/crates/testutils/tests/test_fleet.rs
+++ b/crates/testutils/tests/test_fleet.rs
@@ -153,7 +153,7 @@
     }
     // A majority is back: what was accepted is still there, and what is new comes.
     for index in 0..2 {
-        fleet.hubs[index] = Some(fleet.new_hub(index).await.unwrap());
+        fleet.hubs[index] = Some(fleet.start_hub(index).await.unwrap());
     }
     fleet.layout.put(&tables::without_reads(2)).await.unwrap();
     fleet.wait_table(0, 2).await.unwrap();
@@ -168,7 +168,7 @@
     fleet.hubs[0].take().unwrap().kill().await.unwrap();
     fs::remove_dir_all(&fleet.layout.hubs[0].data).unwrap();
     fleet.layout.hubs[0].found = false;
-    let emptied = fleet.new_hub(0).await.unwrap();
+    let emptied = fleet.start_hub(0).await.unwrap();
     fleet.hubs[0] = Some(emptied);
     let replicas = fleet.layout.hubs.iter().map(|plan| plan.control().rpc);
     let operator = Operator::new(&replicas.collect::<Vec<_>>());
