--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -270,7 +270,7 @@
         let process = if hub {
             self.fleet.start_hub(index).await?
         } else {
-            self.fleet.new_entry(index).await?
+            self.fleet.start_entry(index).await?
         };
         *self.slot(at) = Some(process);
         Ok(())
--- a/crates/testutils/src/fleet.rs
+++ b/crates/testutils/src/fleet.rs
@@ -154,7 +154,7 @@
         for process in started {
             fleet.hubs.push(Some(process?));
         }
-        let started = join_all((0..entries).map(|i| fleet.new_entry(i))).await;
+        let started = join_all((0..entries).map(|i| fleet.start_entry(i))).await;
         for process in started {
             fleet.entries.push(Some(process?));
         }
@@ -175,7 +175,7 @@
     /// # Errors
     ///
     /// Fails when it isn't ready in time.
-    pub async fn new_entry(&self, index: usize) -> Result<Process, ProcessError> {
+    pub async fn start_entry(&self, index: usize) -> Result<Process, ProcessError> {
         Process::start(Binary::Entry, &self.layout.entries[index].to_string()).await
     }
 
--- a/crates/testutils/tests/test_crash.rs
+++ b/crates/testutils/tests/test_crash.rs
@@ -135,7 +135,7 @@
         fleet.hubs[index] = Some(fleet.start_hub(index).await.unwrap());
     }
     fleet.entries[2].take().unwrap().kill().await.unwrap();
-    fleet.entries[2] = Some(fleet.new_entry(2).await.unwrap());
+    fleet.entries[2] = Some(fleet.start_entry(2).await.unwrap());
     fleet.entries[2]
         .as_ref()
         .unwrap()
