--- a/crates/demo/src/events.rs
+++ b/crates/demo/src/events.rs
@@ -1,4 +1,4 @@
-//! What happens to a system while its callers call.
+//! Events and faults injected into a running system.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,43 +16,46 @@
 use crate::roles::RolesError;
 use crate::traffic;
 use crate::traffic::Record;
-use crate::traffic::Shape;
+use crate::traffic::Workload;
 
 /// Calls in flight when a gateway is stopped.
 const STOP_CALLS: usize = 5;
-/// How late the answers to these come, so that they are in flight.
+/// Delay of the responses to [`STOP_CALLS`], which keeps them in flight.
 const STOP_DELAY_MS: u64 = 500;
-/// Numbers of calls that events make, above those of any caller.
-const EVENT_NUMBER: usize = 1_000_000;
+/// First number of the calls that events make, above the numbers of all callers.
+const FIRST_EVENT_NUMBER: usize = 1_000_000;
 
-/// Sends one non-idempotent request by way of two gateways at once, and once
-/// more by way of a third after both have answered.
-pub async fn send_twice(gateways: [SocketAddr; 3], shape: Shape) -> Vec<Record> {
-    let ask = traffic::ask(shape, EVENT_NUMBER);
+/// Sends one non-idempotent request through two gateways at once, and again through a
+/// third after both have answered.
+pub async fn send_twice(gateways: [SocketAddr; 3], workload: Workload) -> Vec<Record> {
+    let request = traffic::request(workload, FIRST_EVENT_NUMBER);
     let [first, second, third] = gateways;
     let (first, second) = tokio::join!(
-        traffic::call_at(first, shape, ask.clone()),
-        traffic::call_at(second, shape, ask.clone()),
+        traffic::call_at(first, workload, request.clone()),
+        traffic::call_at(second, workload, request.clone()),
     );
-    let third = traffic::call_at(third, shape, ask).await;
+    let third = traffic::call_at(third, workload, request).await;
     vec![first, second, third]
 }
 
-/// Sends one request to each gateway while every instance of its service
-/// refuses before any work.
-pub async fn send_refused(roles: &Roles, gateways: [SocketAddr; 3], shape: Shape) -> Vec<Record> {
-    set_fault(roles, shape.service, Fault::new(FaultKind::Shed));
+/// Sends one request to each gateway while every instance of the service sheds load.
+pub async fn send_refused(
+    roles: &Roles,
+    gateways: [SocketAddr; 3],
+    workload: Workload,
+) -> Vec<Record> {
+    set_fault(roles, workload.service, Fault::new(FaultKind::Shed));
     let calls = gateways.into_iter().enumerate().map(|(i, gateway)| {
-        let ask = traffic::ask(shape, EVENT_NUMBER + i);
-        traffic::call_at(gateway, shape, ask)
+        let request = traffic::request(workload, FIRST_EVENT_NUMBER + i);
+        traffic::call_at(gateway, workload, request)
     });
     let records = join_all(calls).await;
-    set_fault(roles, shape.service, Fault::default());
+    set_fault(roles, workload.service, Fault::default());
     records
 }
 
-/// Drains one instance, from the moment in the answer on; it serves on, so
-/// that its record shows who still comes.
+/// Drains one instance and returns when the drain started. The instance keeps serving,
+/// so that its runs show requests that arrive during the drain.
 #[must_use]
 pub fn drain(roles: &Roles, instance: &str) -> Instant {
     if let Some(upstream) = roles.upstreams.get(instance) {
@@ -61,7 +64,7 @@
     Instant::now()
 }
 
-/// Kills one instance without a word, at the moment in the answer.
+/// Kills one instance without a drain and returns when.
 pub fn kill(roles: &mut Roles, instance: &str) -> Instant {
     if let Some(upstream) = roles.upstreams.remove(instance) {
         upstream.kill();
@@ -69,31 +72,31 @@
     Instant::now()
 }
 
-/// Stops the gateway at `index` gracefully, with calls of `shape` in flight
-/// there; the calls, when it has stopped.
-pub async fn stop_gateway(roles: &mut Roles, index: usize, shape: Shape) -> Vec<Record> {
+/// Stops the gateway at `index` gracefully with calls of `workload` in flight there, and
+/// returns these calls once the gateway has stopped.
+pub async fn stop_gateway(roles: &mut Roles, index: usize, workload: Workload) -> Vec<Record> {
     let Some(gateway) = roles.gateways[index].take() else {
         return vec![];
     };
     let mut late = Fault::new(FaultKind::Late);
     late.delay_ms = STOP_DELAY_MS;
-    set_fault(roles, shape.service, late);
+    set_fault(roles, workload.service, late);
     let address = gateway.http();
     let calls = (0..STOP_CALLS).map(|i| {
-        let ask = traffic::ask(shape, EVENT_NUMBER + i);
-        tokio::spawn(traffic::call_at(address, shape, ask))
+        let request = traffic::request(workload, FIRST_EVENT_NUMBER + i);
+        tokio::spawn(traffic::call_at(address, workload, request))
     });
     let calls: Vec<_> = calls.collect();
-    wait_runs(roles, shape).await;
+    wait_runs(roles, workload).await;
     gateway.stop().await;
-    set_fault(roles, shape.service, Fault::default());
+    set_fault(roles, workload.service, Fault::default());
     let records = join_all(calls).await;
     records.into_iter().flatten().collect()
 }
 
 /// Waits until all calls of [`stop_gateway`] have reached an instance.
-async fn wait_runs(roles: &Roles, shape: Shape) {
-    let path = |i| traffic::ask(shape, EVENT_NUMBER + i).path;
+async fn wait_runs(roles: &Roles, workload: Workload) {
+    let path = |i| traffic::request(workload, FIRST_EVENT_NUMBER + i).path;
     let paths: Vec<String> = (0..STOP_CALLS).map(path).collect();
     let reached = |runs: &[Run], path: &String| runs.iter().any(|r| &r.path == path);
     loop {
@@ -106,17 +109,18 @@
 }
 
 fn set_fault(roles: &Roles, service: &str, fault: Fault) {
-    let own = |name: &&String| name.rsplit_once('-').is_some_and(|(s, _)| s == service);
-    for name in roles.upstreams.keys().filter(own) {
+    let is_of_service = |name: &&String| name.rsplit_once('-').is_some_and(|(s, _)| s == service);
+    for name in roles.upstreams.keys().filter(is_of_service) {
         roles.upstreams[name].set_fault(fault);
     }
 }
 
-/// Changes one entry of the catalogue; the time until it was in force everywhere.
+/// Changes one entry of the catalogue and returns the time until the change was in force
+/// on every entry host.
 ///
 /// # Errors
 ///
-/// Fails when the change is refused or is not in force in time.
+/// Fails if the change is refused or is not in force in time.
 pub async fn change(
     roles: &Roles,
     base: u64,
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,8 +1,9 @@
-//! Trials of the whole system in one process, for people who look at it first.
+//! Demonstrations of the whole system in one process.
 //!
-//! The roles are the same library crates as under the binaries, on free
-//! loopback addresses. [`roles`] starts them, [`routes`] those of route tables, [`traffic`] calls them as the two
-//! users do, [`promise`] judges what was kept.
+//! The roles are the library crates that the binaries use, on free loopback addresses.
+//! [`roles`] starts a system with gateways and [`routes`] one with route tables;
+//! [`traffic`] calls the gateways as the two users do, and [`promise`] checks the
+//! system's promises against the results.
 
 pub mod events;
 pub mod promise;
--- a/crates/demo/src/promise.rs
+++ b/crates/demo/src/promise.rs
@@ -1,4 +1,4 @@
-//! What the system promises, judged from what callers got and what truly ran.
+//! The system's promises, checked against callers' replies and upstreams' runs.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,76 +9,76 @@
 use standin::RunState;
 use standin::archive;
 use strum::Display;
-use testutils::caller::End;
+use testutils::caller::Delivery;
 
-use crate::routes::Shown;
+use crate::routes::RoutesEvidence;
 use crate::traffic::Record;
-use crate::watch::Seen;
+use crate::watch::VersionHistory;
 
-/// Time after which a leaving upstream gets no new work.
-pub const LEAVE: Duration = Duration::from_secs(3);
-/// Time within which a change is in force everywhere.
-pub const IN_FORCE: Duration = Duration::from_secs(4);
+/// Time after which a draining upstream gets no new work.
+pub const DRAIN_GRACE: Duration = Duration::from_secs(3);
+/// Time within which a catalogue change is in force on every entry host.
+pub const MAX_IN_FORCE_DELAY: Duration = Duration::from_secs(4);
 
-/// Time within which a new route table is in force everywhere.
-pub const TABLE: Duration = Duration::from_secs(2);
+/// Time within which a new route table is in force at every entry process.
+pub const MAX_TABLE_DELAY: Duration = Duration::from_secs(2);
 
-/// A promise of the brief.
+/// A promise of the system to its users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum Promise {
-    /// Measuring stays within the budget of each instance.
+    /// Probes stay within the budget of each instance.
     #[strum(to_string = "measuring stays within its budget")]
     Budget,
-    /// Each caller gets the whole answer to its own request.
+    /// Each caller gets the complete response to its own request.
     #[strum(to_string = "each answer is whole and the caller's own")]
     Own,
-    /// What is refused as not run did not run.
+    /// A request refused as `NotRun` did not run.
     #[strum(to_string = "what is refused as not run did not run")]
     NotRun,
     /// A non-idempotent request runs at most once.
     #[strum(to_string = "a non-idempotent request runs at most once")]
     Once,
-    /// An acknowledged change was done.
+    /// A durable request that was acknowledged has run to completion.
     #[strum(to_string = "an acknowledged change was done")]
     Durable,
-    /// A leaving upstream gets no new work after a few seconds.
+    /// A draining upstream gets no new work after [`DRAIN_GRACE`].
     #[strum(to_string = "a leaving upstream gets no new work after 3 s")]
     Leaving,
-    /// A planned stop cuts no request in flight.
+    /// A graceful stop aborts no request in flight.
     #[strum(to_string = "a planned stop cuts no request")]
     Stop,
-    /// An accepted configuration is in force everywhere within seconds.
+    /// An accepted change is in force on every entry host within [`MAX_IN_FORCE_DELAY`].
     #[strum(to_string = "a change is in force everywhere within 4 s")]
     InForce,
-    /// An accepted configuration never reverts.
+    /// A host never returns to an older version of the catalogue.
     #[strum(to_string = "a configuration never reverts")]
     NoRevert,
-    /// After an upstream was killed, callers are answered, or told at once when to come back.
+    /// After an upstream was killed, callers are answered or refused with a time to retry.
     #[strum(to_string = "a killed upstream leaves no caller waiting")]
     Served,
-    /// A new route table is in force everywhere within seconds.
+    /// A new route table is in force at every entry process within [`MAX_TABLE_DELAY`].
     #[strum(to_string = "a route table is in force everywhere within 2 s")]
     Table,
-    /// Each part of a split gets its share of the requests.
+    /// Each target of a split gets its share of the requests.
     #[strum(to_string = "each part of a split gets its share")]
     Split,
 }
 
-/// How a promise fared.
+/// Result of checking one promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Judgement {
-    /// The promise.
+pub struct CheckResult {
+    /// The promise that was checked.
     pub promise: Promise,
-    /// What was looked at; a promise that was never put to the test isn't held.
+    /// Number of cases checked; a promise without any does not hold.
     pub cases: usize,
-    /// What broke it, empty when nothing did.
+    /// Descriptions of the cases that broke the promise.
     pub broken: Vec<String>,
 }
 
-impl Judgement {
-    /// Whether it was put to the test and held.
+impl CheckResult {
+    /// Whether at least one case was checked and none broke the promise.
     #[must_use]
-    pub fn held(&self) -> bool {
+    pub fn holds(&self) -> bool {
         self.cases > 0 && self.broken.is_empty()
     }
 
@@ -90,232 +90,240 @@
         }
     }
 
-    fn case(&mut self, kept: bool, what: impl FnOnce() -> String) {
+    fn case(&mut self, passed: bool, description: impl FnOnce() -> String) {
         self.cases += 1;
-        if !kept {
-            self.broken.push(what());
+        if !passed {
+            self.broken.push(description());
         }
     }
 }
 
-impl fmt::Display for Judgement {
+impl fmt::Display for CheckResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = match (self.cases, self.held()) {
+        let status = match (self.cases, self.holds()) {
             (0, _) => "untested",
             (_, true) => "held",
             (_, false) => "BROKEN",
         };
         let promise = self.promise.to_string();
-        write!(f, "{promise:<52} {word:<9} {:>5} cases", self.cases)
+        write!(f, "{promise:<52} {status:<9} {:>5} cases", self.cases)
     }
 }
 
-/// Probes that an instance received against what it may receive.
+/// Probes that an instance received, and its budget.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Probes {
-    /// The instance.
+    /// Name of the instance.
     pub instance: String,
     /// Probes received.
     pub count: u64,
-    /// Probes that its service's budget allows in the time it ran.
+    /// Probes that the service's budget allows in the time of the run.
     pub budget: u64,
 }
 
-/// All that a trial saw.
+/// Observations of a run, from which the promises are checked.
 pub struct Evidence {
     /// All calls.
     pub records: Vec<Record>,
-    /// All runs, by instance.
+    /// All runs of requests, by instance.
     pub runs: BTreeMap<String, Vec<Run>>,
-    /// The probes.
+    /// Probes of each instance.
     pub probes: Vec<Probes>,
-    /// The instance that was drained.
+    /// Name of the instance that was drained.
     pub drained: String,
-    /// How long calls went on after the drain began.
+    /// How long calls continued after the drain started.
     pub drained_for: Duration,
-    /// Size of an archive answer.
+    /// Size of an archive response in bytes.
     pub archive: u64,
-    /// Calls that began after the kill, of the killed instance's service.
+    /// Calls of the killed instance's service that started after the kill.
     pub after_kill: Vec<Record>,
-    /// How long a change took until it was in force everywhere, `None` if it never was.
+    /// Time until a change was in force on every entry host; `None` if it never was.
     pub in_force: Option<Duration>,
-    /// Versions seen in force.
-    pub seen: Seen,
-    /// Calls by way of the gateway that was stopped, during its stop.
+    /// Versions observed in force.
+    pub versions: VersionHistory,
+    /// Number of calls in flight at the gateway that was stopped.
     pub during_stop: usize,
 }
 
-/// Judges all promises.
+/// Checks the promises of a system with gateways.
 #[must_use]
-pub fn judge(evidence: &Evidence) -> Vec<Judgement> {
+pub fn check(evidence: &Evidence) -> Vec<CheckResult> {
     vec![
-        judge_budget(evidence),
-        judge_own(evidence),
-        judge_not_run(evidence),
-        judge_once(evidence),
-        judge_durable(evidence),
-        judge_leaving(evidence),
-        judge_stop(evidence),
-        judge_in_force(evidence),
-        judge_revert(evidence),
-        judge_served(evidence),
+        check_budget(evidence),
+        check_own(evidence),
+        check_not_run(evidence),
+        check_once(evidence),
+        check_durable(evidence),
+        check_leaving(evidence),
+        check_stop(evidence),
+        check_in_force(evidence),
+        check_revert(evidence),
+        check_served(evidence),
     ]
 }
 
-/// Judges what route tables showed.
+/// Checks the promises of a system with route tables.
 #[must_use]
-pub fn judge_routes(shown: &Shown) -> Vec<Judgement> {
-    let mut table = Judgement::new(Promise::Table);
-    table.case(shown.in_force <= TABLE, || {
-        format!("took {:?}", shown.in_force)
+pub fn check_routes(evidence: &RoutesEvidence) -> Vec<CheckResult> {
+    let mut table = CheckResult::new(Promise::Table);
+    table.case(evidence.in_force <= MAX_TABLE_DELAY, || {
+        format!("took {:?}", evidence.in_force)
     });
-    let mut own = Judgement::new(Promise::Own);
-    own.cases = shown.calls;
-    if shown.answered < shown.calls {
-        own.broken = vec![format!("{} of {}", shown.answered, shown.calls)];
+    let mut own = CheckResult::new(Promise::Own);
+    own.cases = evidence.calls;
+    if evidence.answered < evidence.calls {
+        own.broken = vec![format!("{} of {}", evidence.answered, evidence.calls)];
     }
-    let mut split = Judgement::new(Promise::Split);
-    let sum: u32 = shown.weights.iter().sum();
-    for (ran, weight) in shown.runs.into_iter().zip(shown.weights) {
-        let share = shown.calls * weight as usize / sum.max(1) as usize;
-        // Each entry process is within one request of the share.
+    let mut split = CheckResult::new(Promise::Split);
+    let sum: u32 = evidence.weights.iter().sum();
+    for (ran, weight) in evidence.runs.into_iter().zip(evidence.weights) {
+        let share = evidence.calls * weight as usize / sum.max(1) as usize;
+        // Each of the two entry processes may be off by one request.
         split.case(ran.abs_diff(share) <= 2, || format!("{ran} of {share}"));
     }
     vec![table, own, split]
 }
 
-fn judge_budget(evidence: &Evidence) -> Judgement {
-    let mut judgement = Judgement::new(Promise::Budget);
+fn check_budget(evidence: &Evidence) -> CheckResult {
+    let mut result = CheckResult::new(Promise::Budget);
     for probes in &evidence.probes {
-        judgement.case(probes.count <= probes.budget, || {
+        result.case(probes.count <= probes.budget, || {
             format!("{}: {} of {}", probes.instance, probes.count, probes.budget)
         });
     }
-    judgement
+    result
 }
 
-fn judge_own(evidence: &Evidence) -> Judgement {
-    let mut judgement = Judgement::new(Promise::Own);
+fn check_own(evidence: &Evidence) -> CheckResult {
+    let mut result = CheckResult::new(Promise::Own);
     for record in evidence.records.iter().filter(|r| r.reply.is_ok()) {
-        judgement.case(is_own(record, evidence.archive), || record.to_string());
+        result.case(is_own_response(record, evidence.archive), || {
+            record.to_string()
+        });
     }
-    judgement
+    result
 }
 
-fn is_own(record: &Record, archive: u64) -> bool {
-    if record.shape.class == Class::Deferred {
-        return record.reply.body == archive::bytes(&record.ask.path, 0..archive);
+fn is_own_response(record: &Record, archive: u64) -> bool {
+    if record.workload.class == Class::Deferred {
+        return record.reply.body == archive::bytes(&record.request.path, 0..archive);
     }
     let Some(receipt) = record.reply.receipt() else {
         return false;
     };
-    receipt.path == record.ask.path
-        && receipt.caller == record.ask.caller
-        && receipt.echo == record.ask.body
-        && receipt.key == record.ask.key.clone().unwrap_or_default()
+    receipt.path == record.request.path
+        && receipt.caller == record.request.caller
+        && receipt.echo == record.request.body
+        && receipt.key == record.request.key.clone().unwrap_or_default()
 }
 
-fn judge_not_run(evidence: &Evidence) -> Judgement {
-    let mut judgement = Judgement::new(Promise::NotRun);
+fn check_not_run(evidence: &Evidence) -> CheckResult {
+    let mut result = CheckResult::new(Promise::NotRun);
     for record in &evidence.records {
         let refused = record.reply.outcome == Some(Outcome::NotRun);
         if refused && !is_shared(record, evidence) {
             let ran = runs_of(record, evidence).count();
-            judgement.case(ran == 0, || format!("{record} ran {ran} times"));
+            result.case(ran == 0, || format!("{record} ran {ran} times"));
         }
     }
-    judgement
+    result
 }
 
-/// Whether another call with the same key may have run in place of this one.
+/// Whether another call has the same key, and so may have run instead of this one.
 fn is_shared(record: &Record, evidence: &Evidence) -> bool {
-    let key = &record.ask.key;
-    let same = evidence.records.iter().filter(|r| &r.ask.key == key);
+    let key = &record.request.key;
+    let same = evidence.records.iter().filter(|r| &r.request.key == key);
     key.is_some() && same.count() > 1
 }
 
-fn judge_once(evidence: &Evidence) -> Judgement {
-    let mut judgement = Judgement::new(Promise::Once);
-    let once = |r: &&Record| r.shape.class == Class::Once;
+fn check_once(evidence: &Evidence) -> CheckResult {
+    let mut result = CheckResult::new(Promise::Once);
+    let once = |r: &&Record| r.workload.class == Class::Once;
     for record in evidence.records.iter().filter(once) {
         let ran = runs_of(record, evidence).count();
-        judgement.case(ran <= 1, || format!("{record} ran {ran} times"));
+        result.case(ran <= 1, || format!("{record} ran {ran} times"));
     }
-    judgement
+    result
 }
 
-fn judge_durable(evidence: &Evidence) -> Judgement {
-    let mut judgement = Judgement::new(Promise::Durable);
-    let done = |r: &&Record| r.shape.class == Class::Durable && r.reply.is_ok();
+fn check_durable(evidence: &Evidence) -> CheckResult {
+    let mut result = CheckResult::new(Promise::Durable);
+    let done = |r: &&Record| r.workload.class == Class::Durable && r.reply.is_ok();
     for record in evidence.records.iter().filter(done) {
-        let kept = runs_of(record, evidence).any(|r| r.state == RunState::Done);
-        judgement.case(kept, || record.to_string());
+        let completed = runs_of(record, evidence).any(|r| r.state == RunState::Done);
+        result.case(completed, || record.to_string());
     }
-    judgement
+    result
 }
 
 fn runs_of<'a>(record: &'a Record, evidence: &'a Evidence) -> impl Iterator<Item = &'a Run> {
-    let service = record.ask.service;
+    let service = record.request.service;
     let instances = evidence.runs.iter();
     let own =
         instances.filter(move |(name, _)| name.rsplit_once('-').is_some_and(|(s, _)| s == service));
     let runs = own.flat_map(|(_, runs)| runs);
-    runs.filter(|run| run.path == record.ask.path && run.caller == record.ask.caller)
+    runs.filter(|run| run.path == record.request.path && run.caller == record.request.caller)
 }
 
-fn judge_leaving(evidence: &Evidence) -> Judgement {
-    let mut judgement = Judgement::new(Promise::Leaving);
-    if evidence.drained_for < LEAVE * 2 {
-        // Nobody called long enough to show anything.
-        return judgement;
+fn check_leaving(evidence: &Evidence) -> CheckResult {
+    let mut result = CheckResult::new(Promise::Leaving);
+    if evidence.drained_for < DRAIN_GRACE * 2 {
+        // Calls did not continue long enough after the drain to tell.
+        return result;
     }
     let runs = evidence.runs.get(&evidence.drained);
     let late = runs.into_iter().flatten().filter(|run| {
-        let since = run.drained_ms.map(Duration::from_millis);
-        since.is_some_and(|span| span > LEAVE)
+        let drained_for = run.drained_ms.map(Duration::from_millis);
+        drained_for.is_some_and(|elapsed| elapsed > DRAIN_GRACE)
     });
     let late: Vec<String> = late.map(|run| format!("{run:?}")).collect();
-    judgement.cases = 1;
-    judgement.broken = late;
-    judgement
+    result.cases = 1;
+    result.broken = late;
+    result
 }
 
-fn judge_stop(evidence: &Evidence) -> Judgement {
-    let mut judgement = Judgement::new(Promise::Stop);
-    judgement.cases = evidence.during_stop;
-    let cut = evidence.records.iter().filter(|r| r.reply.end == End::Cut);
-    judgement.broken = cut.map(ToString::to_string).collect();
-    judgement
+fn check_stop(evidence: &Evidence) -> CheckResult {
+    let mut result = CheckResult::new(Promise::Stop);
+    result.cases = evidence.during_stop;
+    let truncated = evidence
+        .records
+        .iter()
+        .filter(|r| r.reply.delivery == Delivery::Truncated);
+    result.broken = truncated.map(ToString::to_string).collect();
+    result
 }
 
-fn judge_in_force(evidence: &Evidence) -> Judgement {
-    let mut judgement = Judgement::new(Promise::InForce);
-    let kept = evidence.in_force.is_some_and(|span| span <= IN_FORCE);
-    judgement.case(kept, || format!("took {:?}", evidence.in_force));
-    judgement
+fn check_in_force(evidence: &Evidence) -> CheckResult {
+    let mut result = CheckResult::new(Promise::InForce);
+    let in_time = evidence
+        .in_force
+        .is_some_and(|elapsed| elapsed <= MAX_IN_FORCE_DELAY);
+    result.case(in_time, || format!("took {:?}", evidence.in_force));
+    result
 }
 
-fn judge_revert(evidence: &Evidence) -> Judgement {
-    let mut judgement = Judgement::new(Promise::NoRevert);
-    judgement.cases = evidence.seen.looks;
-    let reverts = evidence.seen.reverts.iter();
-    judgement.broken = reverts.map(|r| format!("{r:?}")).collect();
-    judgement
+fn check_revert(evidence: &Evidence) -> CheckResult {
+    let mut result = CheckResult::new(Promise::NoRevert);
+    result.cases = evidence.versions.observations;
+    let reverts = evidence.versions.reverts.iter();
+    result.broken = reverts.map(|r| format!("{r:?}")).collect();
+    result
 }
 
-fn judge_served(evidence: &Evidence) -> Judgement {
-    let mut judgement = Judgement::new(Promise::Served);
+fn check_served(evidence: &Evidence) -> CheckResult {
+    let mut result = CheckResult::new(Promise::Served);
     let calls = &evidence.after_kill;
     for (i, record) in calls.iter().enumerate() {
         let next = calls.get(i + 1);
-        judgement.case(is_served(record, next), || record.to_string());
+        result.case(is_served(record, next), || record.to_string());
     }
-    judgement
+    result
 }
 
-/// Whether the call was answered, or refused with a time to come back at
-/// which the caller's next call was answered.
+/// Whether the call was answered, or refused with a time to retry at which the caller's
+/// next call was answered.
 fn is_served(record: &Record, next: Option<&Record>) -> bool {
-    let told = record.reply.outcome == Some(Outcome::NotRun) && record.reply.retry_after.is_some();
-    record.reply.is_ok() || (told && next.is_some_and(|n| n.reply.is_ok()))
+    let may_retry =
+        record.reply.outcome == Some(Outcome::NotRun) && record.reply.retry_after.is_some();
+    record.reply.is_ok() || (may_retry && next.is_some_and(|n| n.reply.is_ok()))
 }
--- a/crates/demo/src/roles.rs
+++ b/crates/demo/src/roles.rs
@@ -1,4 +1,4 @@
-//! All roles of a small system in one process.
+//! Starts all roles of a small system in one process.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -29,47 +29,47 @@
 const INSTANCES: usize = 3;
 
 quick_error! {
-    /// Why the roles can't run.
+    /// Why the roles can't be started or changed.
     #[derive(Debug)]
     pub enum RolesError {
-        /// The folder of the replicas' data.
+        /// The folder for the replicas' data can't be created.
         Folder(err: io::Error) {
             from()
             source(err)
             display("{err}")
         }
-        /// A control replica.
+        /// A control replica can't be started.
         Control(err: control::ControlError) {
             from()
             source(err)
             display("control: {err}")
         }
-        /// A directory.
+        /// A directory can't be started.
         Directory(err: directory::StartError) {
             from()
             source(err)
             display("directory: {err}")
         }
-        /// A gateway.
+        /// A gateway can't be started.
         Gateway(err: gateway::StartError) {
             from()
             source(err)
             display("gateway: {err}")
         }
-        /// A stand-in for an upstream.
+        /// A stand-in can't be started.
         StandIn(err: standin::StartError) {
             from()
             source(err)
             display("stand-in: {err}")
         }
-        /// The catalogue.
+        /// A change of the catalogue was not applied.
         Operator(err: OperatorError) {
             from()
             source(err)
             display("operator: {err}")
         }
-        /// Something took too long.
-        Late(err: SystemError) {
+        /// A condition was not met in time.
+        Timeout(err: SystemError) {
             from()
             source(err)
             display("{err}")
@@ -79,13 +79,13 @@
 
 /// The running roles.
 pub struct Roles {
-    /// Their settings.
+    /// Settings of all roles.
     pub plan: Plan,
-    /// An operator.
+    /// An operator of the system.
     pub operator: Operator,
-    /// The stand-ins by instance; one that was killed is gone.
+    /// The stand-ins by instance, without those that were killed.
     pub upstreams: BTreeMap<String, StandIn>,
-    /// The record of every stand-in, of the killed ones too.
+    /// Runs of every stand-in by instance, including those that were killed.
     pub runs: BTreeMap<String, Runs>,
     /// The gateways; `None` once stopped.
     pub gateways: Vec<Option<Gateway>>,
@@ -98,7 +98,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when a role can't start or isn't ready in time.
+    /// Fails if a role can't start or is not ready in time.
     pub async fn start(entries: &[Entry]) -> Result<Self, RolesError> {
         let plan = Plan::new(REPLICAS, ENTRIES)?;
         let mut roles = Self {
@@ -152,11 +152,12 @@
         Ok(())
     }
 
-    /// Waits until `version` is in force on every entry host that serves.
+    /// Waits until `version` or a later one is in force on every entry host with a running
+    /// gateway.
     ///
     /// # Errors
     ///
-    /// Fails when that takes too long.
+    /// Fails if that takes longer than [`WAIT_TIMEOUT`](testutils::process::WAIT_TIMEOUT).
     pub async fn wait_in_force(&self, version: u64) -> Result<(), RolesError> {
         let directory = self.plan.directories[0].rpc;
         let serving = self.gateways.iter().flatten().count();
@@ -176,11 +177,11 @@
     async fn wait_routes(&self, entries: &[Entry]) -> Result<(), RolesError> {
         let caller = testutils::Caller::new();
         for entry in entries {
-            for ask in self.asks() {
+            for address in self.directory_addresses() {
                 let service = entry.service.as_str();
-                let what = format!("route to {service} at {ask}");
+                let what = format!("route to {service} at {address}");
                 wait(&what, async || {
-                    let route = caller.route(ask, service).await;
+                    let route = caller.route(address, service).await;
                     route.is_some_and(|r| r.addresses.len() > 1)
                 })
                 .await?;
@@ -189,13 +190,13 @@
         Ok(())
     }
 
-    /// Where callers ask the directories.
+    /// HTTP addresses of the directories.
     #[must_use]
-    pub fn asks(&self) -> Vec<SocketAddr> {
-        self.plan.asks()
+    pub fn directory_addresses(&self) -> Vec<SocketAddr> {
+        self.plan.directory_addresses()
     }
 
-    /// Ends all roles, the entry hosts gracefully.
+    /// Stops all roles gracefully, the gateways first.
     pub async fn stop(self) {
         let gateways = self.gateways.into_iter().flatten().map(Gateway::stop);
         futures::future::join_all(gateways).await;
--- a/crates/demo/src/routes.rs
+++ b/crates/demo/src/routes.rs
@@ -1,4 +1,5 @@
-//! Route tables at work: one hub, two entry processes, two services, a split.
+//! A demonstration of route tables: one hub, two entry processes, two services, and a
+//! split between the services.
 
 use std::time::Duration;
 
@@ -21,34 +22,34 @@
 
 /// Entry processes.
 const ENTRIES: usize = 2;
-/// Calls by way of each entry process while the split is in force.
+/// Calls through each entry process while the split is in force.
 const CALLS: usize = 40;
 /// Weights of the split.
 const WEIGHTS: [u32; 2] = [3, 1];
 
 quick_error! {
-    /// Why route tables can't be shown.
+    /// Why the demonstration of route tables failed.
     #[derive(Debug)]
     pub enum RoutesError {
-        /// The hub.
+        /// The hub can't be started.
         Hub(err: hub::HubError) {
             from()
             source(err)
             display("hub: {err}")
         }
-        /// An entry process.
+        /// An entry process can't be started.
         Entry(err: entry::EntryError) {
             from()
             source(err)
             display("entry: {err}")
         }
-        /// A stand-in for an upstream.
+        /// A stand-in can't be started.
         StandIn(err: standin::StartError) {
             from()
             source(err)
             display("stand-in: {err}")
         }
-        /// A folder can't be had, or something took too long.
+        /// The data folder can't be created, or a condition was not met in time.
         System(err: SystemError) {
             from()
             source(err)
@@ -57,48 +58,49 @@
     }
 }
 
-/// What the trial saw.
+/// Observations of the demonstration.
 #[derive(Clone, Debug)]
-pub struct Shown {
-    /// How long a new table took until it was in force at every entry process.
+pub struct RoutesEvidence {
+    /// Time until the new route table was in force at every entry process.
     pub in_force: Duration,
-    /// Calls whose own whole answer came.
+    /// Calls that got the complete response to their own request.
     pub answered: usize,
-    /// Calls made.
+    /// Calls made in total.
     pub calls: usize,
-    /// Runs of each part of the split.
+    /// Runs at each target of the split.
     pub runs: [usize; 2],
-    /// Weights of the parts.
+    /// Weights of the targets.
     pub weights: [u32; 2],
 }
 
-/// The running roles; all end when they are dropped.
-struct Scene {
+/// The running roles.
+struct RoutesSystem {
     layout: Layout,
     hub: Hub,
     entries: Vec<Entry>,
     upstreams: [StandIn; 2],
 }
 
-/// Starts the roles, puts a table and then one with a split, and calls.
+/// Starts the roles, distributes a route table and then one with a split, and makes
+/// calls.
 ///
 /// # Errors
 ///
-/// Fails when a role can't start, or something takes too long.
-pub async fn run() -> Result<Shown, RoutesError> {
-    let scene = Scene::start().await?;
-    scene.layout.put(&tables::plain(1)).await?;
-    scene.wait_table(1).await?;
-    scene.wait_upstreams().await?;
-    let before = scene.runs();
+/// Fails if a role can't start, or a table is not in force in time.
+pub async fn run() -> Result<RoutesEvidence, RoutesError> {
+    let system = RoutesSystem::start().await?;
+    system.layout.put(&tables::plain(1)).await?;
+    system.wait_table(1).await?;
+    system.wait_upstreams().await?;
+    let before = system.runs();
     let changed = Instant::now();
-    scene.layout.put(&tables::split(2, WEIGHTS)).await?;
-    scene.wait_table(2).await?;
+    system.layout.put(&tables::split(2, WEIGHTS)).await?;
+    system.wait_table(2).await?;
     let in_force = changed.elapsed();
-    let answered = scene.call().await;
-    let after = scene.runs();
-    scene.hub.stop().await;
-    Ok(Shown {
+    let answered = system.call().await;
+    let after = system.runs();
+    system.hub.stop().await;
+    Ok(RoutesEvidence {
         in_force,
         answered,
         calls: CALLS * ENTRIES,
@@ -107,7 +109,7 @@
     })
 }
 
-impl Scene {
+impl RoutesSystem {
     async fn start() -> Result<Self, RoutesError> {
         let mut layout = Layout::new(1, ENTRIES).map_err(SystemError::from)?;
         let hub = Hub::start(layout.hubs[0].clone(), silent()).await?;
@@ -129,22 +131,22 @@
 
     async fn wait_table(&self, version: u64) -> Result<(), SystemError> {
         wait("table in force", async || {
-            let held = |entry: &Entry| entry.core().routes().table.version >= version;
-            self.entries.iter().all(held)
+            let has_version = |entry: &Entry| entry.core().routes().table.version >= version;
+            self.entries.iter().all(has_version)
         })
         .await
     }
 
     /// Waits until every entry process serves both services.
     async fn wait_upstreams(&self) -> Result<(), SystemError> {
-        let asks = [
+        let requests = [
             Request::get(STATUS, "/read/first").at(HOST),
             Request::post(GRANTS, "/once/first", "block 7").at(HOST),
         ];
         for settings in &self.layout.entries {
-            for ask in &asks {
+            for request in &requests {
                 wait("answer", async || {
-                    Caller::new().call(settings.front, ask).await.is_ok()
+                    Caller::new().call(settings.front, request).await.is_ok()
                 })
                 .await?;
             }
@@ -152,7 +154,7 @@
         Ok(())
     }
 
-    /// Calls by way of every entry process; how many were answered.
+    /// Makes calls through every entry process and returns how many were answered.
     async fn call(&self) -> usize {
         let mut answered = 0;
         for settings in &self.layout.entries {
--- a/crates/demo/src/summary.rs
+++ b/crates/demo/src/summary.rs
@@ -1,13 +1,13 @@
-//! What one kind of caller got, in one line of a table.
+//! Results of one workload's calls, as a line of a table.
 
 use std::fmt;
 use std::time::Duration;
 
 use base::prelude::*;
-use testutils::caller::End;
+use testutils::caller::Delivery;
 
 use crate::traffic::Record;
-use crate::traffic::Shape;
+use crate::traffic::Workload;
 
 /// Counts and latencies of one service's calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,27 +23,29 @@
 }
 
 impl Summary {
-    /// The table's first line.
-    pub const HEAD: &str =
+    /// Header line of the table.
+    pub const HEADER: &str =
         "service                   sent answered  not-run  unknown   broken   p50 ms   p99 ms";
 
-    /// Sums up the calls of `shape`.
+    /// Summarizes the calls of `workload`.
     #[must_use]
-    pub fn new(shape: Shape, records: &[Record]) -> Self {
-        let own = records.iter().filter(|r| r.shape.service == shape.service);
+    pub fn new(workload: Workload, records: &[Record]) -> Self {
+        let own = records
+            .iter()
+            .filter(|r| r.workload.service == workload.service);
         let own: Vec<&Record> = own.collect();
         let count = |test: fn(&&&Record) -> bool| own.iter().filter(test).count();
-        let mut times: Vec<Duration> = own.iter().map(|r| r.took).collect();
-        times.sort_unstable();
+        let mut latencies: Vec<Duration> = own.iter().map(|r| r.latency).collect();
+        latencies.sort_unstable();
         Self {
-            service: shape.service,
+            service: workload.service,
             sent: own.len(),
             answered: count(|r| r.reply.is_ok()),
             not_run: count(|r| r.reply.outcome == Some(Outcome::NotRun)),
             unknown: count(|r| r.reply.outcome == Some(Outcome::Unknown)),
-            broken: count(|r| r.reply.end != End::Whole),
-            p50: share(&times, 50),
-            p99: share(&times, 99),
+            broken: count(|r| r.reply.delivery != Delivery::Complete),
+            p50: percentile(&latencies, 50),
+            p99: percentile(&latencies, 99),
         }
     }
 }
@@ -65,7 +67,7 @@
     }
 }
 
-fn share(sorted: &[Duration], percent: usize) -> Duration {
+fn percentile(sorted: &[Duration], percent: usize) -> Duration {
     let last = sorted.len().saturating_sub(1);
     let at = (sorted.len() * percent / 100).min(last);
     sorted.get(at).copied().unwrap_or_default()
--- a/crates/demo/src/traffic.rs
+++ b/crates/demo/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The two users' callers: what each asks, and what each got.
+//! The two users' callers, and a log of their calls.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,40 +12,40 @@
 use testutils::Caller;
 use testutils::Reply;
 use testutils::Request;
-use testutils::caller::End;
+use testutils::caller::Delivery;
 use testutils::new_key;
 use tokio::sync::watch;
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// One caller's kind of work.
+/// What one caller calls, and how often.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shape {
-    /// The service it calls.
+pub struct Workload {
+    /// The service that is called.
     pub service: &'static str,
-    /// Its class, which says how the caller asks.
+    /// Class of the service, which determines the kind of request.
     pub class: Class,
-    /// Who calls.
+    /// Name of the caller.
     pub caller: &'static str,
     /// Pause between two calls.
     pub pause: Duration,
 }
 
-/// One call and what the caller got.
+/// One call and the caller's view of its result.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// The kind of work.
-    pub shape: Shape,
-    /// What was asked.
-    pub ask: Request,
-    /// The entry host that was called, none when no directory named one.
+    /// The workload that the call belongs to.
+    pub workload: Workload,
+    /// The request that was sent.
+    pub request: Request,
+    /// The gateway that was called last; `None` if no directory returned one.
     pub gateway: Option<SocketAddr>,
-    /// What the caller got.
+    /// The reply to the caller.
     pub reply: Reply,
-    /// When it began.
-    pub begin: Instant,
-    /// How long it took.
-    pub took: Duration,
+    /// When the call started.
+    pub started_at: Instant,
+    /// Time from the start of the call to its reply.
+    pub latency: Duration,
 }
 
 impl fmt::Display for Record {
@@ -54,23 +54,23 @@
         write!(
             f,
             "call service={} path={}",
-            self.ask.service, self.ask.path
+            self.request.service, self.request.path
         )?;
-        if let Some(key) = &self.ask.key {
+        if let Some(key) = &self.request.key {
             write!(f, " key={key}")?;
         }
         if let Some(gateway) = self.gateway {
             write!(f, " gateway={gateway}")?;
         }
-        match (reply.end, reply.outcome) {
-            (End::Unsent, _) => write!(f, " got=no-connection")?,
-            (End::Cut, _) => write!(f, " got=cut status={}", reply.status)?,
-            (End::Whole, Some(outcome)) => write!(
+        match (reply.delivery, reply.outcome) {
+            (Delivery::NotSent, _) => write!(f, " got=no-connection")?,
+            (Delivery::Truncated, _) => write!(f, " got=cut status={}", reply.status)?,
+            (Delivery::Complete, Some(outcome)) => write!(
                 f,
                 " got={outcome} status={} reason={}",
                 reply.status, reply.reason
             )?,
-            (End::Whole, None) => write!(f, " got=answer status={}", reply.status)?,
+            (Delivery::Complete, None) => write!(f, " got=answer status={}", reply.status)?,
         }
         if let Some(seconds) = reply.retry_after {
             write!(f, " retry_after={seconds}")?;
@@ -78,15 +78,15 @@
         if let Some(receipt) = reply.receipt() {
             write!(f, " upstream={} run={}", receipt.instance, receipt.run)?;
         }
-        write!(f, " ms={:.1}", self.took.as_secs_f64() * 1_000.0)
+        write!(f, " ms={:.1}", self.latency.as_secs_f64() * 1_000.0)
     }
 }
 
-/// All calls of a trial.
+/// A shared log of calls.
 #[derive(Clone, Default)]
-pub struct Book(Arc<Mutex<Vec<Record>>>);
+pub struct CallLog(Arc<Mutex<Vec<Record>>>);
 
-impl Book {
+impl CallLog {
     /// Adds a call.
     pub fn add(&self, record: Record) {
         self.list().push(record);
@@ -108,109 +108,114 @@
     }
 }
 
-/// A caller who keeps the directory's answer for as long as it may.
+/// A caller that caches a directory's answer for as long as the answer allows.
 pub struct Client {
     caller: Caller,
     directories: Vec<SocketAddr>,
-    kept: Vec<SocketAddr>,
-    until: Instant,
+    cached: Vec<SocketAddr>,
+    expires_at: Instant,
 }
 
 impl Client {
-    /// A caller who asks `directories` in this order.
+    /// Creates a caller that asks `directories` in this order.
     #[must_use]
     pub fn new(directories: Vec<SocketAddr>) -> Self {
         Self {
             caller: Caller::new(),
             directories,
-            kept: vec![],
-            until: Instant::now(),
+            cached: vec![],
+            expires_at: Instant::now(),
         }
     }
 
-    /// Makes one call by the addresses that a directory named.
+    /// Makes one call to the addresses that a directory returned.
     ///
-    /// The next address is tried only when no connection came about.
-    pub async fn call(&mut self, shape: Shape, ask: Request) -> Record {
-        let begin = Instant::now();
-        self.find(ask.service).await;
+    /// The next address is tried only if no connection could be established.
+    pub async fn call(&mut self, workload: Workload, request: Request) -> Record {
+        let started_at = Instant::now();
+        self.refresh_route(request.service).await;
         let mut gateway = None;
         let mut reply = Reply::default();
-        for address in &self.kept {
+        for address in &self.cached {
             gateway = Some(*address);
-            reply = self.caller.call(*address, &ask).await;
-            if reply.end != End::Unsent {
+            reply = self.caller.call(*address, &request).await;
+            if reply.delivery != Delivery::NotSent {
                 break;
             }
         }
         Record {
-            shape,
-            ask,
+            workload,
+            request,
             gateway,
             reply,
-            begin,
-            took: begin.elapsed(),
+            started_at,
+            latency: started_at.elapsed(),
         }
     }
 
-    async fn find(&mut self, service: &str) {
+    async fn refresh_route(&mut self, service: &str) {
         let now = Instant::now();
-        if now < self.until && !self.kept.is_empty() {
+        if now < self.expires_at && !self.cached.is_empty() {
             return;
         }
         for directory in &self.directories {
             if let Some(route) = self.caller.route(*directory, service).await {
-                self.kept = route.addresses.iter().map(|a| a.address).collect();
-                self.until = now + Duration::from_millis(route.max_age_ms);
+                self.cached = route.addresses.iter().map(|a| a.address).collect();
+                self.expires_at = now + Duration::from_millis(route.max_age_ms);
                 return;
             }
         }
     }
 }
 
-/// The request number `number` of a caller of `shape`, different from every other.
+/// Creates request `number` of `workload`, different from every other one.
 #[must_use]
-pub fn ask(shape: Shape, number: usize) -> Request {
-    let body = format!("{} asks {number}", shape.caller);
-    let path = match shape.class {
+pub fn request(workload: Workload, number: usize) -> Request {
+    let body = format!("{} asks {number}", workload.caller);
+    let path = match workload.class {
         Class::Deferred => format!("/archive/{number}"),
         _ => format!("/blocks/{number}"),
     };
-    let ask = match shape.class {
-        Class::Urgent | Class::Deferred => Request::get(shape.service, &path),
-        Class::Once => Request::post(shape.service, &path, &body).keyed(&new_key()),
-        Class::Durable => Request::post(shape.service, &path, &body),
+    let request = match workload.class {
+        Class::Urgent | Class::Deferred => Request::get(workload.service, &path),
+        Class::Once => Request::post(workload.service, &path, &body).keyed(&new_key()),
+        Class::Durable => Request::post(workload.service, &path, &body),
     };
     Request {
-        caller: shape.caller,
-        ..ask
+        caller: workload.caller,
+        ..request
     }
 }
 
-/// Makes one call to `gateway`, whatever the directories say.
-pub async fn call_at(gateway: SocketAddr, shape: Shape, ask: Request) -> Record {
-    let begin = Instant::now();
-    let reply = Caller::new().call(gateway, &ask).await;
+/// Makes one call to `gateway` without asking a directory.
+pub async fn call_at(gateway: SocketAddr, workload: Workload, request: Request) -> Record {
+    let started_at = Instant::now();
+    let reply = Caller::new().call(gateway, &request).await;
     Record {
-        shape,
-        ask,
+        workload,
+        request,
         gateway: Some(gateway),
         reply,
-        begin,
-        took: begin.elapsed(),
+        started_at,
+        latency: started_at.elapsed(),
     }
 }
 
-/// Calls again and again until `stop` is true.
-pub async fn run(mut client: Client, shape: Shape, book: Book, stop: watch::Receiver<bool>) {
+/// Makes calls in a loop until `stop` is true.
+pub async fn run(
+    mut client: Client,
+    workload: Workload,
+    call_log: CallLog,
+    stop: watch::Receiver<bool>,
+) {
     let mut number = 0;
     while !*stop.borrow() {
-        let ask = ask(shape, number);
-        let record = client.call(shape, ask).await;
-        // Whoever is told when to come back comes back then.
-        let told = record.reply.retry_after.map(Duration::from_secs);
-        book.add(record);
+        let request = request(workload, number);
+        let record = client.call(workload, request).await;
+        // A refused caller retries after the time that the reply gives.
+        let retry_delay = record.reply.retry_after.map(Duration::from_secs);
+        call_log.add(record);
         number += 1;
-        sleep(told.unwrap_or(shape.pause)).await;
+        sleep(retry_delay.unwrap_or(workload.pause)).await;
     }
 }
--- a/crates/demo/src/watch.rs
+++ b/crates/demo/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watches which configuration is in force on each entry host.
+//! Polls which catalogue version is in force on each entry host.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,36 +8,36 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Pause between two looks.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Interval between two polls of the directories.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What was seen of the configurations.
+/// Catalogue versions observed in force.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// The version last seen in force at each host, by the directory asked.
-    pub last: BTreeMap<(SocketAddr, String), u64>,
-    /// Looks that saw a host with an older version than before.
+pub struct VersionHistory {
+    /// Version last observed at each host, by the directory that reported it.
+    pub latest: BTreeMap<(SocketAddr, String), u64>,
+    /// Observations of a host with an older version than before.
     pub reverts: Vec<Revert>,
-    /// Looks that got an answer.
-    pub looks: usize,
+    /// Number of polls that a directory answered.
+    pub observations: usize,
 }
 
-/// A host that was seen with an older version than before.
+/// A host that was observed with an older version than before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Revert {
-    /// The host.
+    /// Name of the host.
     pub host: String,
-    /// The version before.
+    /// Version observed before.
     pub before: u64,
-    /// The older one seen after.
+    /// Older version observed after that.
     pub after: u64,
 }
 
-impl Seen {
-    /// Notes one look.
-    pub fn note(&mut self, directory: SocketAddr, host: &str, version: u64) {
+impl VersionHistory {
+    /// Records the version that `directory` reports for `host`.
+    pub fn record(&mut self, directory: SocketAddr, host: &str, version: u64) {
         let key = (directory, host.to_owned());
-        let before = self.last.insert(key, version).unwrap_or(0);
+        let before = self.latest.insert(key, version).unwrap_or(0);
         if version < before {
             self.reverts.push(Revert {
                 host: host.to_owned(),
@@ -48,20 +48,20 @@
     }
 }
 
-/// Asks all `directories` again and again until `stop` is true.
-pub async fn run(directories: Vec<SocketAddr>, stop: watch::Receiver<bool>) -> Seen {
-    let mut seen = Seen::default();
+/// Polls all `directories` until `stop` is true.
+pub async fn run(directories: Vec<SocketAddr>, stop: watch::Receiver<bool>) -> VersionHistory {
+    let mut history = VersionHistory::default();
     while !*stop.borrow() {
         for directory in &directories {
-            let Some(found) = hosts(*directory).await else {
+            let Some(hosts) = hosts(*directory).await else {
                 continue;
             };
-            seen.looks += 1;
-            for host in found {
-                seen.note(*directory, &host.host, host.version);
+            history.observations += 1;
+            for host in hosts {
+                history.record(*directory, &host.host, host.version);
             }
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
-    seen
+    history
 }
--- a/crates/demo/tests/test_promise.rs
+++ b/crates/demo/tests/test_promise.rs
@@ -1,4 +1,4 @@
-//! Each promise, held by good evidence and broken by one bad piece of it.
+//! Guards against checks of promises that miss a violation, or report one without cause.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,56 +7,56 @@
 use demo::promise::Evidence;
 use demo::promise::Probes;
 use demo::promise::Promise;
-use demo::promise::judge;
+use demo::promise::check;
 use demo::traffic::Record;
-use demo::traffic::Shape;
-use demo::traffic::ask;
-use demo::watch::Seen;
+use demo::traffic::Workload;
+use demo::traffic::request;
+use demo::watch::VersionHistory;
 use standin::Run;
 use standin::RunState;
 use testutils::Reply;
-use testutils::caller::End;
+use testutils::caller::Delivery;
 use testutils::services;
 use tokio::time::Instant;
 
-const SPAN: Duration = Duration::from_millis(5);
+const LATENCY: Duration = Duration::from_millis(5);
 
 fn record(service: &'static str, class: Class, number: usize) -> Record {
-    let shape = Shape {
+    let workload = Workload {
         service,
         class,
         caller: "planner",
-        pause: SPAN,
+        pause: LATENCY,
     };
-    let ask = ask(shape, number);
+    let request = request(workload, number);
     let body = format!(
         "{{\"service\":\"s\",\"instance\":\"i\",\"run\":1,\"key\":\"{}\",\"caller\":\"planner\",\"path\":\"{}\",\"echo\":\"{}\"}}",
-        ask.key.clone().unwrap_or_default(),
-        ask.path,
-        ask.body
+        request.key.clone().unwrap_or_default(),
+        request.path,
+        request.body
     );
     let reply = Reply {
         status: 200,
         body,
-        end: End::Whole,
+        delivery: Delivery::Complete,
         ..Reply::default()
     };
     Record {
-        shape,
-        ask,
+        workload,
+        request,
         gateway: None,
         reply,
-        begin: Instant::now(),
-        took: SPAN,
+        started_at: Instant::now(),
+        latency: LATENCY,
     }
 }
 
 fn run(record: &Record) -> Run {
     Run {
         number: 1,
-        key: record.ask.key.clone().unwrap_or_default(),
+        key: record.request.key.clone().unwrap_or_default(),
         caller: "planner".into(),
-        path: record.ask.path.clone(),
+        path: record.request.path.clone(),
         request: String::new(),
         attempt: "1".into(),
         drained_ms: Some(100),
@@ -64,8 +64,8 @@
     }
 }
 
-/// Evidence by which every promise is held.
-fn good() -> Evidence {
+/// Evidence for which every promise holds.
+fn valid_evidence() -> Evidence {
     let grant = record(services::GRANTS, Class::Once, 1);
     let change = record(services::CANCELLATIONS, Class::Durable, 1);
     let mut refused = record(services::DRAWINGS, Class::Once, 1);
@@ -76,9 +76,9 @@
         (format!("{}-0", services::CANCELLATIONS), vec![run(&change)]),
         (format!("{}-0", services::DRAWINGS), vec![]),
     ]);
-    let seen = Seen {
-        looks: 1,
-        ..Seen::default()
+    let versions = VersionHistory {
+        observations: 1,
+        ..VersionHistory::default()
     };
     Evidence {
         after_kill: vec![grant.clone()],
@@ -93,7 +93,7 @@
         drained_for: Duration::from_secs(6),
         archive: 100,
         in_force: Some(Duration::from_secs(4)),
-        seen,
+        versions,
         during_stop: 1,
     }
 }
@@ -102,11 +102,13 @@
     evidence.runs.get_mut(&format!("{service}-0")).unwrap()
 }
 
-type Spoil = fn(&mut Evidence);
+type Violate = fn(&mut Evidence);
 
-const CASES: [(Promise, Spoil); 13] = [
+const CASES: [(Promise, Violate); 13] = [
     (Promise::Budget, |e| e.probes[0].count = 6),
-    (Promise::Own, |e| e.records[0].ask.body = "another's".into()),
+    (Promise::Own, |e| {
+        e.records[0].request.body = "another's".into();
+    }),
     (Promise::NotRun, |e| {
         let ran = run(&e.records[2]);
         runs(e, services::DRAWINGS).push(ran);
@@ -122,7 +124,9 @@
         runs(e, services::CANCELLATIONS)[0].drained_ms = Some(3_001);
     }),
     (Promise::Leaving, |e| e.drained_for = Duration::from_secs(1)),
-    (Promise::Stop, |e| e.records[0].reply.end = End::Cut),
+    (Promise::Stop, |e| {
+        e.records[0].reply.delivery = Delivery::Truncated;
+    }),
     (Promise::Stop, |e| e.during_stop = 0),
     (Promise::InForce, |e| {
         e.in_force = Some(Duration::from_secs(5));
@@ -130,26 +134,26 @@
     (Promise::InForce, |e| e.in_force = None),
     (Promise::NoRevert, |e| {
         let directory = "127.0.0.1:1".parse().unwrap();
-        e.seen.note(directory, "entry-0", 2);
-        e.seen.note(directory, "entry-0", 1);
+        e.versions.record(directory, "entry-0", 2);
+        e.versions.record(directory, "entry-0", 1);
     }),
     (Promise::Served, |e| e.after_kill[0].reply.status = 500),
 ];
 
 #[tokio::test]
 async fn test_promise_all_held() {
-    for judgement in judge(&good()) {
-        assert!(judgement.held(), "{judgement} {:?}", judgement.broken);
+    for result in check(&valid_evidence()) {
+        assert!(result.holds(), "{result} {:?}", result.broken);
     }
 }
 
 #[tokio::test]
 async fn test_promise_broken() {
-    for (promise, spoil) in CASES {
-        let mut evidence = good();
-        spoil(&mut evidence);
-        let judgements = judge(&evidence);
-        let judgement = judgements.iter().find(|j| j.promise == promise).unwrap();
-        assert!(!judgement.held(), "{judgement}");
+    for (promise, violate) in CASES {
+        let mut evidence = valid_evidence();
+        violate(&mut evidence);
+        let results = check(&evidence);
+        let result = results.iter().find(|r| r.promise == promise).unwrap();
+        assert!(!result.holds(), "{result}");
     }
 }
--- a/crates/testutils/src/caller.rs
+++ b/crates/testutils/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that keeps the callers' contract.
+//! An HTTP client that follows the callers' contract.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,28 +13,28 @@
 /// One request of a caller.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The service.
+    /// The service's name.
     pub service: &'static str,
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// The path.
+    /// Path with its query, if any.
     pub path: String,
     /// The idempotency key, if any.
     pub key: Option<String>,
-    /// Who calls.
+    /// Name of the caller.
     pub caller: &'static str,
-    /// The deadline.
+    /// Time that the caller allows for the call.
     pub deadline: Duration,
-    /// The body.
+    /// Body of the request.
     pub body: String,
-    /// The range asked for, if any.
+    /// Value of the `range` header, if any.
     pub range: Option<String>,
-    /// The host name asked for; the address where none is given.
+    /// Value of the `host` header; the address if `None`.
     pub host: Option<&'static str>,
 }
 
 impl Request {
-    /// A `GET` of `path` with a deadline of 10 s.
+    /// A `GET` request for `path` with a deadline of 10 s.
     #[must_use]
     pub fn get(service: &'static str, path: &str) -> Self {
         Self {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A `POST` of `body` to `path` with a deadline of 10 s.
+    /// A `POST` request of `body` to `path` with a deadline of 10 s.
     #[must_use]
     pub fn post(service: &'static str, path: &str, body: &str) -> Self {
         Self {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The same with an idempotency key.
+    /// Sets the idempotency key.
     #[must_use]
     pub fn keyed(self, key: &str) -> Self {
         Self {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The same for a host name, which a route table knows.
+    /// Sets the host name, by which route tables select routes.
     #[must_use]
     pub fn at(self, host: &'static str) -> Self {
         Self {
@@ -78,175 +78,177 @@
         }
     }
 
-    /// The same with another deadline.
+    /// Sets the deadline.
     #[must_use]
     pub fn within(self, deadline: Duration) -> Self {
         Self { deadline, ..self }
     }
 }
 
-/// How far an answer came.
+/// How much of a response arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum End {
-    /// No connection came about, so that nothing was sent.
+pub enum Delivery {
+    /// The connection could not be established, so that nothing was sent.
     #[default]
-    Unsent,
-    /// The connection broke before the answer was whole.
-    Cut,
-    /// The whole answer came.
-    Whole,
+    NotSent,
+    /// The connection broke before the response was complete.
+    Truncated,
+    /// The complete response arrived.
+    Complete,
 }
 
-/// What a caller got.
+/// The response as a caller sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
-    /// The status, zero when no answer came.
+    /// HTTP status; zero if no response arrived.
     pub status: u16,
-    /// The system's word on the outcome, absent on an upstream's own answer.
+    /// Outcome reported by the system; `None` on an upstream's own response.
     pub outcome: Option<Outcome>,
-    /// The system's reason.
+    /// Reason reported by the system; empty if there is none.
     pub reason: String,
-    /// Seconds after which the caller may come back.
+    /// Seconds after which the caller may retry.
     pub retry_after: Option<u64>,
-    /// The body, empty unless whole.
+    /// Body of the response; empty unless complete.
     pub body: String,
-    /// How far it came.
-    pub end: End,
+    /// How much of the response arrived.
+    pub delivery: Delivery,
 }
 
 impl Reply {
-    /// Whether this is an upstream's own whole answer of success.
+    /// Whether this is an upstream's own complete response with a 2xx status.
     #[must_use]
     pub fn is_ok(&self) -> bool {
-        self.end == End::Whole && self.outcome.is_none() && (200..300).contains(&self.status)
+        self.delivery == Delivery::Complete
+            && self.outcome.is_none()
+            && (200..300).contains(&self.status)
     }
 
-    /// The receipt of a stand-in's ordinary answer.
+    /// Parses the body of a stand-in's ordinary response.
     #[must_use]
     pub fn receipt(&self) -> Option<Receipt> {
         serde_json::from_str(&self.body).ok()
     }
 }
 
-/// What a stand-in writes into an ordinary answer.
+/// Body of a stand-in's ordinary response.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Receipt {
-    /// The instance that ran it.
+    /// The instance that ran the request.
     pub instance: String,
-    /// The run's number there.
+    /// Number of the run on that instance.
     pub run: u64,
-    /// The key as it came.
+    /// Idempotency key as received.
     pub key: String,
-    /// The caller as it came.
+    /// Caller as received.
     pub caller: String,
-    /// The path as it came.
+    /// Path as received.
     pub path: String,
-    /// The request's body.
+    /// Body of the request.
     pub echo: String,
 }
 
-/// A directory's answer to a caller.
+/// A directory's response to a caller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Route {
-    /// Addresses in the order to try them.
-    pub addresses: Vec<Named>,
-    /// How long they may be kept.
+    /// Addresses in the order in which to try them.
+    pub addresses: Vec<RouteAddress>,
+    /// How long the addresses may be cached, in milliseconds.
     pub max_age_ms: u64,
 }
 
 /// One address of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
-pub struct Named {
-    /// Where to connect.
+pub struct RouteAddress {
+    /// Address to connect to.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the host at the address.
     pub domain: String,
 }
 
-/// Makes requests, each on a connection of its own.
+/// Sends requests, each on a new connection.
 #[derive(Clone, Debug, Default)]
 pub struct Caller {
     client: Client,
 }
 
 impl Caller {
-    /// A caller.
+    /// Creates a caller.
     #[must_use]
     pub fn new() -> Self {
-        // Callers come and go; a kept connection would hide a gateway that refuses new ones.
+        // A pooled connection would hide a gateway that refuses new connections.
         let client = Client::builder().pool_max_idle_per_host(0).build();
         Self {
             client: client.unwrap_or_default(),
         }
     }
 
-    /// What the directory at `address` tells callers of `service`.
+    /// Asks the directory at `address` for the route to `service`.
     pub async fn route(&self, address: SocketAddr, service: &str) -> Option<Route> {
         let url = format!("http://{address}/v1/route?service={service}");
-        let answer = self.client.get(url).send().await.ok()?;
-        let status = answer.status();
-        let body = answer.bytes().await.ok()?;
+        let response = self.client.get(url).send().await.ok()?;
+        let status = response.status();
+        let body = response.bytes().await.ok()?;
         status
             .is_success()
             .then(|| serde_json::from_slice(&body).ok())?
     }
 
-    /// Sends `ask` to the gateway at `address`.
-    pub async fn call(&self, address: SocketAddr, ask: &Request) -> Reply {
-        let url = format!("http://{address}{}", ask.path);
-        let mut request = self
+    /// Sends `request` to the gateway at `address`.
+    pub async fn call(&self, address: SocketAddr, request: &Request) -> Reply {
+        let url = format!("http://{address}{}", request.path);
+        let mut builder = self
             .client
-            .request(ask.method.clone(), url)
-            .header(header::SERVICE, ask.service)
-            .header(header::CALLER, ask.caller)
-            .header(header::DEADLINE, ask.deadline.as_millis().to_string())
-            .body(ask.body.clone());
-        if let Some(key) = &ask.key {
-            request = request.header(header::IDEMPOTENCY_KEY, key);
+            .request(request.method.clone(), url)
+            .header(header::SERVICE, request.service)
+            .header(header::CALLER, request.caller)
+            .header(header::DEADLINE, request.deadline.as_millis().to_string())
+            .body(request.body.clone());
+        if let Some(key) = &request.key {
+            builder = builder.header(header::IDEMPOTENCY_KEY, key);
         }
-        if let Some(host) = ask.host {
-            request = request.header("host", host);
+        if let Some(host) = request.host {
+            builder = builder.header("host", host);
         }
-        if let Some(range) = &ask.range {
-            request = request.header("range", range);
+        if let Some(range) = &request.range {
+            builder = builder.header("range", range);
         }
-        match request.send().await {
-            Ok(answer) => read(answer).await,
+        match builder.send().await {
+            Ok(response) => read_reply(response).await,
             Err(err) if err.is_connect() => Reply::default(),
             Err(_) => Reply {
-                end: End::Cut,
+                delivery: Delivery::Truncated,
                 ..Reply::default()
             },
         }
     }
 }
 
-async fn read(answer: reqwest::Response) -> Reply {
+async fn read_reply(response: reqwest::Response) -> Reply {
     let text = |name: &str| {
-        let value = answer.headers().get(name)?;
+        let value = response.headers().get(name)?;
         value.to_str().ok().map(str::to_owned)
     };
     let reply = Reply {
-        status: answer.status().as_u16(),
+        status: response.status().as_u16(),
         outcome: text(header::OUTCOME).and_then(|t| t.parse().ok()),
         reason: text(header::REASON).unwrap_or_default(),
         retry_after: text("retry-after").and_then(|t| t.parse().ok()),
         ..Reply::default()
     };
-    match answer.bytes().await {
+    match response.bytes().await {
         Ok(body) => Reply {
             body: String::from_utf8_lossy(&body).into_owned(),
-            end: End::Whole,
+            delivery: Delivery::Complete,
             ..reply
         },
         Err(_) => Reply {
-            end: End::Cut,
+            delivery: Delivery::Truncated,
             ..reply
         },
     }
 }
 
-/// A new idempotency key, which tells when it was minted.
+/// Creates an idempotency key (UUID v7, which contains the time of its creation).
 #[must_use]
 pub fn new_key() -> String {
     Uuid::now_v7().to_string()
--- a/crates/testutils/src/fleet.rs
+++ b/crates/testutils/src/fleet.rs
@@ -1,5 +1,4 @@
-//! Hubs and entry processes as real processes, and upstreams that announce
-//! themselves to the hubs.
+//! Starts hubs and entry processes, and upstreams that announce themselves to the hubs.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,8 +15,8 @@
 use crate::caller::Request;
 use crate::folder::Folder;
 use crate::host::Host;
-use crate::plan::ASK;
-use crate::plan::SERVE;
+use crate::plan::HTTP_PORT;
+use crate::plan::SERVICE_PORT;
 use crate::plan::domain;
 use crate::plan::name;
 use crate::plan::plan_standin;
@@ -29,35 +28,35 @@
 use crate::system::wait;
 use crate::upstream::Upstream;
 
-/// First of the ports that hubs use.
-const HUB: u16 = 7010;
-/// Port of the readiness page.
-const READY: u16 = 7081;
-/// Longest wait for one answer of a hub.
-const CALL_TIME: Duration = Duration::from_secs(2);
+/// Port of a hub's own protocol, and the first of the ports that it uses.
+const HUB_PORT: u16 = 7010;
+/// Port of an entry process's readiness page.
+const READY_PORT: u16 = 7081;
+/// Timeout of one call to a hub.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The settings of all processes of a fleet, each on a host of its own.
+/// Settings of all processes of a fleet, each on its own loopback host.
 pub struct Layout {
-    /// The hubs.
+    /// Settings of the hubs.
     pub hubs: Vec<hub::Settings>,
-    /// The entry processes.
+    /// Settings of the entry processes.
     pub entries: Vec<entry::Settings>,
-    // The numbers and folders are free again when the layout is dropped.
+    // Dropping the layout releases the addresses and removes the data.
     hosts: Vec<Host>,
     _folder: Folder,
 }
 
 impl Layout {
-    /// A layout of `hubs` hubs, which found a new system, and `entries` entry processes.
+    /// Plans `hubs` hubs, which bootstrap a new system, and `entries` entry processes.
     ///
     /// # Errors
     ///
-    /// Fails when no folder for the hubs' data can be had.
+    /// Fails if the folder for the hubs' data can't be created.
     pub fn new(hubs: usize, entries: usize) -> io::Result<Self> {
         let hosts: Vec<Host> = (0..hubs + entries).map(|_| Host::new()).collect();
         let folder = Folder::new()?;
         let (core, edge) = hosts.split_at(hubs);
-        let seeds: Vec<SocketAddr> = core.iter().map(|h| h.at(HUB)).collect();
+        let seeds: Vec<SocketAddr> = core.iter().map(|h| h.at(HUB_PORT)).collect();
         let hubs = core.iter().enumerate();
         let hubs = hubs.map(|(i, host)| plan_hub(i, host, &seeds, &folder));
         let entries = edge.iter().enumerate();
@@ -70,40 +69,40 @@
         })
     }
 
-    /// Settings of a stand-in on a host of its own, announced to two hubs.
+    /// Settings of a stand-in on its own host, which announces itself to two hubs.
     ///
     /// # Panics
     ///
-    /// Panics when `service` is no name, which is a fault of the test.
+    /// Panics if `service` is not a valid service name.
     pub fn upstream(&mut self, service: &str, number: usize) -> standin::Settings {
         let host = Host::new();
-        let settings = plan_standin(service, number, &host, &self.asks());
+        let settings = plan_standin(service, number, &host, &self.hub_http_addresses());
         self.hosts.push(host);
         settings
     }
 
-    /// Where upstreams and callers reach the hubs.
+    /// HTTP addresses of the hubs, for upstreams and callers.
     #[must_use]
-    pub fn asks(&self) -> Vec<SocketAddr> {
+    pub fn hub_http_addresses(&self) -> Vec<SocketAddr> {
         self.hubs.iter().filter_map(|plan| plan.http).collect()
     }
 
-    /// Puts a table at any hub, until one has taken it.
+    /// Sends a route table to the hubs, retrying until one accepts it.
     ///
     /// # Errors
     ///
-    /// Fails when none does within the patience of tests.
+    /// Fails if none accepts the table within [`WAIT_TIMEOUT`](crate::process::WAIT_TIMEOUT).
     pub async fn put(&self, table: &Table) -> Result<(), SystemError> {
-        wait("table taken", async || self.put_once(table).await).await
+        wait("accepted route table", async || self.put_once(table).await).await
     }
 
-    /// Puts a table at one hub after the other; whether one has taken it.
+    /// Sends a route table to each hub in turn, and returns whether one accepted it.
     ///
     /// # Panics
     ///
-    /// Panics when the table can't be written, which is a fault of the test.
+    /// Panics if the table can't be encoded.
     pub async fn put_once(&self, table: &Table) -> bool {
-        let content = table::codec::encode(table).expect("a table that can be written");
+        let content = table::codec::encode(table).expect("a table that can be encoded");
         let row = wire::hub::Table {
             version: table.version,
             content: content.into(),
@@ -118,32 +117,32 @@
     }
 }
 
-/// Whether the hub took the table, or held it or a newer one.
+/// Whether the hub accepted the table, or already had that or a newer version.
 async fn put(plan: &hub::Settings, row: &wire::hub::Table) -> bool {
     let link = peer::hub(plan.hub_at(plan.address));
     let Ok(client) = link.client().await else {
         return false;
     };
-    let reply = client.put_table(within(CALL_TIME), row.clone()).await;
+    let reply = client.put_table(within(CALL_TIMEOUT), row.clone()).await;
     reply.is_ok_and(|reply| reply.outcome() != TableOutcome::Unspecified)
 }
 
-/// A running fleet; all its processes are killed when it is dropped.
+/// A running fleet, whose processes are killed when it is dropped.
 pub struct Fleet {
-    /// The hubs; `None` once taken.
+    /// The hubs; `None` if taken out by the test.
     pub hubs: Vec<Option<Process>>,
-    /// The entry processes; `None` once taken.
+    /// The entry processes; `None` if taken out by the test.
     pub entries: Vec<Option<Process>>,
-    /// The settings of all of them.
+    /// Settings of all processes.
     pub layout: Layout,
 }
 
 impl Fleet {
-    /// Starts `hubs` hubs and `entries` entry processes, without a table.
+    /// Starts `hubs` hubs and `entries` entry processes, without a route table.
     ///
     /// # Errors
     ///
-    /// Fails when a process isn't ready in time.
+    /// Fails if a process is not ready in time.
     pub async fn start(hubs: usize, entries: usize) -> Result<Self, SystemError> {
         let mut fleet = Self {
             hubs: vec![],
@@ -161,20 +160,20 @@
         Ok(fleet)
     }
 
-    /// Starts the hub at `index` anew, with the data it has.
+    /// Starts the hub at `index` with the data on its disk.
     ///
     /// # Errors
     ///
-    /// Fails when it isn't ready in time.
+    /// Fails if the hub is not ready in time.
     pub async fn start_hub(&self, index: usize) -> Result<Process, ProcessError> {
         Process::start(Binary::Hub, &self.layout.hubs[index].to_string()).await
     }
 
-    /// Starts the entry process at `index` anew.
+    /// Starts the entry process at `index`.
     ///
     /// # Errors
     ///
-    /// Fails when it isn't ready in time.
+    /// Fails if the entry process is not ready in time.
     pub async fn start_entry(&self, index: usize) -> Result<Process, ProcessError> {
         Process::start(Binary::Entry, &self.layout.entries[index].to_string()).await
     }
@@ -183,27 +182,27 @@
     ///
     /// # Errors
     ///
-    /// Fails when that takes longer than the patience of tests.
+    /// Fails if that takes longer than [`WAIT_TIMEOUT`](crate::process::WAIT_TIMEOUT).
     ///
     /// # Panics
     ///
-    /// Panics when the process was taken, which is a fault of the test.
+    /// Panics if the test has taken the process out.
     pub async fn wait_table(&self, index: usize, version: u64) -> Result<(), SystemError> {
         let process = self.entries[index].as_ref().expect("a running process");
-        let told = |line: &str| {
+        let is_in_force = |line: &str| {
             let found = field(line, "version").and_then(|text| text.parse::<u64>().ok());
             field(line, "msg") == Some("route table") && found.is_some_and(|v| v >= version)
         };
-        process.wait_line(told).await?;
+        process.wait_line(is_in_force).await?;
         Ok(())
     }
 
-    /// Starts a stand-in of `service`, on a host of its own, and waits until every
-    /// entry process that runs knows it.
+    /// Starts a stand-in of `service` on its own host, and waits until every running
+    /// entry process has learned of it.
     ///
     /// # Errors
     ///
-    /// Fails when it isn't ready in time.
+    /// Fails if the stand-in is not ready in time.
     pub async fn upstream(
         &mut self,
         service: &str,
@@ -213,51 +212,57 @@
         self.start_upstream(&settings).await
     }
 
-    /// Starts a stand-in with `settings` and waits until it is known.
+    /// Starts a stand-in with `settings`, and waits until every running entry process
+    /// has learned of it.
     ///
     /// # Errors
     ///
-    /// Fails when it isn't ready in time.
+    /// Fails if the stand-in is not ready in time.
     pub async fn start_upstream(
         &self,
         settings: &standin::Settings,
     ) -> Result<Upstream, SystemError> {
         let upstream = Upstream::start(settings).await?;
-        let life = format!("{}:", upstream.instance);
-        let told = |line: &str| {
+        let id_prefix = format!("{}:", upstream.instance);
+        let is_announced = |line: &str| {
             let instance = field(line, "instance");
             field(line, "msg") == Some("instance")
-                && instance.is_some_and(|id| id.starts_with(&life))
+                && instance.is_some_and(|id| id.starts_with(&id_prefix))
         };
         for process in self.entries.iter().flatten() {
-            process.wait_line(told).await?;
+            process.wait_line(is_announced).await?;
         }
         Ok(upstream)
     }
 
-    /// Sends `ask` to the entry process at `index`.
-    pub async fn call(&self, index: usize, ask: &Request) -> Reply {
+    /// Sends `request` to the entry process at `index`.
+    pub async fn call(&self, index: usize, request: &Request) -> Reply {
         let address = self.layout.entries[index].front;
-        Caller::new().call(address, ask).await
+        Caller::new().call(address, request).await
     }
 }
 
 fn plan_hub(index: usize, host: &Host, seeds: &[SocketAddr], folder: &Folder) -> hub::Settings {
     let data = folder.path().join(format!("hub-{index}"));
     hub::Settings {
-        port: HUB,
-        http: Some(host.at(ASK)),
+        port: HUB_PORT,
+        http: Some(host.at(HTTP_PORT)),
         seeds: seeds.to_vec(),
         found: true,
-        ..hub::Settings::local(name("hub", index), domain(index), data, host.at(HUB).ip())
+        ..hub::Settings::local(
+            name("hub", index),
+            domain(index),
+            data,
+            host.at(HUB_PORT).ip(),
+        )
     }
 }
 
 fn plan_entry(index: usize, host: &Host, seeds: &[SocketAddr]) -> entry::Settings {
     entry::Settings {
-        ready: host.at(READY),
-        port: HUB,
+        ready: host.at(READY_PORT),
+        port: HUB_PORT,
         seeds: seeds.to_vec(),
-        ..entry::Settings::local(name("entry", index), domain(index), host.at(SERVE))
+        ..entry::Settings::local(name("entry", index), domain(index), host.at(SERVICE_PORT))
     }
 }
--- a/crates/testutils/src/folder.rs
+++ b/crates/testutils/src/folder.rs
@@ -1,4 +1,4 @@
-//! Folders that live as long as their test.
+//! Temporary folders for tests.
 
 use std::fs;
 use std::io;
@@ -8,39 +8,39 @@
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::Ordering;
 
-static NUMBER: AtomicU32 = AtomicU32::new(0);
+static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// A new empty folder, removed with all in it when dropped.
+/// A temporary folder, removed with its contents when dropped.
 #[derive(Debug)]
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// Makes one.
+    /// Creates an empty folder in the system's temporary directory.
     ///
     /// # Errors
     ///
-    /// Fails where the system's folder for temporary files takes none.
+    /// Fails if the folder can't be created.
     pub fn new() -> io::Result<Self> {
-        let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         let name = format!("rwr-test-{}-{number}", process::id());
         let path = std::env::temp_dir().join(name);
-        // What an earlier process of the same id left behind.
+        // An earlier process with the same id may have left its folder behind.
         let _ = fs::remove_dir_all(&path);
         fs::create_dir(&path)?;
         Ok(Self(path))
     }
 
-    /// Its path.
+    /// Path of the folder.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.0
     }
 
-    /// Writes a file in it, whose path is the answer.
+    /// Writes a file into the folder and returns its path.
     ///
     /// # Errors
     ///
-    /// Fails when the file can't be written.
+    /// Fails if the file can't be written.
     pub fn write(&self, name: &str, text: &str) -> io::Result<PathBuf> {
         let path = self.0.join(name);
         fs::write(&path, text)?;
@@ -50,7 +50,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // A file that a process still holds may stay; the system clears the folder.
+        // Removal is best effort: a process may still be writing into the folder.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
--- a/crates/testutils/src/host.rs
+++ b/crates/testutils/src/host.rs
@@ -1,9 +1,7 @@
-//! Loopback hosts: one IP number each, so that ports never collide.
+//! Loopback hosts with an IP address each, so that fixed ports never collide.
 //!
-//! A process that is killed and started again needs its old port, which port 0
-//! doesn't give, and a port found free beforehand may be taken meanwhile. The
-//! whole of 127.0.0.0/8 is this machine, so each host of a test gets a number
-//! of its own there, made from the test process's id.
+//! A restarted process has to bind its old port, which rules out port 0. Each host
+//! gets an address in 127.0.0.0/8 that is derived from the test's process id.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -13,35 +11,35 @@
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::Ordering;
 
-/// Port that shows whether a number is in use.
+/// Port bound on an address to reserve it.
 const GUARD_PORT: u16 = 6999;
-/// Hosts that one number of a test process has.
-const HOSTS: u32 = 250;
+/// Hosts in one /24 block of addresses.
+const HOSTS_PER_BLOCK: u32 = 250;
 
-static NUMBER: AtomicU32 = AtomicU32::new(0);
+static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// A host with an IP number of its own.
+/// A host with a reserved loopback address.
 #[derive(Debug)]
 pub struct Host {
     ip: IpAddr,
-    // Held, so that no other test process takes the same number.
+    // Keeps other test processes from using the same address.
     _guard: TcpListener,
 }
 
 impl Host {
-    /// The next free host.
+    /// Reserves the next free address.
     ///
     /// # Panics
     ///
-    /// Panics when loopback has none left, which is a fault of the machine.
+    /// Panics if no free loopback address is found.
     #[must_use]
     pub fn new() -> Self {
-        (0..HOSTS * 4)
-            .find_map(|_| Self::take(next()))
-            .expect("loopback has a free number")
+        (0..HOSTS_PER_BLOCK * 4)
+            .find_map(|_| Self::try_bind(next_ip()))
+            .expect("a free loopback address")
     }
 
-    fn take(ip: Ipv4Addr) -> Option<Self> {
+    fn try_bind(ip: Ipv4Addr) -> Option<Self> {
         let guard = TcpListener::bind((ip, GUARD_PORT)).ok()?;
         Some(Self {
             ip: ip.into(),
@@ -49,7 +47,7 @@
         })
     }
 
-    /// Its address at `port`.
+    /// Socket address of `port` on this host.
     #[must_use]
     pub fn at(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.ip, port)
@@ -62,11 +60,11 @@
     }
 }
 
-fn next() -> Ipv4Addr {
-    let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-    let block = process::id().wrapping_add(number / HOSTS);
+fn next_ip() -> Ipv4Addr {
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+    let block = process::id().wrapping_add(number / HOSTS_PER_BLOCK);
     let [_, _, high, low] = block.to_be_bytes();
-    // 127.0 is left to others, who mostly use 127.0.0.1.
-    let last = u8::try_from(number % HOSTS + 1).unwrap_or(1);
+    // Addresses in 127.0.0.0/16 are left to other programs.
+    let last = u8::try_from(number % HOSTS_PER_BLOCK + 1).unwrap_or(1);
     Ipv4Addr::new(127, high.max(1), low, last)
 }
--- a/crates/testutils/src/lib.rs
+++ b/crates/testutils/src/lib.rs
@@ -1,8 +1,7 @@
-//! Starts whole systems on loopback for tests: real processes of the built
-//! binaries, and a caller that keeps the callers' contract.
+//! Test utilities: starts whole systems on loopback from the built binaries, and
+//! an HTTP client that follows the callers' contract.
 //!
-//! Only tests start processes; the system's own never do. A process is ended
-//! by its own id, and at the latest when its handle is dropped.
+//! Each process is signalled by its own id and killed when its handle is dropped.
 
 pub mod caller;
 pub mod fleet;
--- a/crates/testutils/src/operator.rs
+++ b/crates/testutils/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator: proposes changes to the replicas and looks at the hosts.
+//! An operator's client, which proposes catalogue changes and queries the hosts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,35 +21,35 @@
 use wire::peer;
 use wire::peer::ControlLink;
 
-use crate::process::PATIENCE;
+use crate::process::WAIT_TIMEOUT;
 
-/// Longest wait for one answer.
-const CALL_TIME: Duration = Duration::from_secs(5);
-/// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 quick_error! {
-    /// Why an operator got no success.
+    /// Why an operator's change was not applied.
     #[derive(Debug)]
     pub enum OperatorError {
         /// The change was refused.
         Refused(reply: Kind) {
             display("refused: {reply:?}")
         }
-        /// No replica gave a certain answer in time.
-        Silent {
-            display("no certain answer within {PATIENCE:?}")
+        /// No replica confirmed the outcome within [`WAIT_TIMEOUT`].
+        NoAnswer {
+            display("no replica confirmed the outcome of the change within {WAIT_TIMEOUT:?}")
         }
     }
 }
 
-/// One operator, who knows the replicas' addresses.
+/// An operator's connections to the control replicas.
 pub struct Operator {
     replicas: Vec<ControlLink>,
 }
 
 impl Operator {
-    /// An operator who asks `replicas` in this order.
+    /// Creates an operator who tries `replicas` in this order.
     #[must_use]
     pub fn new(replicas: &[SocketAddr]) -> Self {
         Self {
@@ -57,33 +57,33 @@
         }
     }
 
-    /// Sends `change` to the replica at `index` once; `None` without an answer.
+    /// Sends `change` once to the replica at `index`; `None` if the replica does not answer.
     pub async fn propose(&self, index: usize, change: &Change) -> Option<Kind> {
         let link = self.replicas.get(index)?;
         let client = link.client().await.ok()?;
-        let reply = client.propose(within(CALL_TIME), change.clone()).await;
+        let reply = client.propose(within(CALL_TIMEOUT), change.clone()).await;
         let reply: ChangeReply = link.judge(reply).ok()?;
         reply.kind
     }
 
-    /// The state of the replica at `index`; `None` without an answer.
+    /// Status of the replica at `index`; `None` if the replica does not answer.
     pub async fn status(&self, index: usize) -> Option<Status> {
         let link = self.replicas.get(index)?;
-        match ask_status(link).await {
-            // The connection was one to a process that has ended since: the
-            // one that runs there now is asked over a new connection.
-            Err(LinkError::Call(_, RpcError::Shutdown)) => ask_status(link).await.ok(),
+        match fetch_status(link).await {
+            // The connection belonged to a process that has since exited; the link
+            // reconnects to the process that runs there now.
+            Err(LinkError::Call(_, RpcError::Shutdown)) => fetch_status(link).await.ok(),
             first => first.ok(),
         }
     }
 
-    /// Sends `change` to one replica after the other until the answer is certain.
+    /// Sends `change` to each replica in turn until one confirms its outcome.
     ///
     /// # Errors
     ///
-    /// Fails when no replica gives one within [`PATIENCE`].
+    /// Fails if none does within [`WAIT_TIMEOUT`].
     pub async fn send(&self, change: &Change) -> Result<Kind, OperatorError> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end {
             for index in 0..self.replicas.len() {
                 match self.propose(index, change).await {
@@ -91,16 +91,16 @@
                     Some(kind) => return Ok(kind),
                 }
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_INTERVAL).await;
         }
-        Err(OperatorError::Silent)
+        Err(OperatorError::NoAnswer)
     }
 
-    /// Applies `edits` on top of the version `base`; the new version.
+    /// Applies `edits` to the version `base` and returns the new version.
     ///
     /// # Errors
     ///
-    /// Fails when the change is refused, or no answer is certain.
+    /// Fails if the change is refused, or no replica confirms its outcome.
     pub async fn apply(&self, base: u64, edits: Vec<Edit>) -> Result<u64, OperatorError> {
         match self.send(&change(base, edits)).await? {
             Kind::Accepted(accepted) => Ok(accepted.version),
@@ -109,7 +109,7 @@
     }
 }
 
-/// A change with an id of its own.
+/// A change with a new id.
 #[must_use]
 pub fn change(base: u64, edits: Vec<Edit>) -> Change {
     Change {
@@ -120,27 +120,27 @@
     }
 }
 
-/// The hosts as the directory at `address` knows them; `None` without an answer.
+/// Hosts known to the directory at `address`; `None` if the directory does not answer.
 pub async fn hosts(address: SocketAddr) -> Option<Vec<Host>> {
     let link = peer::directory(address);
     let client = link.client().await.ok()?;
-    let reply = link.judge(client.hosts(within(CALL_TIME)).await).ok()?;
+    let reply = link.judge(client.hosts(within(CALL_TIMEOUT)).await).ok()?;
     Some(reply.hosts)
 }
 
-/// Why calls of `service` go where they go at the gateway whose own protocol
-/// is at `address`; `None` without an answer.
+/// Explains how a gateway routes calls of `service`; `address` is that of the gateway's
+/// own protocol. `None` if the gateway does not answer.
 pub async fn explain(address: SocketAddr, service: &str) -> Option<ExplainReply> {
     let link = peer::gateway(address);
     let client = link.client().await.ok()?;
-    let ask = Explain {
+    let request = Explain {
         service: service.into(),
     };
-    link.judge(client.explain(within(CALL_TIME), ask).await)
+    link.judge(client.explain(within(CALL_TIMEOUT), request).await)
         .ok()
 }
 
-async fn ask_status(link: &ControlLink) -> Result<Status, LinkError> {
+async fn fetch_status(link: &ControlLink) -> Result<Status, LinkError> {
     let client = link.client().await?;
-    link.judge(client.status(within(CALL_TIME)).await)
+    link.judge(client.status(within(CALL_TIMEOUT)).await)
 }
--- a/crates/testutils/src/process.rs
+++ b/crates/testutils/src/process.rs
@@ -1,4 +1,4 @@
-//! A process of one of the built binaries: its log, its signals, its end.
+//! Starts a built binary as a child process, reads its log and sends it signals.
 
 use std::env;
 use std::fs;
@@ -33,12 +33,12 @@
 
 pub use telemetry::logfmt::field;
 
-/// Longest wait for an event of a process; far above what any takes.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-/// The file in which a process finds its settings.
-const SETTINGS: &str = "settings.ini";
-/// Time between two looks at whether a process has ended.
-const LOOK: Duration = Duration::from_millis(10);
+/// Longest wait for an event of a process.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Name of the settings file in a process's folder.
+const SETTINGS_FILE: &str = "settings.ini";
+/// Interval between checks for whether a process has exited.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A built binary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
@@ -64,39 +64,39 @@
 }
 
 quick_error! {
-    /// Why a process can't be had or used.
+    /// Why a process can't be started or used.
     #[derive(Debug)]
     pub enum ProcessError {
-        /// The binary isn't built.
+        /// The binary has not been built.
         Missing(path: PathBuf) {
             display("{} isn't built; run `cargo build --workspace` (or the whole `cargo test --workspace`)", path.display())
         }
-        /// The system didn't do as asked.
+        /// An I/O error of the operating system.
         System(err: io::Error) {
             from()
             source(err)
             display("{err}")
         }
-        /// A signal couldn't be sent.
+        /// A signal could not be sent.
         Signal(err: rustix::io::Errno) {
             from()
             source(err)
             display("signal: {err}")
         }
-        /// It ended before it was ready.
+        /// The process exited before it was ready.
         Ended(binary: Binary, log: String) {
-            display("{binary} ended before it was ready:\n{log}")
+            display("{binary} exited before it was ready:\n{log}")
         }
-        /// An event didn't come within [`PATIENCE`].
-        Late(binary: Binary, event: &'static str, state: String, log: String) {
-            display("{binary}: no {event} within {PATIENCE:?}; its state: {state}\n{log}")
+        /// An event did not happen within [`WAIT_TIMEOUT`].
+        Timeout(binary: Binary, event: &'static str, state: String, log: String) {
+            display("{binary}: no {event} within {WAIT_TIMEOUT:?}; process state: {state}\n{log}")
         }
     }
 }
 
 impl Binary {
-    /// The message of the line that says that it serves.
-    fn ready(self) -> &'static str {
+    /// The `msg` of the log line that reports readiness.
+    fn ready_message(self) -> &'static str {
         match self {
             Self::Hub => "hub serves",
             Self::Entry => "entry serves",
@@ -104,14 +104,14 @@
         }
     }
 
-    /// Where cargo puts it: beside the folder of the running test.
+    /// Path of the binary in cargo's output folder, next to that of the running test.
     ///
     /// # Errors
     ///
-    /// Fails when it isn't built.
+    /// Fails if the binary has not been built.
     pub fn path(self) -> Result<PathBuf, ProcessError> {
         let test = env::current_exe()?;
-        // Tests run in `deps` or `examples` under the folder of the binaries.
+        // Test executables are in `deps` or `examples` below the binaries' folder.
         let folders = test.ancestors().skip(1).take(2);
         let path = folders
             .map(|folder| folder.join(self.to_string()))
@@ -120,7 +120,7 @@
     }
 }
 
-/// The lines that a process wrote.
+/// Lines that a process wrote to stdout and stderr.
 #[derive(Clone)]
 struct Log {
     lines: Arc<Mutex<Vec<String>>>,
@@ -137,7 +137,7 @@
 
     fn read(&self, pipe: impl Read + Send + 'static) -> JoinHandle<()> {
         let log = self.clone();
-        // A thread, so that a process never waits for a test that is busy.
+        // A thread of its own, so that a full pipe never blocks the process.
         thread::spawn(move || {
             for line in BufReader::new(pipe).lines().map_while(Result::ok) {
                 log.push(line);
@@ -157,26 +157,27 @@
     }
 }
 
-/// A running process; killed when dropped.
+/// A child process, killed when dropped.
 pub struct Process {
     binary: Binary,
     child: Child,
     log: Log,
     readers: Vec<JoinHandle<()>>,
-    ready: String,
+    ready_line: String,
     folder: Folder,
 }
 
 impl Process {
-    /// Starts `binary` with the settings `ini` and waits for its ready line.
+    /// Starts `binary` with the settings `ini` and waits until it logs readiness.
     ///
     /// # Errors
     ///
-    /// Fails when it isn't built, or ends before it is ready.
+    /// Fails if the binary has not been built, exits before it is ready, or is not
+    /// ready within [`WAIT_TIMEOUT`].
     pub async fn start(binary: Binary, ini: &str) -> Result<Self, ProcessError> {
         let path = binary.path()?;
         let folder = Folder::new()?;
-        let config = folder.write(SETTINGS, ini)?;
+        let config = folder.write(SETTINGS_FILE, ini)?;
         let mut child = Command::new(path)
             .arg("--config")
             .arg(config)
@@ -192,151 +193,151 @@
             child,
             log,
             readers: out.into_iter().chain(err).collect(),
-            ready: String::new(),
+            ready_line: String::new(),
             folder,
         };
-        process.ready = process.wait_ready().await?;
+        process.ready_line = process.wait_ready().await?;
         Ok(process)
     }
 
     async fn wait_ready(&mut self) -> Result<String, ProcessError> {
         let log = self.log.clone();
-        let ready = self.binary.ready();
-        let line = log_line(&log, |line| field(line, "msg") == Some(ready));
+        let ready_message = self.binary.ready_message();
+        let line = wait_for_line(&log, |line| field(line, "msg") == Some(ready_message));
         tokio::select! {
             line = line => Ok(line),
-            _ = ended(&mut self.child) => {
-                self.finish_log();
-                Err(ProcessError::Ended(self.binary, self.text()))
+            _ = wait_for_exit(&mut self.child) => {
+                self.drain_log();
+                Err(ProcessError::Ended(self.binary, self.log_text()))
             }
-            () = sleep(PATIENCE) => Err(self.late("ready line")),
+            () = sleep(WAIT_TIMEOUT) => Err(self.timeout_error("readiness line")),
         }
     }
 
-    /// The address under `key` in the ready line.
+    /// The address logged under `key` in the readiness line.
     #[must_use]
     pub fn address(&self, key: &str) -> Option<SocketAddr> {
-        field(&self.ready, key)?.parse().ok()
+        field(&self.ready_line, key)?.parse().ok()
     }
 
-    /// All lines so far.
+    /// All lines logged so far.
     #[must_use]
     pub fn lines(&self) -> Vec<String> {
         self.log.all()
     }
 
-    /// Waits for a line that satisfies `test`, from the start on.
+    /// Waits for a log line that satisfies `test`; lines logged earlier count.
     ///
     /// # Errors
     ///
-    /// Fails when none comes within [`PATIENCE`].
+    /// Fails if there is none within [`WAIT_TIMEOUT`].
     pub async fn wait_line(&self, test: impl Fn(&str) -> bool) -> Result<String, ProcessError> {
-        let line = timeout(PATIENCE, log_line(&self.log, test)).await;
-        line.map_err(|_| self.late("such line"))
+        let line = timeout(WAIT_TIMEOUT, wait_for_line(&self.log, test)).await;
+        line.map_err(|_| self.timeout_error("matching log line"))
     }
 
     /// Sends `SIGTERM`, which asks for a graceful stop.
     ///
     /// # Errors
     ///
-    /// Fails when the system refuses.
+    /// Fails if the signal can't be sent.
     pub fn terminate(&self) -> Result<(), ProcessError> {
         self.signal(Signal::TERM)
     }
 
-    /// Sends `SIGHUP`, which asks to read the settings again.
+    /// Sends `SIGHUP`, which asks for a reload of the settings.
     ///
     /// # Errors
     ///
-    /// Fails when the system refuses.
+    /// Fails if the signal can't be sent.
     pub fn hang_up(&self) -> Result<(), ProcessError> {
         self.signal(Signal::HUP)
     }
 
-    /// Replaces its settings file.
+    /// Replaces the process's settings file.
     ///
     /// # Errors
     ///
-    /// Fails when the file can't be written.
+    /// Fails if the file can't be written.
     pub fn write_settings(&self, ini: &str) -> Result<(), ProcessError> {
-        self.folder.write(SETTINGS, ini)?;
+        self.folder.write(SETTINGS_FILE, ini)?;
         Ok(())
     }
 
-    /// Sends `SIGSTOP`: the process freezes, its sockets stay open.
+    /// Sends `SIGSTOP`, which suspends the process with its sockets open.
     ///
     /// # Errors
     ///
-    /// Fails when the system refuses.
+    /// Fails if the signal can't be sent.
     pub fn freeze(&self) -> Result<(), ProcessError> {
         self.signal(Signal::STOP)
     }
 
-    /// Sends `SIGCONT`.
+    /// Sends `SIGCONT`, which resumes a suspended process.
     ///
     /// # Errors
     ///
-    /// Fails when the system refuses.
+    /// Fails if the signal can't be sent.
     pub fn resume(&self) -> Result<(), ProcessError> {
         self.signal(Signal::CONT)
     }
 
-    /// Sends `SIGKILL` and waits for the end.
+    /// Sends `SIGKILL` and waits for the process to exit.
     ///
     /// # Errors
     ///
-    /// Fails when the system refuses, or keeps the process for longer than [`PATIENCE`].
+    /// Fails if the signal can't be sent, or the process takes longer than
+    /// [`WAIT_TIMEOUT`] to exit.
     pub async fn kill(mut self) -> Result<(), ProcessError> {
         self.child.kill()?;
-        match timeout(PATIENCE, ended(&mut self.child)).await {
+        match timeout(WAIT_TIMEOUT, wait_for_exit(&mut self.child)).await {
             Ok(status) => {
                 status?;
                 Ok(())
             }
-            Err(_) => Err(self.late("end after SIGKILL")),
+            Err(_) => Err(self.timeout_error("exit after SIGKILL")),
         }
     }
 
-    /// Waits for its end.
+    /// Waits for the process to exit.
     ///
     /// # Errors
     ///
-    /// Fails when it doesn't end within [`PATIENCE`].
+    /// Fails if the process does not exit within [`WAIT_TIMEOUT`].
     pub async fn wait(&mut self) -> Result<ExitStatus, ProcessError> {
-        match timeout(PATIENCE, ended(&mut self.child)).await {
+        match timeout(WAIT_TIMEOUT, wait_for_exit(&mut self.child)).await {
             Ok(status) => {
-                self.finish_log();
+                self.drain_log();
                 Ok(status?)
             }
-            Err(_) => Err(self.late("end")),
+            Err(_) => Err(self.timeout_error("exit")),
         }
     }
 
-    /// Whether it has ended by now.
+    /// Whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Reads what is left of the log of a process that has ended.
-    fn finish_log(&mut self) {
+    /// Reads the rest of the log after the process has exited.
+    fn drain_log(&mut self) {
         for reader in self.readers.drain(..) {
-            // A panic of the reader has printed itself.
+            // A panic in a reader has already been printed.
             let _ = reader.join();
         }
     }
 
     fn signal(&self, signal: Signal) -> Result<(), ProcessError> {
-        // The child wasn't waited for, so that its id can't be another process's.
+        // The child has not been reaped, so its id can't belong to another process.
         kill_process(Pid::from_child(&self.child), signal)?;
         Ok(())
     }
 
-    fn late(&self, event: &'static str) -> ProcessError {
-        ProcessError::Late(self.binary, event, self.state(), self.text())
+    fn timeout_error(&self, event: &'static str) -> ProcessError {
+        ProcessError::Timeout(self.binary, event, self.state(), self.log_text())
     }
 
-    /// What the kernel says of the process: what it waits for tells a stalled disk
-    /// from a process that is stuck by itself.
+    /// Kernel state of the process; its wait channel tells a stalled disk from a deadlock.
     fn state(&self) -> String {
         let folder = format!("/proc/{}", self.child.id());
         let read = |name: &str| fs::read_to_string(format!("{folder}/{name}"));
@@ -346,23 +347,23 @@
         }
     }
 
-    fn text(&self) -> String {
+    fn log_text(&self) -> String {
         self.log.all().join("\n")
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended already, which is as good.
+        // An error means that the process has already exited.
         let _ = self.child.kill();
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         while matches!(self.child.try_wait(), Ok(None)) && Instant::now() < end {
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
-async fn log_line(log: &Log, test: impl Fn(&str) -> bool) -> String {
+async fn wait_for_line(log: &Log, test: impl Fn(&str) -> bool) -> String {
     let mut changes = log.changes.subscribe();
     let mut seen = 0;
     loop {
@@ -371,16 +372,16 @@
             return line.clone();
         }
         seen = lines.len();
-        // The sender lives in `log`, so that this only ever wakes on a change.
+        // The sender is owned by `log`, so the channel can't be closed here.
         let _ = changes.wait_for(|count| *count > seen).await;
     }
 }
 
-async fn ended(child: &mut Child) -> io::Result<ExitStatus> {
+async fn wait_for_exit(child: &mut Child) -> io::Result<ExitStatus> {
     loop {
         if let Some(status) = child.try_wait()? {
             return Ok(status);
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/testutils/src/services.rs
+++ b/crates/testutils/src/services.rs
@@ -1,4 +1,4 @@
-//! The two users' services, as catalogue entries.
+//! Catalogue entries of the two example users' services.
 
 use std::time::Duration;
 
@@ -27,9 +27,9 @@
 const FERROVIE: &str = "Ferrovie Alpine Pianificazione";
 /// The Trust's owner in the catalogue.
 const TRUST: &str = "Caribbean Export Credit Trust";
-/// Probes one instance of Ferrovie may receive, in thousandths a second.
+/// Probe budget of one instance of Ferrovie, in thousandths of a probe per second.
 const FERROVIE_PROBES: u32 = 10_000;
-/// Probes one instance of the Trust may receive, a quarter of Ferrovie's.
+/// Probe budget of one instance of the Trust, in thousandths of a probe per second.
 const TRUST_PROBES: u32 = 2_500;
 
 /// All eight services.
@@ -60,11 +60,11 @@
     ]
 }
 
-/// An entry with the limits that tests use.
+/// Returns an entry with the limits that tests use.
 ///
 /// # Panics
 ///
-/// Panics when `service` is no name, which is a fault of the test.
+/// Panics if `service` is not a valid service name.
 #[must_use]
 pub fn entry(service: &str, owner: &str, class: Class, probes: u32) -> Entry {
     Entry {
--- a/crates/testutils/src/system.rs
+++ b/crates/testutils/src/system.rs
@@ -1,4 +1,4 @@
-//! A whole system of real processes.
+//! Starts a whole system of control replicas, directories and gateways as processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,56 +18,56 @@
 use crate::operator::OperatorError;
 use crate::plan::Plan;
 use crate::process::Binary;
-use crate::process::PATIENCE;
 use crate::process::Process;
 use crate::process::ProcessError;
+use crate::process::WAIT_TIMEOUT;
 use crate::upstream::Upstream;
 
-/// Pause between two looks.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 quick_error! {
-    /// Why a system isn't as a test needs it.
+    /// Why a system could not be started, or did not reach an expected state.
     #[derive(Debug)]
     pub enum SystemError {
-        /// The folder of the replicas' data.
+        /// The folder for the replicas' data can't be created.
         Folder(err: std::io::Error) {
             from()
             source(err)
             display("{err}")
         }
-        /// A process.
+        /// A process can't be started or used.
         Process(err: ProcessError) {
             from()
             source(err)
             display("{err}")
         }
-        /// The catalogue.
+        /// A change of the catalogue was not applied.
         Operator(err: OperatorError) {
             from()
             source(err)
             display("{err}")
         }
-        /// Something didn't come about within [`PATIENCE`].
-        Late(what: String) {
-            display("no {what} within {PATIENCE:?}")
+        /// A condition did not become true within [`WAIT_TIMEOUT`].
+        Timeout(what: String) {
+            display("no {what} within {WAIT_TIMEOUT:?}")
         }
     }
 }
 
-/// A system whose processes run; all are killed when it is dropped.
+/// A running system, whose processes are killed when it is dropped.
 pub struct System {
-    /// The settings of all processes.
+    /// Settings of all processes.
     pub plan: Plan,
-    /// The control replicas; `None` once taken.
+    /// The control replicas; `None` if taken out by the test.
     pub control: Vec<Option<Process>>,
-    /// The directories, by entry host.
+    /// The directories, by entry host; `None` if taken out by the test.
     pub directories: Vec<Option<Process>>,
-    /// The gateways, by entry host.
+    /// The gateways, by entry host; `None` if taken out by the test.
     pub gateways: Vec<Option<Process>>,
-    /// An operator of it.
+    /// An operator of the system.
     pub operator: Operator,
-    /// The version of the catalogue that was last applied here.
+    /// The catalogue version returned by the last [`apply`](Self::apply).
     pub version: u64,
 }
 
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when a process isn't ready in time.
+    /// Fails if a process is not ready in time, or the catalogue is not in force in time.
     pub async fn start(
         replicas: usize,
         entries: usize,
@@ -94,22 +94,22 @@
             plan,
         };
         for index in 0..replicas {
-            let process = system.new_control(index).await?;
+            let process = system.start_control(index).await?;
             system.control.push(Some(process));
         }
         for index in 0..entries {
-            let process = system.new_directory(index).await?;
+            let process = system.start_directory(index).await?;
             system.directories.push(Some(process));
         }
         for index in 0..entries {
-            let process = system.new_gateway(index).await?;
+            let process = system.start_gateway(index).await?;
             system.gateways.push(Some(process));
         }
-        system.found(catalogue).await?;
+        system.bootstrap(catalogue).await?;
         Ok(system)
     }
 
-    async fn found(&mut self, catalogue: &[Entry]) -> Result<(), SystemError> {
+    async fn bootstrap(&mut self, catalogue: &[Entry]) -> Result<(), SystemError> {
         let puts = catalogue.iter().map(|e| Kind::Put(e.to_wire()));
         let names = self.plan.names();
         let hosts = names.iter().map(|h| Kind::AddGateway(h.to_string()));
@@ -121,47 +121,47 @@
         Ok(())
     }
 
-    /// Applies `edits` on top of the version applied last; the new version.
+    /// Applies `edits` to the version applied last and returns the new version.
     ///
     /// # Errors
     ///
-    /// Fails when the change is refused.
+    /// Fails if the change is refused, or no replica confirms its outcome.
     pub async fn apply(&mut self, edits: Vec<Edit>) -> Result<u64, SystemError> {
         self.version = self.operator.apply(self.version, edits).await?;
         Ok(self.version)
     }
 
-    /// Starts the replica at `index` anew, with the data it has.
+    /// Starts the control replica at `index` with the data on its disk.
     ///
     /// # Errors
     ///
-    /// Fails when it isn't ready in time.
-    pub async fn new_control(&self, index: usize) -> Result<Process, SystemError> {
+    /// Fails if the process is not ready in time.
+    pub async fn start_control(&self, index: usize) -> Result<Process, SystemError> {
         let ini = self.plan.control[index].to_string();
         Ok(Process::start(Binary::Control, &ini).await?)
     }
 
-    /// Starts the directory at `index` anew.
+    /// Starts the directory at `index`.
     ///
     /// # Errors
     ///
-    /// Fails when it isn't ready in time.
-    pub async fn new_directory(&self, index: usize) -> Result<Process, SystemError> {
+    /// Fails if the process is not ready in time.
+    pub async fn start_directory(&self, index: usize) -> Result<Process, SystemError> {
         let ini = self.plan.directories[index].to_string();
         Ok(Process::start(Binary::Directory, &ini).await?)
     }
 
-    /// Starts the gateway at `index` anew.
+    /// Starts the gateway at `index`.
     ///
     /// # Errors
     ///
-    /// Fails when it isn't ready in time.
-    pub async fn new_gateway(&self, index: usize) -> Result<Process, SystemError> {
+    /// Fails if the process is not ready in time.
+    pub async fn start_gateway(&self, index: usize) -> Result<Process, SystemError> {
         let ini = self.plan.gateways[index].to_string();
         Ok(Process::start(Binary::Gateway, &ini).await?)
     }
 
-    /// The decisions that the gateways logged, for a failed test's report.
+    /// Decisions logged by the gateways, for the message of a failed assertion.
     #[must_use]
     pub fn decisions(&self) -> String {
         let lines = self.gateways.iter().flatten().flat_map(Process::lines);
@@ -169,24 +169,24 @@
         decisions.join("\n")
     }
 
-    /// Where callers connect to the gateway at `index`.
+    /// Address at which callers reach the gateway at `index`.
     #[must_use]
     pub fn gateway(&self, index: usize) -> SocketAddr {
         self.plan.gateways[index].http
     }
 
-    /// Where callers ask the directory at `index`.
+    /// HTTP address of the directory at `index`.
     #[must_use]
     pub fn directory(&self, index: usize) -> SocketAddr {
         self.plan.directories[index].http
     }
 
-    /// Waits until `version` or a later one is in force at the gateway at
-    /// `index`, and its directory says that it serves.
+    /// Waits until the directory at `index` reports that the gateway there is serving
+    /// with `version` or a later one in force.
     ///
     /// # Errors
     ///
-    /// Fails when that takes longer than [`PATIENCE`].
+    /// Fails if that takes longer than [`WAIT_TIMEOUT`].
     pub async fn wait_in_force(&self, index: usize, version: u64) -> Result<(), SystemError> {
         let directory = self.plan.directories[index].rpc;
         let name = self.plan.gateways[index].host.to_string();
@@ -199,11 +199,12 @@
         .await
     }
 
-    /// Starts stand-in `number` of `service` and waits until every gateway knows it.
+    /// Starts stand-in `number` of `service`, and waits until every gateway has learned
+    /// of it.
     ///
     /// # Errors
     ///
-    /// Fails when it isn't ready in time.
+    /// Fails if the process is not ready in time.
     pub async fn upstream(
         &mut self,
         service: &'static str,
@@ -213,11 +214,11 @@
         self.start_upstream(&settings).await
     }
 
-    /// Starts a stand-in with `settings` and waits until every gateway knows it.
+    /// Starts a stand-in with `settings`, and waits until every gateway has learned of it.
     ///
     /// # Errors
     ///
-    /// Fails when it isn't ready in time.
+    /// Fails if the process is not ready in time.
     pub async fn start_upstream(
         &self,
         settings: &standin::Settings,
@@ -230,11 +231,11 @@
         Ok(upstream)
     }
 
-    /// Waits until the gateway at `index` knows the instance.
+    /// Waits until the gateway at `index` has learned of the instance.
     ///
     /// # Errors
     ///
-    /// Fails when that takes longer than [`PATIENCE`].
+    /// Fails if that takes longer than [`WAIT_TIMEOUT`].
     pub async fn wait_instance(
         &self,
         index: usize,
@@ -244,17 +245,17 @@
         let address = self.plan.gateways[index].rpc;
         wait(&format!("{instance} at gateway {index}"), async || {
             let reply = operator::explain(address, service).await;
-            let known = reply.map(|r| r.candidates).unwrap_or_default();
-            known.iter().any(|c| c.instance == instance)
+            let candidates = reply.map(|r| r.candidates).unwrap_or_default();
+            candidates.iter().any(|c| c.instance == instance)
         })
         .await
     }
 
-    /// Waits until the directory at `index` names at least `count` gateways for `service`.
+    /// Waits until the directory at `index` returns at least `count` gateways for `service`.
     ///
     /// # Errors
     ///
-    /// Fails when that takes longer than [`PATIENCE`].
+    /// Fails if that takes longer than [`WAIT_TIMEOUT`].
     pub async fn wait_route(
         &self,
         index: usize,
@@ -263,35 +264,35 @@
     ) -> Result<Route, SystemError> {
         let caller = Caller::new();
         let address = self.directory(index);
-        let found = async || {
+        let find_route = async || {
             let route = caller.route(address, service).await;
             route.filter(|r| r.addresses.len() >= count)
         };
-        wait_some(&format!("route of {service}"), found).await
+        wait_some(&format!("route of {service}"), find_route).await
     }
 }
 
-/// Waits until `test` holds.
+/// Waits until `test` returns true.
 ///
 /// # Errors
 ///
-/// Fails, naming `what`, when that takes longer than [`PATIENCE`].
+/// Fails if that takes longer than [`WAIT_TIMEOUT`]; the error names `what`.
 pub async fn wait(what: &str, test: impl AsyncFn() -> bool) -> Result<(), SystemError> {
     wait_some(what, async || test().await.then_some(())).await
 }
 
-/// Waits until `find` finds something.
+/// Waits until `find` returns a value.
 ///
 /// # Errors
 ///
-/// Fails, naming `what`, when that takes longer than [`PATIENCE`].
+/// Fails if that takes longer than [`WAIT_TIMEOUT`]; the error names `what`.
 pub async fn wait_some<T>(what: &str, find: impl AsyncFn() -> Option<T>) -> Result<T, SystemError> {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < end {
         if let Some(found) = find().await {
             return Ok(found);
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
-    Err(SystemError::Late(what.into()))
+    Err(SystemError::Timeout(what.into()))
 }
--- a/crates/testutils/src/tables.rs
+++ b/crates/testutils/src/tables.rs
@@ -1,4 +1,4 @@
-//! Route tables over two services of stand-ins.
+//! Route tables for stand-in services.
 
 use base::prelude::*;
 use table::Host;
@@ -11,23 +11,23 @@
 
 /// The host name of all routes.
 pub const HOST: &str = "example.org";
-/// Requests below it may run more than once.
+/// Path prefix of idempotent requests.
 pub const READ: &str = "/read/";
-/// Requests below it may not.
+/// Path prefix of requests that must run at most once.
 pub const ONCE: &str = "/once/";
-/// The service of reads.
+/// The service of requests below [`READ`].
 pub const STATUS: &str = "status";
-/// The service of requests that run once.
+/// The service of requests below [`ONCE`].
 pub const GRANTS: &str = "grants";
-/// Requests below it may run more than once, and one of them crashes what runs it.
+/// Path prefix of idempotent requests to a service that [`CRASH`] crashes.
 pub const FRAGILE: &str = "/fragile/";
-/// That one.
+/// Path of a request that crashes the instance that runs it.
 pub const CRASH: &str = "/fragile/crash";
 /// The service of requests below [`FRAGILE`].
 pub const LOOKUPS: &str = "lookups";
-/// The path of the stand-ins' own health page.
+/// Path of the stand-ins' health page.
 const HEALTH: &str = "/rwr/load";
-/// Connections that one stand-in takes from everyone together.
+/// Connections that one stand-in accepts in total.
 const CONNECTIONS: u32 = 240;
 
 fn name(text: &str) -> ServiceName {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Reads go to one service, and requests that run once to the other.
+/// A table that routes reads to [`STATUS`] and requests below [`ONCE`] to [`GRANTS`].
 #[must_use]
 pub fn plain(version: u64) -> Table {
     let reads = Target::Service(name(STATUS));
@@ -75,7 +75,7 @@
     }
 }
 
-/// The first table with a third service.
+/// The [`plain`] table with a third service, for requests below [`FRAGILE`].
 #[must_use]
 pub fn with_fragile(version: u64) -> Table {
     let mut table = plain(version);
@@ -86,7 +86,7 @@
     table
 }
 
-/// The first table with reads split between both services.
+/// The [`plain`] table with reads split between both services by `weights`.
 #[must_use]
 pub fn split(version: u64, weights: [u32; 2]) -> Table {
     let mut table = plain(version);
@@ -99,7 +99,7 @@
     table
 }
 
-/// The first table without reads.
+/// The [`plain`] table without the route of reads.
 #[must_use]
 pub fn without_reads(version: u64) -> Table {
     let mut table = plain(version);
--- a/crates/testutils/src/upstream.rs
+++ b/crates/testutils/src/upstream.rs
@@ -1,4 +1,4 @@
-//! A stand-in as a process, with its record read over HTTP.
+//! A stand-in upstream as a process, queried and controlled over HTTP.
 
 use std::net::SocketAddr;
 
@@ -14,33 +14,33 @@
 use crate::system::SystemError;
 use crate::system::wait;
 
-/// What a stand-in says of itself.
+/// A stand-in's report on itself.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Record {
     /// Probes answered.
     pub probes: u64,
-    /// Requests that hold a slot or wait for one.
+    /// Requests that occupy a slot or wait for one.
     pub in_flight: u32,
-    /// Its runs, in the order of their starts.
+    /// Runs in the order of their starts.
     pub runs: Vec<Run>,
 }
 
 /// A running stand-in.
 pub struct Upstream {
-    /// The process.
+    /// The stand-in's process.
     pub process: Process,
-    /// Its instance name.
+    /// The instance's name.
     pub instance: String,
     address: SocketAddr,
     client: Client,
 }
 
 impl Upstream {
-    /// Starts one.
+    /// Starts a stand-in with `settings`.
     ///
     /// # Errors
     ///
-    /// Fails when it isn't ready in time.
+    /// Fails if the stand-in is not ready in time.
     pub async fn start(settings: &Settings) -> Result<Self, ProcessError> {
         let process = Process::start(Binary::Standin, &settings.to_string()).await?;
         Ok(Self {
@@ -51,42 +51,44 @@
         })
     }
 
-    /// Its record; empty when it gives none.
+    /// Fetches the stand-in's record; empty if the stand-in does not answer.
     pub async fn record(&self) -> Record {
         let url = format!("http://{}/standin/runs", self.address);
-        let Ok(answer) = self.client.get(url).send().await else {
+        let Ok(response) = self.client.get(url).send().await else {
             return Record::default();
         };
-        let body = answer.bytes().await.unwrap_or_default();
+        let body = response.bytes().await.unwrap_or_default();
         serde_json::from_slice(&body).unwrap_or_default()
     }
 
-    /// Its runs under `key`.
+    /// Runs of requests with the idempotency key `key`.
     pub async fn runs_of(&self, key: &str) -> Vec<Run> {
         let runs = self.record().await.runs.into_iter();
         runs.filter(|run| run.key == key).collect()
     }
 
-    /// Switches its fault.
+    /// Makes the stand-in behave as `fault` says.
     ///
     /// # Errors
     ///
-    /// Fails when it doesn't take it within the patience of tests.
+    /// Fails if the stand-in does not confirm within
+    /// [`WAIT_TIMEOUT`](crate::process::WAIT_TIMEOUT).
     pub async fn set_fault(&self, fault: Fault) -> Result<(), SystemError> {
         let url = format!("http://{}/standin/fault", self.address);
         let body = serde_json::to_vec(&fault).unwrap_or_default();
-        wait("switched fault", async || {
+        wait("confirmed change of the fault", async || {
             let send = self.client.post(&url).body(body.clone()).send();
-            send.await.is_ok_and(|answer| answer.status().is_success())
+            send.await
+                .is_ok_and(|response| response.status().is_success())
         })
         .await
     }
 
-    /// Waits until its record satisfies `test`.
+    /// Waits until the stand-in's record satisfies `test`.
     ///
     /// # Errors
     ///
-    /// Fails when that takes longer than the patience of tests.
+    /// Fails if that takes longer than [`WAIT_TIMEOUT`](crate::process::WAIT_TIMEOUT).
     pub async fn wait(
         &self,
         what: &str,
--- a/crates/testutils/tests/test_config.rs
+++ b/crates/testutils/tests/test_config.rs
@@ -1,4 +1,4 @@
-//! Configurations in force over kills, restarts and freezes of gateways.
+//! Guards against a restarted or resumed gateway that serves by an outdated catalogue.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use wire::catalogue::Edit;
 use wire::catalogue::edit::Kind;
 
-/// What is killed and started again around a change.
+/// Processes that are killed before a change and restarted after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Killed {
     Gateway,
@@ -22,7 +22,7 @@
     EntryAndLeader,
 }
 
-fn edit(queue: u32) -> Vec<Edit> {
+fn queue_edit(queue: u32) -> Vec<Edit> {
     let mut entry = services::ferrovie().remove(0);
     entry.limits.queue = queue;
     let kind = Some(Kind::Put(entry.to_wire()));
@@ -53,26 +53,26 @@
 async fn restart(system: &mut System) {
     for index in 0..system.control.len() {
         if system.control[index].is_none() {
-            system.control[index] = Some(system.new_control(index).await.unwrap());
+            system.control[index] = Some(system.start_control(index).await.unwrap());
         }
     }
     if system.directories[0].is_none() {
-        system.directories[0] = Some(system.new_directory(0).await.unwrap());
+        system.directories[0] = Some(system.start_directory(0).await.unwrap());
     }
-    system.gateways[0] = Some(system.new_gateway(0).await.unwrap());
+    system.gateways[0] = Some(system.start_gateway(0).await.unwrap());
 }
 
-/// Kills and restarts gateway 0 around each of a few changes; whenever it
-/// isn't fenced, what it has in force is at least what was in force before.
+/// Kills gateway 0 before each of several changes and restarts it after; unless fenced,
+/// the gateway must have the new version in force.
 async fn run(killed: Killed) {
     let mut system = System::start(3, 2, &services::all()).await.unwrap();
     let address = system.plan.gateways[0].rpc;
     for queue in 1..=3 {
         kill(&mut system, killed).await;
-        let version = system.apply(edit(queue)).await.unwrap();
+        let version = system.apply(queue_edit(queue)).await.unwrap();
         system.wait_in_force(1, version).await.unwrap();
         restart(&mut system).await;
-        // From its first breath on: fenced, or at the version that is in force elsewhere.
+        // From its first answer on, the gateway is fenced or at the new version.
         wait("unfenced gateway", async || {
             let Some(reply) = explain(address, services::STATUS).await else {
                 return false;
@@ -110,10 +110,10 @@
     let upstream = system.upstream(services::GRANTS, 0).await.unwrap();
     let frozen = system.gateways[0].take().unwrap();
     frozen.freeze().unwrap();
-    // Once its host's lease is over, the directories name it no more.
+    // Directories stop returning the gateway once its host's lease has expired.
     let directory = system.plan.directories[1].rpc;
     let name = system.plan.gateways[0].host.to_string();
-    wait("forgotten gateway", async || {
+    wait("directory without the frozen gateway", async || {
         let hosts = operator::hosts(directory).await;
         hosts.is_some_and(|hosts| !hosts.iter().any(|h| h.host == name))
     })
@@ -125,12 +125,13 @@
     let version = system.apply(vec![removal]).await.unwrap();
     system.wait_in_force(1, version).await.unwrap();
 
-    // Past its lease, whose clock went on; a longer wait only makes this safer.
+    // The lease also expires while the gateway is frozen.
     sleep(system.plan.gateways[0].lease.length + Duration::from_secs(1)).await;
-    // The call waits in the frozen process's socket and is its first when it goes on.
+    // The call waits in the frozen process's socket and is the first that it handles.
     let gateway = system.gateway(0);
-    let ask = Request::post(services::GRANTS, "/grants", "block 7").keyed(&testutils::new_key());
-    let call = tokio::spawn(async move { Caller::new().call(gateway, &ask).await });
+    let request =
+        Request::post(services::GRANTS, "/grants", "block 7").keyed(&testutils::new_key());
+    let call = tokio::spawn(async move { Caller::new().call(gateway, &request).await });
     frozen.resume().unwrap();
     let reply = call.await.unwrap();
     assert_eq!(reply.outcome, Some(Outcome::NotRun), "{reply:?}");
--- a/crates/testutils/tests/test_crash.rs
+++ b/crates/testutils/tests/test_crash.rs
@@ -1,4 +1,5 @@
-//! Requests that crash the upstreams that run them.
+//! Guards against a request that crashes one instance after another, and against a
+//! quarantine that refuses innocent requests.
 
 use futures::future::join_all;
 use testutils::Caller;
@@ -17,13 +18,13 @@
 const INSTANCES: usize = 10;
 /// Entry processes.
 const ENTRIES: usize = 3;
-/// Instances that a request may crash before it is known for it, and retries that may reach
-/// instances after that.
-const ALLOWED: usize = 3 + 3;
-/// What the stand-ins crash on.
+/// Crashes until a request is quarantined, plus retries that may still reach instances.
+const MAX_CRASHED: usize = 3 + 3;
+/// Path of the request that crashes a stand-in.
 const CRASH: &str = "/read/crash";
 
-/// Three hubs, entry processes with the table, and stand-ins that can be crashed.
+/// Starts three hubs, entry processes with the route table, and stand-ins that crash on
+/// [`CRASH`].
 async fn start() -> (Fleet, Vec<Upstream>) {
     let mut fleet = Fleet::start(3, ENTRIES).await.unwrap();
     fleet.layout.put(&tables::plain(1)).await.unwrap();
@@ -40,16 +41,16 @@
 }
 
 fn crashed(upstreams: &mut [Upstream]) -> usize {
-    let ended = upstreams.iter_mut().map(|u| u.process.has_ended());
-    ended.filter(|ended| *ended).count()
+    let exited = upstreams.iter_mut().map(|u| u.process.has_ended());
+    exited.filter(|exited| *exited).count()
 }
 
-/// Sends one request after the other, by way of all entry processes. The first two reach
-/// instances; once every process knows, none of the others does.
-async fn refused_everywhere(asks: Vec<Request>) {
+/// Sends the requests through all entry processes in turn. The first two reach instances;
+/// once every process has the quarantine, all later ones are refused.
+async fn check_refused_everywhere(requests: Vec<Request>) {
     let (fleet, mut upstreams) = start().await;
-    for (number, ask) in asks.iter().enumerate() {
-        let reply = fleet.call(number % ENTRIES, ask).await;
+    for (number, request) in requests.iter().enumerate() {
+        let reply = fleet.call(number % ENTRIES, request).await;
         if number < 2 {
             assert_eq!(reply.status, 502, "{reply:?}");
         } else {
@@ -57,42 +58,45 @@
         }
         if number == 1 {
             for process in fleet.entries.iter().flatten() {
-                process.wait_line(is_refusal).await.unwrap();
+                process.wait_line(is_quarantine).await.unwrap();
             }
         }
     }
     let ended = crashed(&mut upstreams);
-    assert!(ended <= ALLOWED, "{ended} of {INSTANCES} instances crashed");
+    assert!(
+        ended <= MAX_CRASHED,
+        "{ended} of {INSTANCES} instances crashed"
+    );
     for number in 0..ENTRIES {
-        let ask = Request::get(STATUS, &format!("/read/{number}")).at(HOST);
-        let reply = fleet.call(number, &ask).await;
+        let request = Request::get(STATUS, &format!("/read/{number}")).at(HOST);
+        let reply = fleet.call(number, &request).await;
         assert!(reply.is_ok(), "{reply:?}");
     }
 }
 
-fn is_refusal(line: &str) -> bool {
+fn is_quarantine(line: &str) -> bool {
     field(line, "msg") == Some("quarantine")
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_crash_request_that_crashes_instances_is_refused_by_every_entry_process() {
-    let ask = Request::get(STATUS, CRASH).at(HOST);
-    refused_everywhere(vec![ask; 12]).await;
+    let request = Request::get(STATUS, CRASH).at(HOST);
+    check_refused_everywhere(vec![request; 12]).await;
 }
 
-/// Each time another caller sends it, with another query.
+/// Each request comes from another caller and has another query.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_crash_request_of_changing_callers_is_refused_by_every_entry_process() {
     let callers = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"];
-    let asks = callers.into_iter().map(|caller| Request {
+    let requests = callers.into_iter().map(|caller| Request {
         caller,
         ..Request::get(STATUS, &format!("{CRASH}?try={caller}")).at(HOST)
     });
-    refused_everywhere(asks.collect()).await;
+    check_refused_everywhere(requests.collect()).await;
 }
 
-/// Under each of several requests two instances crash, and one more request is under
-/// all of them again and again.
+/// Several requests crash two instances each, while another request runs beside them
+/// every time; that one must not be quarantined.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_crash_request_beside_those_that_crash_instances_is_served() {
     let (fleet, mut upstreams) = start().await;
@@ -108,23 +112,24 @@
     }
     assert!(crashed(&mut upstreams) <= INSTANCES - 2);
     for index in 0..ENTRIES {
-        let ask = Request::get(STATUS, "/read/same").at(HOST);
-        wait("answer", async || fleet.call(index, &ask).await.is_ok())
+        let request = Request::get(STATUS, "/read/same").at(HOST);
+        wait("answer", async || fleet.call(index, &request).await.is_ok())
             .await
             .unwrap();
     }
 }
 
-/// Every hub is killed at once, and the entry process that is asked then started after that.
+/// The quarantine must survive the loss of every hub, and reach an entry process that
+/// starts after that.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_crash_refusal_outlives_every_hub_and_reaches_new_entry_processes() {
     let (mut fleet, mut upstreams) = start().await;
-    let ask = Request::get(STATUS, CRASH).at(HOST);
+    let request = Request::get(STATUS, CRASH).at(HOST);
     for number in 0..4 {
-        fleet.call(number % ENTRIES, &ask).await;
+        fleet.call(number % ENTRIES, &request).await;
     }
-    wait("refused at the first", async || {
-        fleet.call(0, &ask).await.status == 503
+    wait("refusal at the first entry process", async || {
+        fleet.call(0, &request).await.status == 503
     })
     .await
     .unwrap();
@@ -139,16 +144,16 @@
     fleet.entries[2]
         .as_ref()
         .unwrap()
-        .wait_line(is_refusal)
+        .wait_line(is_quarantine)
         .await
         .unwrap();
     let before = crashed(&mut upstreams);
-    let reply = fleet.call(2, &ask).await;
+    let reply = fleet.call(2, &request).await;
     assert_eq!((reply.status, &*reply.body), (503, "quarantined"));
     assert_eq!(crashed(&mut upstreams), before);
 }
 
-/// The same by way of gateways, whose requests name a service in place of a path.
+/// The same through gateways, whose requests name a service instead of a path.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_crash_request_that_crashes_instances_is_refused_by_every_gateway() {
     let mut system = System::start(1, 2, &services::all()).await.unwrap();
@@ -159,10 +164,15 @@
         upstreams.push(system.start_upstream(&settings).await.unwrap());
     }
     for number in 0..12 {
-        let ask = Request::get(services::STATUS, CRASH);
-        let reply = Caller::new().call(system.gateway(number % 2), &ask).await;
+        let request = Request::get(services::STATUS, CRASH);
+        let reply = Caller::new()
+            .call(system.gateway(number % 2), &request)
+            .await;
         assert!(matches!(reply.status, 502 | 503), "{reply:?}");
     }
     let ended = crashed(&mut upstreams);
-    assert!(ended <= ALLOWED, "{ended} of {INSTANCES} instances crashed");
+    assert!(
+        ended <= MAX_CRASHED,
+        "{ended} of {INSTANCES} instances crashed"
+    );
 }
--- a/crates/testutils/tests/test_examples.rs
+++ b/crates/testutils/tests/test_examples.rs
@@ -1,4 +1,4 @@
-//! The settings that the tutorial uses are settings that the binaries take.
+//! Guards against example settings in the documentation that the binaries reject.
 
 use std::fs;
 use std::path::PathBuf;
--- a/crates/testutils/tests/test_fleet.rs
+++ b/crates/testutils/tests/test_fleet.rs
@@ -1,5 +1,5 @@
-//! Hubs and entry processes as processes: tables, splits, leaving upstreams,
-//! reused addresses, reloads, and the loss of every hub.
+//! Tests of hubs and entry processes as processes: route tables, splits, draining
+//! upstreams, reused addresses, reloads, and the loss of every hub.
 
 use std::fs;
 
@@ -26,7 +26,7 @@
     Request::post(GRANTS, &format!("/once/{number}"), "block 7").at(HOST)
 }
 
-/// Three hubs and two entry processes with the table in force.
+/// Starts three hubs and two entry processes with the route table in force.
 async fn start() -> Fleet {
     let fleet = Fleet::start(3, 2).await.unwrap();
     fleet.layout.put(&tables::plain(1)).await.unwrap();
@@ -36,12 +36,14 @@
     fleet
 }
 
-/// Calls until an upstream's own answer comes.
-async fn served(fleet: &Fleet, index: usize, ask: &Request) -> Reply {
-    wait("served call", async || fleet.call(index, ask).await.is_ok())
-        .await
-        .unwrap();
-    fleet.call(index, ask).await
+/// Waits until calls succeed, and returns the reply to one more call.
+async fn call_when_served(fleet: &Fleet, index: usize, request: &Request) -> Reply {
+    wait("served call", async || {
+        fleet.call(index, request).await.is_ok()
+    })
+    .await
+    .unwrap();
+    fleet.call(index, request).await
 }
 
 async fn runs(upstream: &Upstream) -> usize {
@@ -65,24 +67,24 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn test_fleet_leaving_upstream_gets_nothing_more() {
     let mut fleet = start().await;
-    let mut leaving = fleet.upstream(STATUS, 0).await.unwrap();
+    let mut draining = fleet.upstream(STATUS, 0).await.unwrap();
     let _other = fleet.upstream(STATUS, 1).await.unwrap();
-    leaving.process.terminate().unwrap();
+    draining.process.terminate().unwrap();
     for index in 0..2 {
         let process = fleet.entries[index].as_ref().unwrap();
-        let told = |line: &str| {
+        let is_draining = |line: &str| {
             field(line, "phase") == Some("PHASE_DRAINING")
                 && field(line, "instance").is_some_and(|id| id.starts_with("status-0:"))
         };
-        process.wait_line(told).await.unwrap();
+        process.wait_line(is_draining).await.unwrap();
     }
-    let before = runs(&leaving).await;
+    let before = runs(&draining).await;
     for number in 0..20 {
         let reply = fleet.call(number % 2, &read(number)).await;
         assert!(reply.is_ok(), "{reply:?}");
     }
-    assert_eq!(runs(&leaving).await, before);
-    assert!(leaving.process.wait().await.unwrap().success());
+    assert_eq!(runs(&draining).await, before);
+    assert!(draining.process.wait().await.unwrap().success());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -90,9 +92,9 @@
     let mut fleet = start().await;
     let settings = fleet.layout.upstream(STATUS, 0);
     let killed = fleet.start_upstream(&settings).await.unwrap();
-    assert!(served(&fleet, 0, &read(0)).await.is_ok());
+    assert!(call_when_served(&fleet, 0, &read(0)).await.is_ok());
     killed.process.kill().await.unwrap();
-    // Another service's instance takes the address at once.
+    // An instance of another service takes over the address at once.
     let mut other = settings.clone();
     other.service = ServiceName::new(GRANTS).unwrap();
     other.instance = InstanceId::new("grants-9").unwrap();
@@ -102,7 +104,7 @@
         assert!(!reply.is_ok(), "{reply:?}");
     }
     assert_eq!(runs(&other).await, 0);
-    assert!(served(&fleet, 0, &once(1)).await.is_ok());
+    assert!(call_when_served(&fleet, 0, &once(1)).await.is_ok());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -143,7 +145,7 @@
 async fn test_fleet_serves_on_without_hubs_and_takes_the_newest_table_after() {
     let mut fleet = start().await;
     let _upstream = fleet.upstream(STATUS, 0).await.unwrap();
-    assert!(served(&fleet, 0, &read(0)).await.is_ok());
+    assert!(call_when_served(&fleet, 0, &read(0)).await.is_ok());
     for index in 0..3 {
         fleet.hubs[index].take().unwrap().kill().await.unwrap();
     }
@@ -151,7 +153,7 @@
         let reply = fleet.call(number % 2, &read(number)).await;
         assert!(reply.is_ok(), "{reply:?}");
     }
-    // A majority is back: what was accepted is still there, and what is new comes.
+    // With a majority of hubs restarted, a new table is accepted and distributed.
     for index in 0..2 {
         fleet.hubs[index] = Some(fleet.start_hub(index).await.unwrap());
     }
@@ -168,8 +170,8 @@
     fleet.hubs[0].take().unwrap().kill().await.unwrap();
     fs::remove_dir_all(&fleet.layout.hubs[0].data).unwrap();
     fleet.layout.hubs[0].found = false;
-    let emptied = fleet.start_hub(0).await.unwrap();
-    fleet.hubs[0] = Some(emptied);
+    let emptied_hub = fleet.start_hub(0).await.unwrap();
+    fleet.hubs[0] = Some(emptied_hub);
     let replicas = fleet.layout.hubs.iter().map(|plan| plan.control().rpc);
     let operator = Operator::new(&replicas.collect::<Vec<_>>());
     wait("emptied hub among the voters", async || {
@@ -178,11 +180,11 @@
     })
     .await
     .unwrap();
-    // It counts: with another hub lost, there still is a majority.
+    // The rejoined hub counts as a voter: with another hub lost, there is still a majority.
     fleet.hubs[1].take().unwrap().kill().await.unwrap();
     fleet.layout.put(&tables::plain(2)).await.unwrap();
     fleet.wait_table(0, 2).await.unwrap();
-    assert!(served(&fleet, 0, &read(0)).await.is_ok());
+    assert!(call_when_served(&fleet, 0, &read(0)).await.is_ok());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -190,14 +192,14 @@
     let mut fleet = start().await;
     let process = fleet.entries[0].take().unwrap();
     process.hang_up().unwrap();
-    let reloaded = |line: &str| field(line, "msg") == Some("settings reloaded");
-    let line = process.wait_line(reloaded).await.unwrap();
+    let is_reloaded = |line: &str| field(line, "msg") == Some("settings reloaded");
+    let line = process.wait_line(is_reloaded).await.unwrap();
     assert_eq!(field(&line, "restart_needed"), Some("false"), "{line}");
-    // A file that can't be read changes nothing.
+    // An invalid settings file is rejected and changes nothing.
     process.write_settings("[entry]\nspread = many\n").unwrap();
-    let refused = |line: &str| field(line, "msg") == Some("settings not reloaded");
-    process.wait_line(refused).await.unwrap();
+    let is_rejected = |line: &str| field(line, "msg") == Some("settings not reloaded");
+    process.wait_line(is_rejected).await.unwrap();
     fleet.entries[0] = Some(process);
     let _upstream = fleet.upstream(STATUS, 0).await.unwrap();
-    assert!(served(&fleet, 0, &read(0)).await.is_ok());
+    assert!(call_when_served(&fleet, 0, &read(0)).await.is_ok());
 }
--- a/crates/testutils/tests/test_freeze.rs
+++ b/crates/testutils/tests/test_freeze.rs
@@ -1,4 +1,4 @@
-//! A gateway frozen with claims in hand and resumed past their hold.
+//! Guards against requests that run twice when a gateway or an upstream freezes and resumes.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 use testutils::services;
 use testutils::system::wait;
 
-/// Grants that are sent when the gateway freezes.
+/// Grants in flight when the gateway freezes.
 const GRANTS: usize = 20;
-/// Deadline of each send; claims are held a few seconds longer.
+/// Deadline of each request; claims are held a few seconds longer.
 const DEADLINE: Duration = Duration::from_secs(1);
 
-async fn send(system: &System, entry: usize, ask: &Request) -> Reply {
-    Caller::new().call(system.gateway(entry), ask).await
+async fn send(system: &System, entry: usize, request: &Request) -> Reply {
+    Caller::new().call(system.gateway(entry), request).await
 }
 
-/// Sends again through gateway 1 until the reply says more than that the key is in flight.
-async fn settle(system: &System, ask: &Request) {
+/// Resends through gateway 1 until the reply is final, that is, the key is not in flight.
+async fn resend_until_settled(system: &System, request: &Request) {
     wait("settled key", async || {
-        let reply = send(system, 1, ask).await;
+        let reply = send(system, 1, request).await;
         reply.is_ok() || (reply.outcome == Some(Outcome::Unknown) && reply.reason != "in-flight")
     })
     .await
@@ -40,38 +40,38 @@
         let upstream = system.start_upstream(&settings).await.unwrap();
         upstreams.push(upstream);
     }
-    let asks = (0..GRANTS).map(|i| {
+    let requests = (0..GRANTS).map(|i| {
         Request::post(services::GRANTS, &format!("/grants/{i}"), "block 7")
             .keyed(&testutils::new_key())
             .within(DEADLINE)
     });
-    let asks: Vec<Request> = asks.collect();
+    let requests: Vec<Request> = requests.collect();
 
-    // The freeze hits claims, sends and runs at whatever point they are.
+    // The freeze interrupts the requests at different stages: claim, send and run.
     let first = system.gateways[0].as_ref().unwrap();
     let gateway = system.gateway(0);
-    let calls: Vec<_> = asks
+    let calls: Vec<_> = requests
         .iter()
         .cloned()
-        .map(|ask| tokio::spawn(async move { Caller::new().call(gateway, &ask).await }))
+        .map(|request| tokio::spawn(async move { Caller::new().call(gateway, &request).await }))
         .collect();
     first
         .wait_line(|l| l.contains("msg=claim") && l.contains("found=granted"))
         .await
         .unwrap();
     first.freeze().unwrap();
-    for ask in &asks {
-        settle(&system, ask).await;
+    for request in &requests {
+        resend_until_settled(&system, request).await;
     }
     first.resume().unwrap();
     for call in calls {
-        // Any word is allowed here but a second run.
+        // Any reply is allowed; only a second run is a failure.
         let _ = call.await.unwrap();
     }
-    // After a resumed gateway has answered anew, nothing old is left in it.
+    // Once the resumed gateway is serving again, it has finished all earlier work.
     system.wait_in_force(0, system.version).await.unwrap();
-    for ask in &asks {
-        let key = ask.key.as_deref().unwrap();
+    for request in &requests {
+        let key = request.key.as_deref().unwrap();
         let mut runs = vec![];
         for upstream in &upstreams {
             runs.extend(upstream.runs_of(key).await);
@@ -82,18 +82,19 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_freeze_upstream_then_resend() {
-    // A frozen upstream takes connections and answers nobody; its grant is resent elsewhere.
+    // A frozen upstream accepts connections but does not answer; the grant is resent
+    // through another gateway.
     let mut system = System::start(3, 2, &services::all()).await.unwrap();
     let mut settings = system.plan.standin(services::GRANTS, 0);
     settings.cancel = false;
     let upstream = system.start_upstream(&settings).await.unwrap();
     upstream.process.freeze().unwrap();
-    let ask = Request::post(services::GRANTS, "/grants", "block 7");
-    let ask = ask.keyed(&testutils::new_key()).within(DEADLINE);
-    let first = send(&system, 0, &ask).await;
+    let request = Request::post(services::GRANTS, "/grants", "block 7");
+    let request = request.keyed(&testutils::new_key()).within(DEADLINE);
+    let first = send(&system, 0, &request).await;
     assert!(!first.is_ok(), "{first:?}");
     upstream.process.resume().unwrap();
-    settle(&system, &ask).await;
-    let runs = upstream.runs_of(ask.key.as_deref().unwrap()).await;
+    resend_until_settled(&system, &request).await;
+    let runs = upstream.runs_of(request.key.as_deref().unwrap()).await;
     assert!(runs.len() <= 1, "{runs:?}\n{}", system.decisions());
 }
--- a/crates/testutils/tests/test_once.rs
+++ b/crates/testutils/tests/test_once.rs
@@ -1,5 +1,5 @@
-//! A grant sent again through another gateway, with real processes killed
-//! at chosen points: the upstreams' own records show at most one run.
+//! Guards against a non-idempotent request that runs twice when it is resent through
+//! another gateway, also if the first gateway is killed at some point of the call.
 
 use std::time::Duration;
 
@@ -17,98 +17,98 @@
 use testutils::system::wait;
 use tokio::task::JoinHandle;
 
-/// Deadline of each send; a claim is held a few seconds longer.
+/// Deadline of each request; a claim is held a few seconds longer.
 const DEADLINE: Duration = Duration::from_secs(5);
-/// The gateway of the first send.
+/// Index of the gateway that gets the first send.
 const FIRST: usize = 0;
-/// The gateway of the resend.
+/// Index of the gateway that gets the resends.
 const SECOND: usize = 1;
 
-/// When the grant is sent again.
+/// Point of the first send at which the grant is resent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Point {
-    /// While the first run is under way.
+    /// While the upstream runs the request.
     Running,
-    /// After the first send was answered.
+    /// After the upstream has completed the request.
     Done,
-    /// After the first gateway was killed before its request reached the upstream.
+    /// After the first gateway was killed before the request reached the upstream.
     KilledBefore,
-    /// After it was killed while the upstream ran.
+    /// After the first gateway was killed while the upstream ran the request.
     KilledDuring,
-    /// After it was killed between the upstream's run and its answer.
+    /// After the first gateway was killed between the end of the run and the response.
     KilledAfter,
 }
 
-/// What the caller must learn from the resend in the end.
+/// Final reply that the resending caller must get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Learns {
-    /// The first run's answer.
+enum Expected {
+    /// The response of the first run.
     Answer,
-    /// That nobody can tell.
+    /// The outcome `Unknown`.
     Unknown,
-    /// Either the answer or that nobody can tell.
+    /// Either of these.
     Either,
 }
 
 struct Case {
     point: Point,
     runs: std::ops::RangeInclusive<usize>,
-    learns: Learns,
+    expected: Expected,
 }
 
 const CASES: [Case; 5] = [
     Case {
         point: Point::Running,
         runs: 1..=1,
-        learns: Learns::Answer,
+        expected: Expected::Answer,
     },
     Case {
         point: Point::Done,
         runs: 1..=1,
-        learns: Learns::Answer,
+        expected: Expected::Answer,
     },
     Case {
         point: Point::KilledBefore,
         runs: 0..=1,
-        learns: Learns::Either,
+        expected: Expected::Either,
     },
     Case {
         point: Point::KilledDuring,
         runs: 1..=1,
-        learns: Learns::Unknown,
+        expected: Expected::Unknown,
     },
     Case {
         point: Point::KilledAfter,
         runs: 1..=1,
-        learns: Learns::Unknown,
+        expected: Expected::Unknown,
     },
 ];
 
 struct Trial {
     system: System,
     upstream: Upstream,
-    ask: Request,
+    request: Request,
 }
 
 impl Trial {
     async fn start() -> Self {
         let mut system = System::start(3, 2, &services::all()).await.unwrap();
         let mut settings = system.plan.standin(services::GRANTS, 0);
-        // It finishes what it began, so that nothing hides a second run.
+        // Runs are not cancelled with the connection, so that a second run would show.
         settings.cancel = false;
         let upstream = system.start_upstream(&settings).await.unwrap();
-        let ask = Request::post(services::GRANTS, "/grants", "block 7");
-        let ask = ask.keyed(&testutils::new_key()).within(DEADLINE);
+        let request = Request::post(services::GRANTS, "/grants", "block 7");
+        let request = request.keyed(&testutils::new_key()).within(DEADLINE);
         Self {
             system,
             upstream,
-            ask,
+            request,
         }
     }
 
     fn send(&self, entry: usize) -> JoinHandle<Reply> {
-        let (gateway, ask) = (self.system.gateway(entry), self.ask.clone());
-        tokio::spawn(async move { Caller::new().call(gateway, &ask).await })
+        let (gateway, request) = (self.system.gateway(entry), self.request.clone());
+        tokio::spawn(async move { Caller::new().call(gateway, &request).await })
     }
 
     async fn fault(&self, kind: FaultKind) {
@@ -116,9 +116,9 @@
     }
 
     async fn wait_run(&self, state: RunState) {
-        let begun = |runs: &[Run]| runs.iter().any(|run| run.state == state);
+        let has_state = |runs: &[Run]| runs.iter().any(|run| run.state == state);
         self.upstream
-            .wait("run", |record| begun(&record.runs))
+            .wait("run", |record| has_state(&record.runs))
             .await
             .unwrap();
     }
@@ -128,7 +128,7 @@
         process.kill().await.unwrap();
     }
 
-    /// Brings the first send to `point`; its reply, when it has one.
+    /// Brings the first send to `point`; returns its task if a reply is still expected.
     async fn reach(&mut self, point: Point) -> Option<JoinHandle<Reply>> {
         match point {
             Point::Running => {
@@ -144,15 +144,15 @@
             }
             Point::KilledBefore => {
                 self.upstream.process.freeze().unwrap();
-                let claimed = self.system.gateways[FIRST].as_ref().unwrap();
+                let gateway = self.system.gateways[FIRST].as_ref().unwrap();
                 let first = self.send(FIRST);
-                claimed
+                gateway
                     .wait_line(|l| l.contains("msg=claim") && l.contains("found=granted"))
                     .await
                     .unwrap();
                 self.kill_first().await;
-                let lost = first.await.unwrap();
-                assert!(!lost.is_ok(), "{lost:?}");
+                let first_reply = first.await.unwrap();
+                assert!(!first_reply.is_ok(), "{first_reply:?}");
                 self.upstream.process.resume().unwrap();
                 None
             }
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Sends again until the reply says more than that the key is in flight.
+    /// Resends until the reply is final; returns all replies.
     async fn resend(&self) -> Vec<Reply> {
         let replies = std::sync::Mutex::new(vec![]);
         wait("settled key", async || {
@@ -198,7 +198,7 @@
 async fn run(case: &Case) {
     let point = case.point;
     let mut trial = Trial::start().await;
-    let key = trial.ask.key.clone().unwrap();
+    let key = trial.request.key.clone().unwrap();
     let first = trial.reach(point).await;
     if point == Point::Running {
         let reply = trial.send(SECOND).await.unwrap();
@@ -216,10 +216,10 @@
 
     let runs = trial.upstream.runs_of(&key).await;
     assert!(case.runs.contains(&runs.len()), "{point:?} {runs:?}");
-    match case.learns {
-        Learns::Answer => assert!(last.is_ok(), "{point:?} {last:?}"),
-        Learns::Unknown => assert_eq!(last.outcome, Some(Outcome::Unknown), "{point:?}"),
-        Learns::Either => {
+    match case.expected {
+        Expected::Answer => assert!(last.is_ok(), "{point:?} {last:?}"),
+        Expected::Unknown => assert_eq!(last.outcome, Some(Outcome::Unknown), "{point:?}"),
+        Expected::Either => {
             let unknown = last.outcome == Some(Outcome::Unknown);
             assert!(last.is_ok() || unknown, "{point:?} {last:?}");
         }
@@ -228,9 +228,9 @@
         assert!(first.is_ok(), "{point:?} {first:?}");
         assert_eq!(first.receipt(), last.receipt(), "{point:?}");
     }
-    // Whoever was told that it was not run was told the truth.
-    let told = replies.iter().any(|r| r.outcome == Some(Outcome::NotRun));
-    assert!(!told || runs.len() <= 1, "{point:?} {replies:?}");
+    // A reply of `NotRun` must not be followed by more than one run.
+    let claimed_not_run = replies.iter().any(|r| r.outcome == Some(Outcome::NotRun));
+    assert!(!claimed_not_run || runs.len() <= 1, "{point:?} {replies:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/testutils/tests/test_path.rs
+++ b/crates/testutils/tests/test_path.rs
@@ -1,4 +1,5 @@
-//! The whole path with separate processes: change, announce, ask, call, answer.
+//! The whole path through separate processes: catalogue change, announcement, route,
+//! call and response.
 
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
 use testutils::Caller;
 use testutils::Request;
 use testutils::System;
-use testutils::process::PATIENCE;
+use testutils::process::WAIT_TIMEOUT;
 use testutils::services;
 use tokio::time::timeout;
 
@@ -21,35 +22,36 @@
     let register = system.upstream(services::REGISTER, 0).await.unwrap();
     let caller = Caller::new();
 
-    // A directory names gateways over failure domains, and says how long that may be kept.
+    // The route spreads over failure domains and states how long it may be cached.
     let route = system.wait_route(0, services::GRANTS, 2).await.unwrap();
     assert!(route.max_age_ms > 0);
     let domains: Vec<&str> = route.addresses.iter().map(|a| a.domain.as_str()).collect();
     assert!(domains.contains(&"milano") && domains.contains(&"torino"));
 
-    // A grant goes by way of the first of them, and its answer is its own.
-    let ask = Request::post(services::GRANTS, "/grants", "block 7").keyed(&testutils::new_key());
-    let reply = caller.call(route.addresses[0].address, &ask).await;
+    // A grant through the first gateway gets the response to its own request.
+    let request =
+        Request::post(services::GRANTS, "/grants", "block 7").keyed(&testutils::new_key());
+    let reply = caller.call(route.addresses[0].address, &request).await;
     assert!(reply.is_ok(), "{reply:?}");
     let receipt = reply.receipt().unwrap();
     assert_eq!(receipt.echo, "block 7");
-    assert_eq!(receipt.caller, ask.caller);
+    assert_eq!(receipt.caller, request.caller);
     let runs = grants.runs_of(&receipt.key).await;
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].state, RunState::Done);
     assert!(!runs[0].request.is_empty());
     assert_eq!(runs[0].attempt, "1");
 
-    // An archive answer arrives whole, and by range.
-    let ask = Request::get(services::REGISTER, "/archive/1970");
-    let reply = caller.call(system.gateway(1), &ask).await;
+    // A large response arrives complete, and by range.
+    let request = Request::get(services::REGISTER, "/archive/1970");
+    let reply = caller.call(system.gateway(1), &request).await;
     assert!(reply.is_ok(), "{} {}", reply.status, reply.reason);
     assert!(reply.body == archive::bytes("/archive/1970", 0..256 * 1024));
-    let ask = Request {
+    let request = Request {
         range: Some("bytes=1000-1999".into()),
-        ..ask
+        ..request
     };
-    let reply = caller.call(system.gateway(0), &ask).await;
+    let reply = caller.call(system.gateway(0), &request).await;
     assert_eq!(reply.status, 206);
     assert!(reply.body == archive::bytes("/archive/1970", 1000..2000));
     assert_eq!(register.record().await.runs.len(), 2);
@@ -70,16 +72,16 @@
             413,
         ),
     ];
-    for (ask, status) in cases {
-        let reply = caller.call(system.gateway(0), &ask).await;
-        assert_eq!(reply.status, status, "{} {reply:?}", ask.path);
+    for (request, status) in cases {
+        let reply = caller.call(system.gateway(0), &request).await;
+        assert_eq!(reply.status, status, "{} {reply:?}", request.path);
         assert_eq!(
             reply.outcome,
             Some(Outcome::NotRun),
             "{} {reply:?}",
-            ask.path
+            request.path
         );
-        assert!(!reply.reason.is_empty(), "{}", ask.path);
+        assert!(!reply.reason.is_empty(), "{}", request.path);
     }
     assert_eq!(
         caller
@@ -100,15 +102,15 @@
         .set_fault(Fault::new(FaultKind::Stall))
         .await
         .unwrap();
-    let ask = Request::get(services::STATUS, "/block/7");
+    let request = Request::get(services::STATUS, "/block/7");
     let caller = Caller::new();
     let gateway = system.gateway(0);
-    let call = tokio::spawn(async move { caller.call(gateway, &ask).await });
+    let call = tokio::spawn(async move { caller.call(gateway, &request).await });
     status
         .wait("a run", |record| record.runs.len() == 1)
         .await
         .unwrap();
-    // The caller leaves, and the upstream's work ends with it.
+    // The caller disconnects, which must cancel the upstream's work.
     call.abort();
     status
         .wait("a cancelled run", |r| {
@@ -127,15 +129,15 @@
         .set_fault(Fault::new(FaultKind::Stall))
         .await
         .unwrap();
-    let ask = Request::get(services::STATUS, "/block/7").within(Duration::from_secs(2));
+    let request = Request::get(services::STATUS, "/block/7").within(Duration::from_secs(2));
     let caller = Caller::new();
-    let call = caller.call(system.gateway(0), &ask);
-    let reply = timeout(PATIENCE, call).await.unwrap();
+    let call = caller.call(system.gateway(0), &request);
+    let reply = timeout(WAIT_TIMEOUT, call).await.unwrap();
     assert_eq!(reply.status, 504, "{reply:?}");
-    let over = [RunState::Expired, RunState::Cancelled];
+    let ended_states = [RunState::Expired, RunState::Cancelled];
     status
         .wait("an ended run", |r| {
-            !r.runs.is_empty() && r.runs.iter().all(|run| over.contains(&run.state))
+            !r.runs.is_empty() && r.runs.iter().all(|run| ended_states.contains(&run.state))
         })
         .await
         .unwrap();
--- a/crates/testutils/tests/test_process.rs
+++ b/crates/testutils/tests/test_process.rs
@@ -1,4 +1,4 @@
-//! Processes as tests start, watch and end them.
+//! Tests of the process handle: start, log, signals and exit.
 
 use std::time::Duration;
 
@@ -31,15 +31,15 @@
 #[tokio::test]
 async fn test_process_restart_on_same_address() {
     let host = Host::new();
-    let ask = Request::post("grants", "/grant", "block 7").keyed("k1");
+    let request = Request::post("grants", "/grant", "block 7").keyed("k1");
     for _ in 0..2 {
         let process = start(&host).await;
         let address = process.address("address").unwrap();
         assert_eq!(address, host.at(7300));
-        let reply = Caller::new().call(address, &ask).await;
+        let reply = Caller::new().call(address, &request).await;
         assert_eq!(reply.receipt().unwrap().echo, "block 7");
         process.kill().await.unwrap();
-        assert_eq!(Caller::new().call(address, &ask).await.status, 0);
+        assert_eq!(Caller::new().call(address, &request).await.status, 0);
     }
 }
 
@@ -61,8 +61,8 @@
     let address = process.address("address").unwrap();
     process.freeze().unwrap();
     let call = tokio::spawn(async move {
-        let ask = Request::get("grants", "/status");
-        Caller::new().call(address, &ask).await
+        let request = Request::get("grants", "/status");
+        Caller::new().call(address, &request).await
     });
     process.resume().unwrap();
     assert!(call.await.unwrap().is_ok());
@@ -72,7 +72,7 @@
 async fn test_process_bad_settings() {
     let started = Process::start(Binary::Standin, "[standin]\nslots = none\n").await;
     let Err(ProcessError::Ended(Binary::Standin, log)) = started else {
-        panic!("it must end");
+        panic!("the process must exit");
     };
     assert!(log.contains("slots"), "{log}");
 }
--- a/crates/testutils/tests/test_stop.rs
+++ b/crates/testutils/tests/test_stop.rs
@@ -1,5 +1,5 @@
-//! Graceful stops with calls in flight: none is cut, and callers who kept an
-//! old answer are still served.
+//! Guards against graceful stops that abort calls in flight, or refuse callers that use
+//! a cached route.
 
 use standin::Fault;
 use standin::FaultKind;
@@ -32,18 +32,18 @@
     slot.take().unwrap()
 }
 
-async fn hold(upstream: &Upstream, kind: FaultKind) {
+async fn set_fault(upstream: &Upstream, kind: FaultKind) {
     upstream.set_fault(Fault::new(kind)).await.unwrap();
 }
 
 async fn run(stopped: Stopped) {
     let mut system = System::start(3, 2, &services::all()).await.unwrap();
     let upstream = system.upstream(services::STATUS, 0).await.unwrap();
-    hold(&upstream, FaultKind::Hold).await;
+    set_fault(&upstream, FaultKind::Hold).await;
     let gateway = system.gateway(0);
     let calls = (0..CALLS).map(|i| {
-        let ask = Request::get(services::STATUS, &format!("/block/{i}"));
-        tokio::spawn(async move { Caller::new().call(gateway, &ask).await })
+        let request = Request::get(services::STATUS, &format!("/block/{i}"));
+        tokio::spawn(async move { Caller::new().call(gateway, &request).await })
     });
     let calls: Vec<_> = calls.collect();
     upstream
@@ -54,18 +54,18 @@
     let mut process = take(&mut system, stopped);
     process.terminate().unwrap();
     if stopped == Stopped::Gateway {
-        // It is told, but whoever kept the old answer is served until it has run out.
+        // The stop is announced, but callers with a cached route are served until it expires.
         process
             .wait_line(|l| field(l, "msg") == Some("stopping"))
             .await
             .unwrap();
-        hold(&upstream, FaultKind::None).await;
+        set_fault(&upstream, FaultKind::None).await;
         let reply = Caller::new()
             .call(gateway, &Request::get(services::STATUS, "/late"))
             .await;
         assert!(reply.is_ok(), "{reply:?}");
     }
-    hold(&upstream, FaultKind::None).await;
+    set_fault(&upstream, FaultKind::None).await;
     for call in calls {
         let reply = call.await.unwrap();
         assert!(reply.is_ok(), "{stopped:?} {reply:?}");
@@ -77,7 +77,7 @@
         process.lines()
     );
 
-    // Others serve on, and nobody is sent to a gateway that has left.
+    // The other processes keep serving, and no route leads to the stopped gateway.
     let reply = Caller::new()
         .call(system.gateway(1), &Request::get(services::STATUS, "/after"))
         .await;
@@ -111,22 +111,22 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn test_stop_upstream_loses_no_call() {
     let mut system = System::start(1, 1, &services::all()).await.unwrap();
-    let mut leaving = system.upstream(services::STATUS, 0).await.unwrap();
-    let staying = system.upstream(services::STATUS, 1).await.unwrap();
-    leaving.process.terminate().unwrap();
+    let mut draining = system.upstream(services::STATUS, 0).await.unwrap();
+    let remaining = system.upstream(services::STATUS, 1).await.unwrap();
+    draining.process.terminate().unwrap();
     let caller = Caller::new();
     let mut number = 0;
-    // Calls go on all through the drain, up to the end of the process.
+    // Calls continue throughout the drain until the process has stopped.
     loop {
-        let ask = Request::get(services::STATUS, &format!("/block/{number}"));
-        let reply = caller.call(system.gateway(0), &ask).await;
+        let request = Request::get(services::STATUS, &format!("/block/{number}"));
+        let reply = caller.call(system.gateway(0), &request).await;
         assert!(reply.is_ok(), "{number} {reply:?}");
         number += 1;
-        let lines = leaving.process.lines();
+        let lines = draining.process.lines();
         if lines.iter().any(|l| field(l, "msg") == Some("stopped")) {
             break;
         }
     }
-    assert!(leaving.process.wait().await.unwrap().success());
-    assert!(!staying.record().await.runs.is_empty());
+    assert!(draining.process.wait().await.unwrap().success());
+    assert!(!remaining.record().await.runs.is_empty());
 }
--- a/crates/testutils/tests/test_upstream_faults.rs
+++ b/crates/testutils/tests/test_upstream_faults.rs
@@ -1,4 +1,5 @@
-//! A slow, a failing and a stalled upstream on the real path.
+//! Guards against calls that fail or keep going to an instance that is slow, failing or
+//! stalled.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,28 +14,28 @@
 use testutils::services;
 use tokio::sync::Semaphore;
 
-/// Calls of one trial.
+/// Calls of one round.
 const CALLS: usize = 300;
-/// Calls at once, well below the slots of the two good instances.
-const AT_ONCE: usize = 6;
-/// Instances, of which the first shows the fault.
+/// Concurrent calls, well below the slots of the two healthy instances.
+const MAX_IN_FLIGHT: usize = 6;
+/// Instances, of which the first is faulty.
 const INSTANCES: usize = 3;
-/// Mean service time, well above the noise of a busy machine.
+/// Mean service time, well above the scheduling noise of a busy machine.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 /// Runs that the faulty instance may get: half of an even share.
-const MOST_FAULTY: usize = CALLS / INSTANCES / 2;
+const MAX_FAULTY_RUNS: usize = CALLS / INSTANCES / 2;
 /// Deadline of a call, far above any service time.
 const DEADLINE: Duration = Duration::from_secs(20);
 
-/// Calls everything once; `first` is the number of the first call.
+/// Makes [`CALLS`] calls, numbered from `first`.
 async fn call_all(system: &System, first: usize) -> Vec<Reply> {
-    let turn = Arc::new(Semaphore::new(AT_ONCE));
+    let semaphore = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
     let calls = (first..first + CALLS).map(|i| {
-        let (turn, gateway) = (turn.clone(), system.gateway(i % 2));
+        let (semaphore, gateway) = (semaphore.clone(), system.gateway(i % 2));
         tokio::spawn(async move {
-            let _turn = turn.acquire_owned().await.unwrap();
-            let ask = Request::get(services::STATUS, &format!("/block/{i}")).within(DEADLINE);
-            Caller::new().call(gateway, &ask).await
+            let _permit = semaphore.acquire_owned().await.unwrap();
+            let request = Request::get(services::STATUS, &format!("/block/{i}")).within(DEADLINE);
+            Caller::new().call(gateway, &request).await
         })
     });
     let calls: Vec<_> = calls.collect();
@@ -45,7 +46,7 @@
     replies
 }
 
-/// One instance shows a fault in a system that is at work.
+/// Makes one instance faulty under load and checks that the others get most calls.
 async fn run(kind: FaultKind) {
     let mut system = System::start(1, 2, &services::all()).await.unwrap();
     let mut upstreams: Vec<Upstream> = vec![];
@@ -66,10 +67,10 @@
         let receipt = reply.receipt().unwrap();
         assert_eq!(receipt.path, format!("/block/{number}"), "{kind}");
     }
-    // An even share would be a third; a fault must lose at least half of that.
+    // The faulty instance must get less than half of an even share, which is a third.
     let faulty = upstreams[0].record().await.runs.len() - before;
-    assert!(faulty < MOST_FAULTY, "{kind}: {faulty} of {CALLS}");
-    assert!(faulty > 0, "{kind}: the fault was never met");
+    assert!(faulty < MAX_FAULTY_RUNS, "{kind}: {faulty} of {CALLS}");
+    assert!(faulty > 0, "{kind}: no call reached the faulty instance");
 }
 
 #[tokio::test(flavor = "multi_thread")]
