--- a/crates/demo/examples/policy/call.rs
+++ b/crates/demo/examples/policy/call.rs
@@ -1,4 +1,4 @@
-//! One call through a gateway, as the product's crates decide it.
+//! Simulates one call through a gateway, with the decisions of the product's crates.
 
 use std::time::Duration;
 
@@ -15,44 +15,49 @@
 use route::OutcomeKind;
 use tokio::task::JoinSet;
 
-use crate::gateway::name;
-use crate::run::World;
+use crate::gateway::service_name;
+use crate::run::Simulation;
 
-/// Runs one admitted call to its end, `Cancelled` at its deadline; also says how many
-/// attempts it took.
-pub async fn run(world: &World, index: usize, deadline: Moment, work: Duration) -> (Finish, u8) {
-    let gateway = &world.gateways[index];
+/// Runs one admitted call to its end (`Cancelled` at the deadline), and returns the number
+/// of its attempts too.
+pub async fn run(
+    simulation: &Simulation,
+    index: usize,
+    deadline: Moment,
+    work: Duration,
+) -> (Finish, u8) {
+    let gateway = &simulation.gateways[index];
     let mut call = Call::new(attempt::CallContext {
         class: Class::Urgent,
         deadline,
         depth: 0,
     });
-    let (mut tasks, mut live, mut tried) = (JoinSet::new(), Vec::new(), Vec::new());
+    let (mut tasks, mut attempts, mut tried) = (JoinSet::new(), Vec::new(), Vec::new());
     let mut failed = false;
     let mut actions = {
         let gateway = &mut *gateway.borrow_mut();
-        gateway.service.backlogged = gateway.admission.is_backlogged(&name());
-        call.start(&mut gateway.service, world.time.now())
+        gateway.service.backlogged = gateway.admission.is_backlogged(&service_name());
+        call.start(&mut gateway.service, simulation.clock.now())
     };
     loop {
-        let now = world.time.now();
+        let now = simulation.clock.now();
         for action in actions {
             let chooser = &mut gateway.borrow_mut().chooser;
             let finish = match action {
                 Action::Start(start) => {
                     let pick = chooser.choose(now, &tried).map(|choice| choice.pick);
-                    let fake = pick.map(|pick| world.fake(chooser, pick));
+                    let upstream = pick.map(|pick| simulation.upstream(chooser, pick));
                     let serve = async move {
-                        let fake = fake.ok_or(start.number)?;
-                        Ok((start.number, fake.serve(work).await))
+                        let upstream = upstream.ok_or(start.number)?;
+                        Ok((start.number, upstream.serve(work).await))
                     };
                     let ticket = pick.map(|pick| chooser.started(now, pick));
-                    live.push((ticket, tasks.spawn_local(serve)));
+                    attempts.push((ticket, tasks.spawn_local(serve)));
                     tried.extend(pick);
                     continue;
                 }
                 Action::Cancel(number) => {
-                    let (ticket, task) = &mut live[usize::from(number) - 1];
+                    let (ticket, task) = &mut attempts[usize::from(number) - 1];
                     task.abort();
                     if let Some(ticket) = ticket.take() {
                         let late = now >= deadline;
@@ -79,15 +84,15 @@
         let ended = tokio::select! {
             biased;
             Some(ended) = tasks.join_next() => ended.ok(),
-            () = world.time.sleep(next_wakeup.since(now)) => None,
+            () = simulation.clock.sleep(next_wakeup.since(now)) => None,
         };
         let gateway = &mut *gateway.borrow_mut();
-        let now = world.time.now();
+        let now = simulation.clock.now();
         let event = match ended {
             None => Event::Tick,
             Some(Err(number)) => Event::AttemptFailed(number, AttemptError::NoUpstream),
             Some(Ok((number, outcome))) => {
-                if let Some(ticket) = live[usize::from(number) - 1].0.take() {
+                if let Some(ticket) = attempts[usize::from(number) - 1].0.take() {
                     gateway.chooser.finished(now, ticket, outcome);
                 }
                 failed = outcome.kind == OutcomeKind::Error;
@@ -101,7 +106,7 @@
                     ..Head::default()
                 };
                 if head.shed {
-                    gateway.admission.shed(&name(), now);
+                    gateway.admission.shed(&service_name(), now);
                 }
                 match outcome.kind {
                     OutcomeKind::ConnectFailed => {
--- a/crates/demo/examples/policy/case.rs
+++ b/crates/demo/examples/policy/case.rs
@@ -1,4 +1,4 @@
-//! What is run: a user's service, a policy, a fault.
+//! Simulation parameters: a user's service, a policy and a fault.
 
 use std::ffi::OsString;
 use std::time::Duration;
@@ -12,32 +12,32 @@
 use crate::noise::MILD;
 use crate::noise::Neighbours;
 
-/// One run.
+/// Parameters of one run.
 #[derive(Clone, Copy)]
 pub struct Case {
-    /// Whose service it is.
+    /// The user whose service is simulated.
     pub shape: &'static str,
     /// Instances of the service.
     pub instances: u32,
-    /// Mean time of a request's work on an undisturbed slot.
+    /// Mean service time of a request on an undisturbed slot.
     pub work: Duration,
-    /// What a probe costs an instance.
+    /// Service time of a probe.
     pub probe_work: Duration,
-    /// Probes that one instance may receive, in thousandths a second.
+    /// Probe budget of one instance, in thousandths of a probe per second.
     pub probes: u32,
-    /// Age of the newest report from which a probe is worth its cost.
+    /// Age of the newest report above which a gateway sends a probe.
     pub probe_age: Duration,
-    /// What all gateways do.
+    /// Policy of all gateways.
     pub policy: Policy,
-    /// Retries, hedges, admission and probes too.
-    pub whole: bool,
-    /// The fault.
+    /// Whether retries, hedges, admission and probes are simulated too.
+    pub full_stack: bool,
+    /// The simulated fault.
     pub fault: Fault,
-    /// On every instance's machine.
+    /// Noisy neighbours on every instance's host.
     pub neighbours: Neighbours,
-    /// Gateways that share the calls evenly.
-    pub choosers: u32,
-    /// Of arrivals, work, noise and choices; the first of some.
+    /// Number of gateways, which share the calls evenly (`--choosers`).
+    pub gateways: u32,
+    /// Seed of arrivals, work, noise and choices; the first of several consecutive seeds.
     pub seed: u64,
 }
 
@@ -50,10 +50,10 @@
     probes: 4_000,
     probe_age: Duration::from_millis(200),
     policy: Policy::Random,
-    whole: false,
+    full_stack: false,
     fault: Fault::None,
     neighbours: MILD,
-    choosers: 15,
+    gateways: 15,
     seed: 100,
 };
 
@@ -68,17 +68,17 @@
 };
 
 impl Case {
-    /// The service and the policy, with a plus sign for the whole.
+    /// Label of the table's row: service and policy, with a plus sign for [`full_stack`](Self::full_stack).
     pub fn row(&self) -> String {
-        let mark = if self.whole { "+" } else { "" };
+        let mark = if self.full_stack { "+" } else { "" };
         format!("shape={} policy={}{mark}", self.shape, self.policy)
     }
 
-    /// Takes an option; false when the option leaves the case out.
-    pub fn take(&mut self, name: &str, value: OsString) -> Result<bool, lexopt::Error> {
+    /// Applies an option; returns false if the option excludes this case.
+    pub fn apply_option(&mut self, name: &str, value: OsString) -> Result<bool, lexopt::Error> {
         match name {
             "seed" => self.seed = value.parse()?,
-            "choosers" => self.choosers = value.parse()?,
+            "choosers" => self.gateways = value.parse()?,
             "probes" => self.probes = value.parse()?,
             "probe-age" => self.probe_age = Duration::from_millis(value.parse()?),
             "noise" if value == "harsh" => self.neighbours = HARSH,
@@ -92,13 +92,13 @@
         Ok(true)
     }
 
-    /// How long a caller waits.
+    /// Time that a caller allows for a call.
     pub fn deadline(&self) -> Duration {
         self.work * 20
     }
 
-    /// Mean seconds between two calls.
-    pub fn gap(&self) -> f64 {
+    /// Mean time between two calls, in seconds.
+    pub fn mean_interarrival_secs(&self) -> f64 {
         let load = [0.7, 2.0][usize::from(self.fault == Fault::Overload)];
         let [(calm, _), (busy, factor)] = self.neighbours;
         let speed = (calm + busy / factor) / (calm + busy);
--- a/crates/demo/examples/policy/fault.rs
+++ b/crates/demo/examples/policy/fault.rs
@@ -1,4 +1,4 @@
-//! The faults of the table's columns.
+//! The simulated faults, which are the columns of the table.
 
 use std::time::Duration;
 
@@ -8,62 +8,66 @@
 use strum::Display;
 use strum::EnumIter;
 
-/// When a fault begins: after the warm-up, so that its onset is measured too.
+/// When a fault begins; after the warm-up, so that the onset is measured too.
 const ONSET: Moment = Moment::from_millis(1500);
-/// From a restart's announcement to the old process's end.
+/// Time from the announcement of a restart to the old process's exit.
 const DRAIN: Duration = Duration::from_millis(500);
-/// From there to the new process's announcement.
+/// Time from the old process's exit to the new process's announcement.
 const DOWN: Duration = Duration::from_millis(200);
-/// How much slower a new process is at first; that fades in a second.
+/// Slowdown of a new process at its start, which decreases linearly to 1 in one second.
 const COLD_FACTOR: f64 = 8.0;
 
 /// One column of the table.
 #[derive(Clone, Copy, PartialEq, Eq, Display, EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Fault {
-    /// None.
+    /// No fault.
     None,
-    /// One instance is slow 10 times.
+    /// One instance is 10 times slower.
     Slow,
-    /// One instance fails at once, and so looks idle.
+    /// One instance fails every request at once, and so appears idle.
     FailFast,
-    /// One instance takes requests and never answers.
+    /// One instance accepts requests and never answers.
     Stalled,
-    /// A rolling restart, one a second, each instance cold at first.
+    /// A rolling restart, one instance per second, each cold at first.
     ColdStarts,
-    /// Two instances always say that they are idle.
+    /// Two instances always report that they are idle.
     Lying,
-    /// Every report is half a second old when it is sent.
+    /// Every report is half a second old when sent.
     StaleReports,
-    /// Twice as many calls as all can serve.
+    /// Twice as many calls as all instances can serve.
     Overload,
 }
 
 impl Fault {
-    /// How much slower instance `index` works at `now`, or how it fails; one that
-    /// never answers has a timeout.
+    /// Slowdown of instance `index` at `now`, or the outcome with which it fails; `Timeout`
+    /// stands for an instance that never answers.
     pub fn factor(self, index: u32, now: Moment) -> Result<f64, OutcomeKind> {
-        let back = ONSET + Duration::from_secs(index.into()) + DRAIN + DOWN;
-        let hit = index == 0 && now >= ONSET;
+        let restarted_at = ONSET + Duration::from_secs(index.into()) + DRAIN + DOWN;
+        let is_faulty = index == 0 && now >= ONSET;
         match (self, self.phase(index, now)) {
-            (Self::Slow, _) if hit => Ok(10.0),
-            (Self::FailFast, _) if hit => Err(OutcomeKind::Error),
-            (Self::Stalled, _) if hit => Err(OutcomeKind::Timeout),
+            (Self::Slow, _) if is_faulty => Ok(10.0),
+            (Self::FailFast, _) if is_faulty => Err(OutcomeKind::Error),
+            (Self::Stalled, _) if is_faulty => Err(OutcomeKind::Timeout),
             (Self::ColdStarts, Phase::Gone) => Err(OutcomeKind::ConnectFailed),
-            (Self::ColdStarts, _) if now >= back => {
-                let cold = 1.0 - now.since(back).as_secs_f64();
+            (Self::ColdStarts, _) if now >= restarted_at => {
+                let cold = 1.0 - now.since(restarted_at).as_secs_f64();
                 Ok(1.0 + (COLD_FACTOR - 1.0) * cold.max(0.0))
             }
             _ => Ok(1.0),
         }
     }
 
-    /// What instance `index` announced before `now`.
+    /// Phase that instance `index` has announced by `now`.
     pub fn phase(self, index: u32, now: Moment) -> Phase {
-        let since = now.since(ONSET + Duration::from_secs(index.into()));
+        let since_announcement = now.since(ONSET + Duration::from_secs(index.into()));
         match self {
-            Self::ColdStarts if since.is_zero() || since >= DRAIN + DOWN => Phase::Ready,
-            Self::ColdStarts if since >= DRAIN => Phase::Gone,
+            Self::ColdStarts
+                if since_announcement.is_zero() || since_announcement >= DRAIN + DOWN =>
+            {
+                Phase::Ready
+            }
+            Self::ColdStarts if since_announcement >= DRAIN => Phase::Gone,
             Self::ColdStarts => Phase::Draining,
             _ => Phase::Ready,
         }
--- a/crates/demo/examples/policy/time.rs
+++ b/crates/demo/examples/policy/time.rs
@@ -1,25 +1,26 @@
-//! The paused runtime clock, stretched so that its millisecond ticks are microseconds.
+//! The simulation's clock: the paused runtime clock, scaled so that the runtime's
+//! millisecond ticks are microseconds.
 
 use std::time::Duration;
 
 use base::prelude::Clock;
 use base::prelude::Moment;
 
-/// Ticks of the runtime's clock for one of the rig's.
-pub const STRETCH: u32 = 1000;
+/// Runtime time per unit of simulated time.
+pub const TIME_SCALE: u32 = 1000;
 
-/// The rig's clock.
+/// Clock of the simulation.
 #[derive(Clone, Copy)]
-pub struct Time(pub Clock);
+pub struct SimulatedClock(pub Clock);
 
-impl Time {
-    /// The rig's present moment.
+impl SimulatedClock {
+    /// Current simulated time.
     pub fn now(self) -> Moment {
-        Moment::from_nanos(self.0.now().nanos() / u64::from(STRETCH))
+        Moment::from_nanos(self.0.now().nanos() / u64::from(TIME_SCALE))
     }
 
-    /// Waits for `span` of the rig's time.
-    pub async fn sleep(self, span: Duration) {
-        tokio::time::sleep(span * STRETCH).await;
+    /// Waits for `duration` of simulated time.
+    pub async fn sleep(self, duration: Duration) {
+        tokio::time::sleep(duration * TIME_SCALE).await;
     }
 }
