--- a/crates/demo/examples/slopes/announce.rs
+++ b/crates/demo/examples/slopes/announce.rs
@@ -1,4 +1,4 @@
-//! Instances that announce themselves over HTTP, without upstreams behind them.
+//! Announces instances over HTTP without running an upstream for each.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -11,47 +11,51 @@
 
 use crate::system::service_name;
 
-/// Time between two announcements of one instance, as directories ask for it.
+/// Interval between announcements of one instance, as directories require.
 pub const REFRESH: Duration = Duration::from_millis(500);
-/// Tasks among which the instances are spread: few instances each, so that slow
-/// answers on a busy machine end no lease.
+/// Number of announcing tasks; each has few instances, so that leases do not expire when
+/// a busy machine answers slowly.
 const TASKS: usize = 160;
-/// The upstreams' failure domains, in turn.
+/// Failure domains, assigned to instances in turn.
 const DOMAINS: [&str; 4] = ["milano", "torino", "genova", "pos"];
 
-/// Announces the instances with these numbers until the answer is dropped.
+/// Announces the instances with these numbers until the returned tasks are dropped.
 ///
-/// Each has one home among `homes`, and says that it serves at one of `upstreams`.
-pub fn start(homes: &[SocketAddr], upstreams: &[SocketAddr], numbers: Range<usize>) -> JoinSet<()> {
+/// Each announces itself to one of `directories`, with the address of one of `upstreams`.
+pub fn start(
+    directories: &[SocketAddr],
+    upstreams: &[SocketAddr],
+    numbers: Range<usize>,
+) -> JoinSet<()> {
     let client = Client::new();
     let mut tasks = JoinSet::new();
     for first in numbers.clone().take(TASKS) {
-        let own = (first..numbers.end).step_by(TASKS);
-        let own = own.map(|i| Instance {
+        let instances = (first..numbers.end).step_by(TASKS);
+        let instances = instances.map(|i| Instance {
             number: i,
-            home: homes[i % homes.len()],
+            directory: directories[i % directories.len()],
             address: upstreams[i % upstreams.len()],
         });
-        tasks.spawn(run(client.clone(), own.collect()));
+        tasks.spawn(announce_periodically(client.clone(), instances.collect()));
     }
     tasks
 }
 
 struct Instance {
     number: usize,
-    home: SocketAddr,
+    directory: SocketAddr,
     address: SocketAddr,
 }
 
-async fn run(client: Client, own: Vec<Instance>) {
+async fn announce_periodically(client: Client, instances: Vec<Instance>) {
     let mut ticks = interval(REFRESH);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     for sequence in 1_u64.. {
         ticks.tick().await;
-        for one in &own {
-            let url = format!("http://{}/v1/announce", one.home);
-            // One that is lost is made good by the next.
-            let _ = client.post(url).body(one.body(sequence)).send().await;
+        for instance in &instances {
+            let url = format!("http://{}/v1/announce", instance.directory);
+            // A failed announcement is superseded by the next one.
+            let _ = client.post(url).body(instance.body(sequence)).send().await;
         }
     }
 }
--- a/crates/demo/examples/slopes/claim.rs
+++ b/crates/demo/examples/slopes/claim.rs
@@ -1,4 +1,4 @@
-//! Claims and settlements as gateways send them.
+//! Claims and settlements of the form that gateways send.
 
 use bytes::Bytes;
 use ledger::record::digest;
@@ -9,14 +9,14 @@
 use wire::ledger::Settled;
 use wire::ledger::command::Kind;
 
-/// Services among which the claims are spread, below the bound of one service.
+/// Number of services over which the claims are spread, so that none reaches its limit.
 const SERVICES: u64 = 8;
-/// Callers among which the claims are spread.
+/// Number of callers over which the claims are spread.
 const CALLERS: u64 = 500;
 /// How long a claim is held.
 const HOLD_MS: u32 = 30_000;
 
-/// The claim number `number`.
+/// Claim number `number`.
 pub fn claim_of(number: u64) -> Claim {
     Claim {
         service: service(number),
@@ -28,7 +28,7 @@
     }
 }
 
-/// Its settlement with `body` as the answer.
+/// Settlement of claim `number` with `body` as the stored response.
 pub fn settle_of(number: u64, body: &Bytes) -> Settle {
     let answer = Answer {
         status: 201,
@@ -47,14 +47,14 @@
     }
 }
 
-/// The claim as a command of the log.
+/// Claim number `number` as a log command.
 pub fn claim(number: u64) -> Command {
     Command {
         kind: Some(Kind::Claim(claim_of(number))),
     }
 }
 
-/// The settlement as a command of the log.
+/// Settlement of claim `number` as a log command.
 pub fn settle(number: u64, body: &Bytes) -> Command {
     Command {
         kind: Some(Kind::Settle(settle_of(number, body))),
@@ -69,7 +69,7 @@
     format!("supervisor-{}", number % CALLERS)
 }
 
-/// A key without a time, so that the ledger takes it at any hour.
+/// A key without a timestamp, which the ledger accepts at any time.
 fn key(number: u64) -> String {
     format!("possession-0000-0000-8000-{number:012x}")
 }
--- a/crates/demo/examples/slopes/fault.rs
+++ b/crates/demo/examples/slopes/fault.rs
@@ -1,86 +1,86 @@
-//! Why a slope couldn't be measured.
+//! The error of a failed measurement.
 
 use std::io;
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a slope couldn't be measured.
+    /// Why a measurement failed.
     #[derive(Debug)]
-    pub enum Fault {
-        /// A file, a pipe or a socket.
+    pub enum MeasureError {
+        /// An I/O error on a file, pipe or socket.
         Io(err: io::Error) {
             from()
             source(err)
             display("{err}")
         }
-        /// A process of a role ended or said nothing that can be used.
-        Role(said: String) {
-            display("a role's process said {said:?}")
+        /// A role's process exited or sent an invalid line.
+        Role(line: String) {
+            display("invalid line from a role's process: {line:?}")
         }
-        /// A part took too long.
-        Late(part: String) {
-            display("the part {part} didn't end in time")
+        /// A part did not finish within its timeout.
+        Timeout(part: String) {
+            display("part {part} timed out")
         }
-        /// The command line.
+        /// The command line is invalid.
         Usage(word: String) {
-            display("no part or role is called {word:?}")
+            display("unknown part or role: {word:?}")
         }
-        /// A name.
+        /// A name is invalid.
         Name(err: base::name::NameError) {
             from()
             source(err)
             display("{err}")
         }
-        /// A control replica.
+        /// A control replica can't be started.
         Control(err: control::ControlError) {
             from()
             source(err)
             display("control: {err}")
         }
-        /// A replica's data folder.
+        /// A replica's data folder can't be opened.
         Store(err: store::StoreError) {
             from()
             source(err)
             display("store: {err}")
         }
-        /// A replica's state machine.
+        /// A replica's state machine rejected a command.
         Machine(err: control::machine::MachineError) {
             from()
             source(err)
             display("machine: {err}")
         }
-        /// A directory.
+        /// A directory can't be started.
         Directory(err: directory::StartError) {
             from()
             source(err)
             display("directory: {err}")
         }
-        /// A gateway.
+        /// A gateway can't be started.
         Gateway(err: gateway::StartError) {
             from()
             source(err)
             display("gateway: {err}")
         }
-        /// An upstream's stand-in.
+        /// A stand-in can't be started.
         StandIn(err: standin::StartError) {
             from()
             source(err)
             display("stand-in: {err}")
         }
-        /// The catalogue.
+        /// A change of the catalogue was not applied.
         Operator(err: testutils::operator::OperatorError) {
             from()
             source(err)
             display("operator: {err}")
         }
-        /// A link between the system's processes.
+        /// A connection to a process of the system failed.
         Link(err: wire::link::LinkError) {
             from()
             source(err)
             display("{err}")
         }
-        /// The load tool.
+        /// The load tool failed.
         Load(err: load::LoadError) {
             from()
             source(err)
@@ -92,9 +92,9 @@
             source(err)
             display("{err}")
         }
-        /// A claim that had to be granted wasn't.
+        /// A claim was not granted.
         Claim(reply: Box<wire::ledger::ClaimReply>) {
-            display("claim: {reply:?}")
+            display("claim not granted: {reply:?}")
         }
     }
 }
--- a/crates/demo/examples/slopes/fields.rs
+++ b/crates/demo/examples/slopes/fields.rs
@@ -1,70 +1,75 @@
-//! The key=value lines that the processes of a run say to each other.
+//! The key=value lines that the processes of a run exchange.
 
 use std::net::SocketAddr;
 
-use crate::fault::Fault;
+use crate::fault::MeasureError;
 
-/// One line of key=value pairs apart by spaces.
+/// One line of key=value pairs separated by spaces.
 #[derive(Clone, Debug)]
 pub struct Fields(String);
 
 impl Fields {
-    /// Takes a line.
+    /// Wraps a line.
     pub fn new(line: String) -> Self {
         Self(line)
     }
 
-    /// The line's first word, which names a command.
-    pub fn word(&self) -> &str {
+    /// The first word of the line, which is the name of a command.
+    pub fn command_name(&self) -> &str {
         self.0.split(' ').next().unwrap_or_default()
     }
 
-    /// The text of `key`.
+    /// The value of `key`.
     ///
     /// # Errors
     ///
-    /// Fails when the line has no such key.
-    pub fn text(&self, key: &str) -> Result<&str, Fault> {
+    /// Fails if the line has no such key.
+    pub fn value(&self, key: &str) -> Result<&str, MeasureError> {
         let pairs = self.0.split(' ').filter_map(|pair| pair.split_once('='));
         let mut found = pairs.filter(|(name, _)| *name == key);
-        found.next().map(|(_, text)| text).ok_or_else(|| self.bad())
+        found
+            .next()
+            .map(|(_, value)| value)
+            .ok_or_else(|| self.invalid_line())
     }
 
-    /// The number of `key`.
+    /// The value of `key` as a number.
     ///
     /// # Errors
     ///
-    /// Fails when the line has no such key, or no number there.
-    pub fn number(&self, key: &str) -> Result<u64, Fault> {
-        self.text(key)?.parse().map_err(|_| self.bad())
+    /// Fails if the line has no such key, or the value is no number.
+    pub fn number(&self, key: &str) -> Result<u64, MeasureError> {
+        self.value(key)?.parse().map_err(|_| self.invalid_line())
     }
 
-    /// The address of `key`.
+    /// The value of `key` as an address.
     ///
     /// # Errors
     ///
-    /// Fails when the line has no such key, or no address there.
-    pub fn address(&self, key: &str) -> Result<SocketAddr, Fault> {
-        self.text(key)?.parse().map_err(|_| self.bad())
+    /// Fails if the line has no such key, or the value is no address.
+    pub fn address(&self, key: &str) -> Result<SocketAddr, MeasureError> {
+        self.value(key)?.parse().map_err(|_| self.invalid_line())
     }
 
-    /// The addresses of `key`, apart by commas.
+    /// The value of `key` as addresses separated by commas.
     ///
     /// # Errors
     ///
-    /// Fails when the line has no such key, or something else than addresses there.
-    pub fn addresses(&self, key: &str) -> Result<Vec<SocketAddr>, Fault> {
-        let texts = self.text(key)?.split(',').filter(|t| !t.is_empty());
-        texts.map(|t| t.parse().map_err(|_| self.bad())).collect()
+    /// Fails if the line has no such key, or a part of the value is no address.
+    pub fn addresses(&self, key: &str) -> Result<Vec<SocketAddr>, MeasureError> {
+        let values = self.value(key)?.split(',').filter(|t| !t.is_empty());
+        values
+            .map(|t| t.parse().map_err(|_| self.invalid_line()))
+            .collect()
     }
 
-    fn bad(&self) -> Fault {
-        Fault::Role(self.0.clone())
+    fn invalid_line(&self) -> MeasureError {
+        MeasureError::Role(self.0.clone())
     }
 }
 
-/// Addresses apart by commas.
+/// Joins addresses with commas.
 pub fn join(addresses: &[SocketAddr]) -> String {
-    let texts: Vec<String> = addresses.iter().map(ToString::to_string).collect();
-    texts.join(",")
+    let values: Vec<String> = addresses.iter().map(ToString::to_string).collect();
+    values.join(",")
 }
--- a/crates/demo/examples/slopes/main.rs
+++ b/crates/demo/examples/slopes/main.rs
@@ -1,9 +1,10 @@
-//! Slopes of each role, measured small: `cargo run --release --example slopes`.
+//! Measures how each role's resource use grows with its load, at a small scale:
+//! `cargo run --release --example slopes`.
 //!
-//! Prints a table, or with `--plain` one line of key=value pairs a point;
-//! `--part NAME` measures one part only. Each role runs in a process of its own,
-//! started from this program, so that processor time and memory are its alone.
-//! Callers, upstreams and the relays that count bytes run in the first process.
+//! Prints a table, or with `--plain` one line of key=value pairs per point;
+//! `--part NAME` runs only that part. Each role runs in its own process, started from
+//! this program, so that its processor time and memory can be measured. Callers,
+//! upstreams and the relays that count bytes run in the main process.
 
 mod announce;
 mod claim;
@@ -24,11 +25,11 @@
 use strum::IntoEnumIterator;
 use tokio::time::timeout;
 
-use crate::fault::Fault;
+use crate::fault::MeasureError;
 use crate::part::Part;
 
-/// Longest time of one part; a role that never gets ready must not hold the run up.
-const PATIENCE: Duration = Duration::from_mins(1);
+/// Timeout of one part.
+const PART_TIMEOUT: Duration = Duration::from_mins(1);
 
 #[tokio::main]
 async fn main() -> ExitCode {
@@ -46,31 +47,34 @@
     }
 }
 
-async fn measure(args: &[String]) -> Result<(), Fault> {
+async fn measure(args: &[String]) -> Result<(), MeasureError> {
     let plain = args.iter().any(|a| a == "--plain");
-    let named = args.iter().position(|a| a == "--part");
-    let named = named.map(|at| args.get(at + 1).map_or("", String::as_str));
-    let parts: Vec<Part> = match named {
-        Some(name) => vec![name.parse().map_err(|_| Fault::Usage(name.into()))?],
+    let part_name = args.iter().position(|a| a == "--part");
+    let part_name = part_name.map(|at| args.get(at + 1).map_or("", String::as_str));
+    let parts: Vec<Part> = match part_name {
+        Some(name) => vec![name.parse().map_err(|_| MeasureError::Usage(name.into()))?],
         None => Part::iter().collect(),
     };
-    let begin = Instant::now();
-    println!("{}", machine(plain));
-    // Parts that read this process's own clock run alone, the others in two lanes.
-    let (alone, others): (Vec<Part>, Vec<Part>) = parts.into_iter().partition(|p| p.is_alone());
-    let (first, second) = others.into_iter().partition(|p| p.is_first());
-    run(alone, plain).await?;
+    let started_at = Instant::now();
+    println!("{}", describe_machine(plain));
+    // Parts that read this process's processor time run alone, the others in two lanes.
+    let (sequential, others): (Vec<Part>, Vec<Part>) =
+        parts.into_iter().partition(|p| p.needs_own_process_time());
+    let (first, second) = others.into_iter().partition(|p| p.is_in_first_lane());
+    run(sequential, plain).await?;
     futures::future::try_join(run(first, plain), run(second, plain)).await?;
     let end = if plain { "role=run slope=time" } else { "run" };
-    println!("{end} took_s={:.0}", begin.elapsed().as_secs_f64());
+    println!("{end} took_s={:.0}", started_at.elapsed().as_secs_f64());
     Ok(())
 }
 
-/// Runs one part after another, and prints each as soon as it has ended.
-async fn run(parts: Vec<Part>, plain: bool) -> Result<(), Fault> {
+/// Runs the parts in sequence and prints each part's rows when the part has finished.
+async fn run(parts: Vec<Part>, plain: bool) -> Result<(), MeasureError> {
     for part in parts {
-        let late = |_| Fault::Late(part.to_string());
-        let rows = timeout(PATIENCE, part.run()).await.map_err(late)??;
+        let timeout_error = |_| MeasureError::Timeout(part.to_string());
+        let rows = timeout(PART_TIMEOUT, part.run())
+            .await
+            .map_err(timeout_error)??;
         for row in rows {
             if plain {
                 println!("{}", row.plain());
@@ -82,8 +86,8 @@
     Ok(())
 }
 
-/// How busy the machine is, as other work on it shows in every figure.
-fn machine(plain: bool) -> String {
+/// Describes the machine and its load, which affects every figure.
+fn describe_machine(plain: bool) -> String {
     let load = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     let load = load.split(' ').next().unwrap_or_default();
     let cores = std::thread::available_parallelism().map_or(0, std::num::NonZero::get);
--- a/crates/demo/examples/slopes/part.rs
+++ b/crates/demo/examples/slopes/part.rs
@@ -1,4 +1,4 @@
-//! The parts of a run; each measures one role's slopes and gives rows.
+//! The parts of a run, each of which measures one role and returns rows.
 
 mod change;
 mod choice;
@@ -14,26 +14,26 @@
 use strum::EnumIter;
 use strum::EnumString;
 
-use crate::fault::Fault;
+use crate::fault::MeasureError;
 use crate::row::Row;
 
-/// A part.
+/// A part of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter, EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Part {
-    /// One choice of an upstream.
+    /// Choosing an upstream.
     Choice,
-    /// One line of a log.
+    /// Logging a line.
     Lines,
     /// Records of the ledger.
     Ledger,
     /// Calls through a gateway.
     Gateway,
-    /// What a gateway holds.
+    /// Memory and idle load of a gateway.
     Held,
-    /// Directories at rest, and callers' questions.
+    /// Idle directories, and callers' queries.
     Directory,
-    /// A change on its way to every host.
+    /// Distribution of a catalogue change to every host.
     Change,
     /// Control replicas.
     Control,
@@ -42,25 +42,25 @@
 }
 
 impl Part {
-    /// It reads the processor time of the first process.
-    pub fn is_alone(self) -> bool {
+    /// Whether the part measures the processor time of the main process.
+    pub fn needs_own_process_time(self) -> bool {
         matches!(self, Self::Choice | Self::Lines | Self::Operator)
     }
 
-    /// It belongs to the first of two lanes that take about the same time.
-    pub fn is_first(self) -> bool {
+    /// Whether the part runs in the first of two lanes, which take about the same time.
+    pub fn is_in_first_lane(self) -> bool {
         matches!(
             self,
             Self::Ledger | Self::Gateway | Self::Change | Self::Control
         )
     }
 
-    /// Measures.
+    /// Runs the part's measurements.
     ///
     /// # Errors
     ///
-    /// Fails when a role can't run.
-    pub async fn run(self) -> Result<Vec<Row>, Fault> {
+    /// Fails if a role can't run.
+    pub async fn run(self) -> Result<Vec<Row>, MeasureError> {
         match self {
             Self::Choice => Ok(choice::run()),
             Self::Lines => lines::run(),
--- a/crates/demo/examples/slopes/part/choice.rs
+++ b/crates/demo/examples/slopes/part/choice.rs
@@ -1,4 +1,4 @@
-//! What one choice of an upstream costs.
+//! Measures the cost of choosing an upstream.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 const SIZES: [usize; 4] = [10, 30, 100, 400];
 const CHOICES: u32 = 20_000;
 
-/// Measures choices among some sizes of a service, each with an attempt begun.
+/// Measures choices among each number of instances.
 pub fn run() -> Vec<Row> {
     SIZES.into_iter().map(measure).collect()
 }
@@ -26,12 +26,12 @@
     let table: Vec<Instance> = (0..count).filter_map(instance).collect();
     chooser.update(Moment::ZERO, &table);
     let mut now = Moment::ZERO;
-    let begin = usage::cpu();
+    let started_at = usage::cpu();
     for _ in 0..CHOICES {
         now = now + Duration::from_micros(500);
         black_box(chooser.choose(now, &[]).is_some());
     }
-    let spent = usage::cpu().saturating_sub(begin);
+    let spent = usage::cpu().saturating_sub(started_at);
     Row::new("gateway", "choice")
         .at("instances", usage::float(count as u64))
         .with("cpu_us", usage::micros(spent, CHOICES.into()))
--- a/crates/demo/examples/slopes/part/control.rs
+++ b/crates/demo/examples/slopes/part/control.rs
@@ -1,4 +1,4 @@
-//! Control replicas: at rest, changes, claims, followers, restarts.
+//! Measures control replicas: followers, claims, changes and restarts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,97 +14,97 @@
 use wire::peer;
 
 use crate::claim;
-use crate::fault::Fault;
-use crate::process::Stat;
+use crate::fault::MeasureError;
+use crate::process::ResourceUsage;
 use crate::row::Row;
 use crate::system;
 use crate::system::Replicas;
 use crate::usage;
 
-/// Followers of the catalogue, over all replicas.
+/// Numbers of catalogue followers over all replicas.
 const FOLLOWERS: [usize; 4] = [0, 15, 60, 240];
-/// How long a replica may hold a follower's request.
+/// How long a replica may delay the reply to a follower.
 const HOLD_MS: u32 = 500;
-/// Claims that wait at once.
+/// Numbers of concurrent claims.
 const CLAIMANTS: [u64; 3] = [1, 16, 256];
-/// How long claims and followers are watched.
-const SPAN: Duration = Duration::from_secs(2);
-/// Changes behind a restart.
+/// How long claims and followers are measured.
+const MEASURED_TIME: Duration = Duration::from_secs(2);
+/// Total numbers of changes after which the replicas are restarted.
 const CHANGES: [u64; 3] = [50, 500, 2_000];
-/// Longest wait for an answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Significant digits of a latency.
 const DIGITS: u8 = 3;
-/// Between two looks at a restarted replica.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval between checks of a restarted replica.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Measures three replicas.
-pub async fn run() -> Result<Vec<Row>, Fault> {
+/// Measures a group of three replicas.
+pub async fn run() -> Result<Vec<Row>, MeasureError> {
     let mut replicas = Replicas::start(3).await?;
     let mut rows = Vec::new();
     for count in FOLLOWERS {
-        rows.push(followers(&mut replicas, count).await?);
+        rows.push(measure_followers(&mut replicas, count).await?);
     }
     let mut first = 0;
     for count in CLAIMANTS {
-        rows.push(claims(&mut replicas, count, &mut first).await?);
+        rows.push(measure_claims(&mut replicas, count, &mut first).await?);
     }
     drop(replicas);
-    rows.extend(changes().await?);
+    rows.extend(measure_changes().await?);
     Ok(rows)
 }
 
-/// What replicas have used, and the bytes between them.
-struct Point {
+/// Resource use of the replicas, and bytes exchanged between them, at one time.
+struct Sample {
     at: Instant,
-    stats: Vec<Stat>,
+    stats: Vec<ResourceUsage>,
     bytes: u64,
 }
 
-async fn point(replicas: &mut Replicas) -> Result<Point, Fault> {
+async fn sample(replicas: &mut Replicas) -> Result<Sample, MeasureError> {
     let mut stats = Vec::new();
     for process in &mut replicas.processes {
         stats.push(process.stat().await?);
     }
-    Ok(Point {
+    Ok(Sample {
         at: Instant::now(),
         stats,
         bytes: replicas.bytes.bytes(),
     })
 }
 
-impl Point {
+impl Sample {
     /// Processor time of the replica at `index` since `before`.
     fn cpu(&self, before: &Self, index: usize) -> Duration {
         self.stats[index].cpu_since(&before.stats[index])
     }
 }
 
-async fn client(address: SocketAddr) -> Result<ControlApiClient, Fault> {
+async fn client(address: SocketAddr) -> Result<ControlApiClient, MeasureError> {
     Ok(peer::control(address).client().await?)
 }
 
-async fn followers(replicas: &mut Replicas, count: usize) -> Result<Row, Fault> {
+async fn measure_followers(replicas: &mut Replicas, count: usize) -> Result<Row, MeasureError> {
     let leader = replicas.leader().await;
     let mut tasks = JoinSet::new();
     for number in 0..count {
         let api = client(replicas.rpc[number % replicas.rpc.len()]).await?;
         tasks.spawn(follow(api));
     }
-    sleep(SPAN / 4).await;
-    let before = point(replicas).await?;
-    sleep(SPAN).await;
-    let after = point(replicas).await?;
+    sleep(MEASURED_TIME / 4).await;
+    let before = sample(replicas).await?;
+    sleep(MEASURED_TIME).await;
+    let after = sample(replicas).await?;
     drop(tasks);
-    let span = after.at - before.at;
-    let busy = |index| usage::percent(after.cpu(&before, index), span);
+    let elapsed = after.at - before.at;
+    let busy = |index| usage::percent(after.cpu(&before, index), elapsed);
     Ok(Row::new("control", "follow")
         .at("hosts", usage::float(count as u64))
         .with("leader_cpu_percent", busy(leader))
         .with("follower_cpu_percent", busy((leader + 1) % 3))
         .with(
             "replica_bytes_s",
-            usage::ratio((after.bytes - before.bytes) * 2, 3) / span.as_secs_f64(),
+            usage::ratio((after.bytes - before.bytes) * 2, 3) / elapsed.as_secs_f64(),
         )
         .with("leader_rss_kib", usage::float(after.stats[leader].rss)))
 }
@@ -114,78 +114,97 @@
         have: 0,
         wait_ms: HOLD_MS,
     };
-    while api.follow(within(PATIENCE), ask).await.is_ok() {}
+    while api.follow(within(CALL_TIMEOUT), ask).await.is_ok() {}
 }
 
-async fn claims(replicas: &mut Replicas, count: u64, first: &mut u64) -> Result<Row, Fault> {
+async fn measure_claims(
+    replicas: &mut Replicas,
+    count: u64,
+    first: &mut u64,
+) -> Result<Row, MeasureError> {
     let leader = replicas.leader().await;
     let api = client(replicas.rpc[leader]).await?;
-    let before = point(replicas).await?;
+    let before = sample(replicas).await?;
     let mut tasks = JoinSet::new();
     for number in 0..count {
-        tasks.spawn(claim(api.clone(), *first + number, count));
+        tasks.spawn(claim_repeatedly(api.clone(), *first + number, count));
     }
-    let mut spans = histogram();
-    while let Some(found) = tasks.join_next().await {
-        spans.add(found??).expect("equal bounds");
+    let mut latencies = histogram();
+    while let Some(result) = tasks.join_next().await {
+        latencies.add(result??).expect("equal bounds");
     }
-    let after = point(replicas).await?;
-    *first += spans.len() * 2 + count;
-    let span = after.at - before.at;
-    let each = |index| usage::micros(after.cpu(&before, index), spans.len());
+    let after = sample(replicas).await?;
+    *first += latencies.len() * 2 + count;
+    let elapsed = after.at - before.at;
+    let each = |index| usage::micros(after.cpu(&before, index), latencies.len());
     Ok(Row::new("control", "claim")
         .at("waiting", usage::float(count))
-        .with("claims_s", usage::float(spans.len()) / span.as_secs_f64())
-        .with("p50_ms", usage::ratio(spans.value_at_quantile(0.5), 1_000))
-        .with("p99_ms", usage::ratio(spans.value_at_quantile(0.99), 1_000))
+        .with(
+            "claims_s",
+            usage::float(latencies.len()) / elapsed.as_secs_f64(),
+        )
+        .with(
+            "p50_ms",
+            usage::ratio(latencies.value_at_quantile(0.5), 1_000),
+        )
+        .with(
+            "p99_ms",
+            usage::ratio(latencies.value_at_quantile(0.99), 1_000),
+        )
         .with("leader_cpu_us", each(leader))
         .with("follower_cpu_us", each((leader + 1) % 3))
         .with(
             "replica_bytes",
-            usage::ratio(after.bytes - before.bytes, spans.len()),
+            usage::ratio(after.bytes - before.bytes, latencies.len()),
         ))
 }
 
-/// Latencies in microseconds, up to the longest wait.
+/// Histogram of latencies in microseconds, up to [`CALL_TIMEOUT`].
 fn histogram() -> Histogram<u64> {
-    let most = u64::try_from(PATIENCE.as_micros()).unwrap_or(u64::MAX);
-    Histogram::new_with_bounds(1, most, DIGITS).expect("constant bounds that are valid")
+    let max = u64::try_from(CALL_TIMEOUT.as_micros()).unwrap_or(u64::MAX);
+    Histogram::new_with_bounds(1, max, DIGITS).expect("constant bounds that are valid")
 }
 
-/// Claims one after another for [`SPAN`].
-async fn claim(api: ControlApiClient, first: u64, step: u64) -> Result<Histogram<u64>, Fault> {
-    let mut spans = histogram();
-    let end = Instant::now() + SPAN;
+/// Makes claims in sequence for [`MEASURED_TIME`].
+async fn claim_repeatedly(
+    api: ControlApiClient,
+    first: u64,
+    step: u64,
+) -> Result<Histogram<u64>, MeasureError> {
+    let mut latencies = histogram();
+    let end = Instant::now() + MEASURED_TIME;
     let mut number = first;
     while Instant::now() < end {
-        let begin = Instant::now();
-        let reply = api.claim(within(PATIENCE), claim::claim_of(number)).await;
-        let reply = reply.map_err(|err| Fault::Role(err.to_string()))?;
+        let started_at = Instant::now();
+        let reply = api
+            .claim(within(CALL_TIMEOUT), claim::claim_of(number))
+            .await;
+        let reply = reply.map_err(|err| MeasureError::Role(err.to_string()))?;
         if !matches!(reply.kind, Some(claim_reply::Kind::Granted(_))) {
-            return Err(Fault::Claim(Box::new(reply)));
+            return Err(MeasureError::Claim(Box::new(reply)));
         }
-        let micros = u64::try_from(begin.elapsed().as_micros()).unwrap_or(u64::MAX);
-        spans.saturating_record(micros);
+        let micros = u64::try_from(started_at.elapsed().as_micros()).unwrap_or(u64::MAX);
+        latencies.saturating_record(micros);
         number += step;
     }
-    Ok(spans)
+    Ok(latencies)
 }
 
-/// Changes one after another, and restarts of all replicas behind them.
-async fn changes() -> Result<Vec<Row>, Fault> {
+/// Measures changes in sequence, and a restart of all replicas after each group.
+async fn measure_changes() -> Result<Vec<Row>, MeasureError> {
     let mut replicas = Replicas::start(3).await?;
     let mut rows = Vec::new();
     let mut version = 0;
     for count in CHANGES {
         let leader = replicas.leader().await;
-        let before = point(&mut replicas).await?;
+        let before = sample(&mut replicas).await?;
         let made = count - version;
         while version < count {
             let index = usize::try_from(version).unwrap_or_default();
-            let edit = system::put(index, 1 + u32::try_from(version).unwrap_or_default() % 9);
+            let edit = system::put_edit(index, 1 + u32::try_from(version).unwrap_or_default() % 9);
             version = replicas.operator.apply(version, vec![edit]).await?;
         }
-        let after = point(&mut replicas).await?;
+        let after = sample(&mut replicas).await?;
         let spent = |index| usage::micros(after.cpu(&before, index), made);
         let row = Row::new("control", "change")
             .at("changes", usage::float(count))
@@ -199,10 +218,10 @@
                 "replica_bytes",
                 usage::ratio(after.bytes - before.bytes, made),
             );
-        let begin = Instant::now();
+        let started_at = Instant::now();
         replicas.restart().await?;
-        until_ready(&replicas, version).await?;
-        let ready = begin.elapsed();
+        wait_until_ready(&replicas, version).await?;
+        let ready = started_at.elapsed();
         let rss = replicas.processes[leader].stat().await?.rss;
         rows.push(
             row.with("restart_ms", ready.as_secs_f64() * 1e3)
@@ -213,7 +232,7 @@
 }
 
 /// Waits until every replica confirms `version`.
-async fn until_ready(replicas: &Replicas, version: u64) -> Result<(), Fault> {
+async fn wait_until_ready(replicas: &Replicas, version: u64) -> Result<(), MeasureError> {
     let ask = Follow {
         have: version,
         wait_ms: 0,
@@ -221,11 +240,11 @@
     for address in &replicas.rpc {
         let api = client(*address).await?;
         loop {
-            let reply = api.follow(within(PATIENCE), ask).await;
+            let reply = api.follow(within(CALL_TIMEOUT), ask).await;
             if reply.is_ok_and(|r| r.confirmed && r.version == version) {
                 break;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
     Ok(())
--- a/crates/demo/examples/slopes/part/directory.rs
+++ b/crates/demo/examples/slopes/part/directory.rs
@@ -1,4 +1,4 @@
-//! Directories: their messages at rest, heartbeats, and callers' questions.
+//! Measures directories: idle traffic, heartbeats and callers' queries.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 use tokio::time::sleep;
 
 use crate::announce;
-use crate::fault::Fault;
-use crate::relay::Count;
+use crate::fault::MeasureError;
+use crate::relay::ByteCounter;
 use crate::row::Row;
 use crate::system;
 use crate::system::PROBES;
@@ -19,116 +19,126 @@
 use crate::system::service_name;
 use crate::usage;
 
-/// Hosts, and the instances that they come to know.
+/// Numbers of hosts, each with growing numbers of instances.
 const POINTS: [(usize, &[usize]); 4] = [
     (1, &[1_600]),
     (5, &[400]),
     (15, &[0, 100, 400, 1_600]),
     (30, &[400]),
 ];
-/// Time for the tables to settle.
-const SETTLE: Duration = Duration::from_secs(1);
-/// How long a point is watched.
-const SPAN: Duration = Duration::from_secs(2);
-/// Questions a second to one directory.
-const ASKS: [u64; 3] = [200, 600, 1_800];
-/// How long each rate of questions is held.
-const ASKED: Duration = Duration::from_secs(2);
-/// Tasks that ask.
-const ASKERS: u64 = 20;
+/// Time for the instance tables to converge.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
+/// Duration of one measurement.
+const MEASURED_TIME: Duration = Duration::from_secs(2);
+/// Queries per second to one directory.
+const QUERY_RATES: [u64; 3] = [200, 600, 1_800];
+/// How long each rate of queries is kept up.
+const QUERY_TIME: Duration = Duration::from_secs(2);
+/// Number of querying tasks.
+const QUERY_TASKS: u64 = 20;
 
-/// Measures directories at rest with some instances, then with callers.
-pub async fn run() -> Result<Vec<Row>, Fault> {
+/// Measures idle directories with instances, then one directory with callers.
+pub async fn run() -> Result<Vec<Row>, MeasureError> {
     let mut rows = Vec::new();
     for (hosts, instances) in POINTS {
-        rows.extend(rest(hosts, instances).await?);
+        rows.extend(measure_at_rest(hosts, instances).await?);
     }
     let mut system = System::start(1, PROBES).await?;
     let (_gateway, _) = system.gateways(1).await?;
-    sleep(SETTLE).await;
-    for rate in ASKS {
-        rows.push(asked(&mut system, rate).await?);
+    sleep(SETTLE_TIME).await;
+    for rate in QUERY_RATES {
+        rows.push(measure_queries(&mut system, rate).await?);
     }
     Ok(rows)
 }
 
-/// Directories that exchange while more and more instances announce themselves
-/// at one of them each.
-async fn rest(hosts: usize, sizes: &[usize]) -> Result<Vec<Row>, Fault> {
+/// Measures directories while growing numbers of instances announce themselves, each to
+/// one directory.
+async fn measure_at_rest(hosts: usize, sizes: &[usize]) -> Result<Vec<Row>, MeasureError> {
     let mut system = System::start(hosts, PROBES).await?;
-    let bare = system.directories.stat().await?.rss;
+    let baseline = system.directories.stat().await?.rss;
     let nowhere: SocketAddr = ([127, 0, 0, 1], 9).into();
-    let mut homes = Homes {
-        heard: Count::default(),
+    let mut sources = AnnounceRelays {
+        bytes: ByteCounter::default(),
         addresses: vec![],
     };
-    homes.addresses = system::relays(&system.asks, &homes.heard).await?;
-    let mut announcing = Vec::new();
+    sources.addresses = system::relays(&system.directory_addresses, &sources.bytes).await?;
+    let mut announcers = Vec::new();
     let mut rows = Vec::new();
-    let mut have = 0;
+    let mut announced = 0;
     for count in sizes {
-        announcing.push(announce::start(&homes.addresses, &[nowhere], have..*count));
-        have = *count;
+        announcers.push(announce::start(
+            &sources.addresses,
+            &[nowhere],
+            announced..*count,
+        ));
+        announced = *count;
         let wait = format!("instances count={count}");
-        system.directories.ask(&wait).await?;
-        sleep(SETTLE).await;
-        rows.push(watch(&mut system, &homes, *count as u64, bare).await?);
+        system.directories.request(&wait).await?;
+        sleep(SETTLE_TIME).await;
+        rows.push(measure_interval(&mut system, &sources, *count as u64, baseline).await?);
     }
     Ok(rows)
 }
 
-/// Where instances announce themselves, through relays.
-struct Homes {
-    heard: Count,
+/// Relays through which instances announce themselves, and the bytes that they forward.
+struct AnnounceRelays {
+    bytes: ByteCounter,
     addresses: Vec<SocketAddr>,
 }
 
-async fn watch(
+async fn measure_interval(
     system: &mut System,
-    homes: &Homes,
+    sources: &AnnounceRelays,
     instances: u64,
-    bare: u64,
-) -> Result<Row, Fault> {
-    let hosts = homes.addresses.len() as u64;
+    baseline: u64,
+) -> Result<Row, MeasureError> {
+    let hosts = sources.addresses.len() as u64;
     let before = system.directories.stat().await?;
-    let (peers, follow) = (system.peers.bytes(), system.follow.bytes());
-    let heard = homes.heard.bytes();
-    let begin = Instant::now();
-    sleep(SPAN).await;
+    let (peer_bytes, control_bytes) = (system.peer_bytes.bytes(), system.control_bytes.bytes());
+    let source_bytes = sources.bytes.bytes();
+    let started_at = Instant::now();
+    sleep(MEASURED_TIME).await;
     let after = system.directories.stat().await?;
-    let span = begin.elapsed();
-    let rate = |bytes: u64| usage::ratio(bytes, hosts) / span.as_secs_f64();
-    // Each byte between directories leaves one and comes to another.
-    let peers = rate(system.peers.bytes() - peers) * 2.0;
+    let elapsed = started_at.elapsed();
+    let rate = |bytes: u64| usage::ratio(bytes, hosts) / elapsed.as_secs_f64();
+    // Each byte between directories is sent by one and received by another.
+    let peer_bytes = rate(system.peer_bytes.bytes() - peer_bytes) * 2.0;
     let heartbeats = usage::ratio(instances, hosts) / announce::REFRESH.as_secs_f64();
-    let busy = usage::percent(after.cpu_since(&before), span) / usage::float(hosts);
-    let grown = usage::ratio(after.rss.saturating_sub(bare), hosts);
+    let busy = usage::percent(after.cpu_since(&before), elapsed) / usage::float(hosts);
+    let growth = usage::ratio(after.rss.saturating_sub(baseline), hosts);
     Ok(Row::new("directory", "rest")
         .at("hosts", usage::float(hosts))
         .at("instances", usage::float(instances))
-        .with("peer_bytes_s", peers)
-        .with("follow_bytes_s", rate(system.follow.bytes() - follow))
+        .with("peer_bytes_s", peer_bytes)
+        .with(
+            "follow_bytes_s",
+            rate(system.control_bytes.bytes() - control_bytes),
+        )
         .with("heartbeats_s", heartbeats)
-        .with("heartbeat_bytes_s", rate(homes.heard.bytes() - heard))
+        .with(
+            "heartbeat_bytes_s",
+            rate(sources.bytes.bytes() - source_bytes),
+        )
         .with("cpu_percent", busy)
-        .with("grown_kib", grown)
+        .with("grown_kib", growth)
         .with("rss_kib", usage::ratio(after.rss, hosts)))
 }
 
-/// One directory that callers ask `rate` times a second.
-async fn asked(system: &mut System, rate: u64) -> Result<Row, Fault> {
+/// Measures one directory with `rate` queries per second.
+async fn measure_queries(system: &mut System, rate: u64) -> Result<Row, MeasureError> {
     let before = system.directories.stat().await?;
-    let begin = Instant::now();
+    let started_at = Instant::now();
     let client = Client::new();
     let mut tasks = JoinSet::new();
-    for asker in 0..ASKERS {
-        let pause = Duration::from_micros(1_000_000 * ASKERS / rate);
+    for task in 0..QUERY_TASKS {
+        let pause = Duration::from_micros(1_000_000 * QUERY_TASKS / rate);
         let url = format!(
             "http://{}/v1/route?service={}",
-            system.asks[0],
-            service_name(usize::try_from(asker).unwrap_or_default())
+            system.directory_addresses[0],
+            service_name(usize::try_from(task).unwrap_or_default())
         );
-        tasks.spawn(ask(client.clone(), url, pause));
+        tasks.spawn(query_periodically(client.clone(), url, pause));
     }
     let answered: u64 = tasks.join_all().await.iter().sum();
     let after = system.directories.stat().await?;
@@ -137,7 +147,7 @@
         .at("asks_s", usage::float(rate))
         .with(
             "answered_s",
-            usage::float(answered) / begin.elapsed().as_secs_f64(),
+            usage::float(answered) / started_at.elapsed().as_secs_f64(),
         )
         .with("cpu_us", spent)
         .with(
@@ -146,9 +156,9 @@
         ))
 }
 
-/// Asks again and again for [`ASKED`]; counts the good answers.
-async fn ask(client: Client, url: String, pause: Duration) -> u64 {
-    let end = Instant::now() + ASKED;
+/// Sends queries for [`QUERY_TIME`] and returns the number of successful responses.
+async fn query_periodically(client: Client, url: String, pause: Duration) -> u64 {
+    let end = Instant::now() + QUERY_TIME;
     let mut ticks = interval(pause);
     let mut answered = 0;
     while Instant::now() < end {
--- a/crates/demo/examples/slopes/part/held.rs
+++ b/crates/demo/examples/slopes/part/held.rs
@@ -1,4 +1,4 @@
-//! What a gateway holds: calls in flight, and instances that it knows.
+//! Measures a gateway's memory with calls in flight, and its idle load with instances.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use crate::announce;
-use crate::fault::Fault;
+use crate::fault::MeasureError;
 use crate::process::Process;
 use crate::row::Row;
 use crate::system::MANY_PROBES;
@@ -22,32 +22,32 @@
 use crate::system::service_name;
 use crate::usage;
 
-/// Calls in flight, each on a connection of its own.
-const FLIGHT: [usize; 3] = [100, 400, 1_600];
-/// Time in which the calls come to be in flight.
-const RISE: Duration = Duration::from_secs(1);
-/// How long an upstream takes for one of them.
-const SLOW: Duration = Duration::from_millis(2_500);
-/// Slots of an instance that takes all of them.
+/// Numbers of calls in flight, each on its own connection.
+const IN_FLIGHT: [usize; 3] = [100, 400, 1_600];
+/// Time until all calls are in flight, or a change has reached the gateway.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
+/// Service time of a call, long enough to measure while all are in flight.
+const SERVICE_TIME: Duration = Duration::from_millis(2_500);
+/// Slots of an instance, enough for all calls.
 const SLOTS: u32 = 4_000;
-/// Instances of the service that is called.
+/// Number of instances of the service that is called.
 const UPSTREAMS: usize = 20;
-/// Instances known.
+/// Numbers of instances that the gateway knows.
 const KNOWN: [usize; 3] = [100, 400, 1_600];
-/// How long a gateway is watched at rest.
-const REST: Duration = Duration::from_secs(2);
-/// The service that is called.
+/// How long an idle gateway is measured.
+const IDLE_TIME: Duration = Duration::from_secs(2);
+/// Index of the service that is called.
 const CALLED: usize = 0;
 
-/// Measures memory against calls in flight, then rest against instances.
-pub async fn run() -> Result<Vec<Row>, Fault> {
-    let mut rows = flight().await?;
-    rows.extend(known("instances", PROBES).await?);
-    rows.extend(known("probes", MANY_PROBES).await?);
+/// Measures memory by calls in flight, then idle load by known instances.
+pub async fn run() -> Result<Vec<Row>, MeasureError> {
+    let mut rows = measure_in_flight().await?;
+    rows.extend(measure_known_instances("instances", PROBES).await?);
+    rows.extend(measure_known_instances("probes", MANY_PROBES).await?);
     Ok(rows)
 }
 
-async fn flight() -> Result<Vec<Row>, Fault> {
+async fn measure_in_flight() -> Result<Vec<Row>, MeasureError> {
     let system = System::start(1, PROBES).await?;
     let name = service_name(CALLED);
     let mut upstreams = Vec::new();
@@ -57,37 +57,38 @@
             InstanceId::new(&format!("slow-{number}"))?,
             DomainName::new("milano")?,
         );
-        settings.directories.clone_from(&system.asks);
-        settings.time = SLOW;
+        settings.directories.clone_from(&system.directory_addresses);
+        settings.time = SERVICE_TIME;
         settings.slots = SLOTS;
         settings.connections = SLOTS;
         upstreams.push(standin::start(settings, telemetry::log::silent()).await?);
     }
     let (mut gateway, addresses) = system.gateways(1).await?;
-    sleep(RISE).await;
-    let rest = gateway.stat().await?.rss;
+    sleep(SETTLE_TIME).await;
+    let idle_rss = gateway.stat().await?.rss;
     let mut rows = Vec::new();
-    for calls in FLIGHT {
-        let (held, ok) = burst(&mut gateway, addresses[0], &name, calls).await?;
-        let grown = held.saturating_sub(rest);
+    for calls in IN_FLIGHT {
+        let (in_flight_rss, ok) = burst(&mut gateway, addresses[0], &name, calls).await?;
+        let growth = in_flight_rss.saturating_sub(idle_rss);
         rows.push(
             Row::new("gateway", "in-flight")
                 .at("calls", usage::float(calls as u64))
-                .with("rest_kib", usage::float(rest))
-                .with("kib_each", usage::ratio(grown, calls as u64))
+                .with("rest_kib", usage::float(idle_rss))
+                .with("kib_each", usage::ratio(growth, calls as u64))
                 .with("not_ok", usage::float(calls as u64 - ok)),
         );
     }
     Ok(rows)
 }
 
-/// Sends `calls` at once; memory while they are in flight, and how many succeeded.
+/// Sends `calls` concurrent calls; returns the gateway's resident memory in KiB while they
+/// are in flight, and the number of successful calls.
 async fn burst(
     gateway: &mut Process,
     address: SocketAddr,
     service: &str,
     calls: usize,
-) -> Result<(u64, u64), Fault> {
+) -> Result<(u64, u64), MeasureError> {
     let client = Client::new();
     let mut tasks = JoinSet::new();
     for number in 0..calls {
@@ -96,56 +97,66 @@
             .header(header::SERVICE, service);
         tasks.spawn(async move { call.send().await.is_ok_and(|a| a.status().is_success()) });
     }
-    sleep(RISE).await;
-    let held = gateway.stat().await?.rss;
+    sleep(SETTLE_TIME).await;
+    let in_flight_rss = gateway.stat().await?.rss;
     let answered = tasks.join_all().await;
-    Ok((held, answered.iter().filter(|ok| **ok).count() as u64))
+    Ok((
+        in_flight_rss,
+        answered.iter().filter(|ok| **ok).count() as u64,
+    ))
 }
 
-/// A gateway at rest that knows more and more instances, and probes them within `budget`.
-async fn known(slope: &'static str, budget: u32) -> Result<Vec<Row>, Fault> {
+/// Measures an idle gateway with growing numbers of instances, probed within `budget`.
+async fn measure_known_instances(
+    slope: &'static str,
+    budget: u32,
+) -> Result<Vec<Row>, MeasureError> {
     let mut system = System::start(1, budget).await?;
     let (mut gateway, _) = system.gateways(1).await?;
-    let upstreams = [probed("first").await?, probed("second").await?];
+    let upstreams = [probe_target("first").await?, probe_target("second").await?];
     let addresses = upstreams.each_ref().map(StandIn::address);
-    sleep(RISE).await;
-    let bare = gateway.stat().await?;
-    let mut announcing = Vec::new();
+    sleep(SETTLE_TIME).await;
+    let baseline = gateway.stat().await?;
+    let mut announcers = Vec::new();
     let mut rows = Vec::new();
-    let mut have = 0;
+    let mut announced = 0;
     for count in KNOWN {
-        announcing.push(announce::start(&system.asks, &addresses, have..count));
-        have = count;
+        announcers.push(announce::start(
+            &system.directory_addresses,
+            &addresses,
+            announced..count,
+        ));
+        announced = count;
         let wait = format!("instances count={count}");
-        system.directories.ask(&wait).await?;
-        // The gateway's poll takes them over within half a second.
-        sleep(RISE).await;
+        system.directories.request(&wait).await?;
+        // The gateway polls the directory at least every half second.
+        sleep(SETTLE_TIME).await;
         let probes = || upstreams.iter().map(StandIn::probes).sum::<u64>();
-        let (before, earlier, begin) = (gateway.stat().await?, probes(), Instant::now());
-        sleep(REST).await;
+        let (before, probes_before, started_at) = (gateway.stat().await?, probes(), Instant::now());
+        sleep(IDLE_TIME).await;
         let after = gateway.stat().await?;
-        let span = begin.elapsed();
-        let grown = after.rss.saturating_sub(bare.rss);
+        let elapsed = started_at.elapsed();
+        let growth = after.rss.saturating_sub(baseline.rss);
         let row = Row::new("gateway", slope)
             .at("instances", usage::float(count as u64))
             .at("services", usage::float(count.min(SERVICES) as u64))
             .with("rss_kib", usage::float(after.rss))
-            .with("kib_each", usage::ratio(grown, count as u64))
+            .with("kib_each", usage::ratio(growth, count as u64))
             .with(
                 "cpu_percent",
-                usage::percent(after.cpu_since(&before), span),
+                usage::percent(after.cpu_since(&before), elapsed),
             )
             .with(
                 "probes_s",
-                usage::float(probes() - earlier) / span.as_secs_f64(),
+                usage::float(probes() - probes_before) / elapsed.as_secs_f64(),
             );
         rows.push(row);
     }
     Ok(rows)
 }
 
-/// An instance that answers the probes of many.
-async fn probed(name: &str) -> Result<StandIn, Fault> {
+/// Starts a stand-in that answers the probes of many announced instances.
+async fn probe_target(name: &str) -> Result<StandIn, MeasureError> {
     let settings = standin::Settings::new(
         ServiceName::new("unnamed")?,
         InstanceId::new(name)?,
--- a/crates/demo/examples/slopes/part/lines.rs
+++ b/crates/demo/examples/slopes/part/lines.rs
@@ -1,4 +1,4 @@
-//! What one line of a log costs, from the call until it is written.
+//! Measures the cost of one log line, from the call until the line is written.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -7,30 +7,30 @@
 use slog::Level;
 use slog::info;
 
-use crate::fault::Fault;
+use crate::fault::MeasureError;
 use crate::role::LogCount;
 use crate::role::Sink;
 use crate::row::Row;
 use crate::usage;
 
-/// Lines at one go, below the queue's bound so that none is dropped.
+/// Lines per round; below the queue's limit, so that none is dropped.
 const SIZES: [u64; 3] = [1_000, 4_000, 16_000];
-/// Rounds of each size.
+/// Number of rounds of each size.
 const ROUNDS: u64 = 4;
-/// Between two looks at what was written.
-const LOOK: Duration = Duration::from_millis(1);
+/// Interval between checks of what was written.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Measures lines like those of a routing decision.
-pub fn run() -> Result<Vec<Row>, Fault> {
+/// Measures lines of the form of a routing decision's.
+pub fn run() -> Result<Vec<Row>, MeasureError> {
     SIZES.into_iter().map(measure).collect()
 }
 
-fn measure(count: u64) -> Result<Row, Fault> {
+fn measure(count: u64) -> Result<Row, MeasureError> {
     let lines = LogCount::default();
     let out = Sink::open(lines.clone())?;
     let (log, guard) = telemetry::log::start(out, Level::Info, "rwr-gateway", "host-0");
-    let mut held = Duration::ZERO;
-    let begin = usage::cpu();
+    let mut call_time = Duration::ZERO;
+    let started_at = usage::cpu();
     for round in 1..=ROUNDS {
         let start = Instant::now();
         for number in 0..count {
@@ -38,18 +38,18 @@
                 "instance" => "instance-7", "reason" => "least-wait", "age_us" => 1_800,
                 "in_flight" => 3, "expected_us" => 8_400);
         }
-        held += start.elapsed();
+        call_time += start.elapsed();
         while lines.lines.load(Ordering::Relaxed) < count * round {
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
-    let spent = usage::cpu().saturating_sub(begin);
+    let spent = usage::cpu().saturating_sub(started_at);
     drop(guard);
     let all = count * ROUNDS;
     Ok(Row::new("any", "log-line")
         .at("lines", usage::float(count))
         .with("cpu_us", usage::micros(spent, all))
-        .with("caller_us", usage::micros(held, all))
+        .with("caller_us", usage::micros(call_time, all))
         .with(
             "bytes",
             usage::ratio(lines.bytes.load(Ordering::Relaxed), all),
--- a/crates/demo/examples/slopes/part/operator.rs
+++ b/crates/demo/examples/slopes/part/operator.rs
@@ -1,4 +1,4 @@
-//! What the operator's client sends: a change, as bytes.
+//! Measures the size of the changes that the operator's client sends.
 
 use prost::Message;
 use wire::catalogue::Change;
@@ -9,7 +9,7 @@
 
 const EDITS: [usize; 3] = [1, 10, 130];
 
-/// Counts the bytes of changes with some edits.
+/// Measures the encoded size of changes with each number of edits.
 pub fn run() -> Vec<Row> {
     EDITS.into_iter().map(measure).collect()
 }
@@ -19,7 +19,7 @@
         id: uuid::Uuid::nil().to_string(),
         base: 1_400,
         author: "anna".into(),
-        edits: (0..edits).map(|i| system::put(i, 1)).collect(),
+        edits: (0..edits).map(|i| system::put_edit(i, 1)).collect(),
     };
     Row::new("operator", "change")
         .at("edits", usage::float(edits as u64))
--- a/crates/demo/examples/slopes/process.rs
+++ b/crates/demo/examples/slopes/process.rs
@@ -1,4 +1,4 @@
-//! A role in a process of its own, so that its time and memory are its alone.
+//! A role in its own process, so that its processor time and memory can be measured.
 
 use std::process::Stdio;
 use std::time::Duration;
@@ -12,33 +12,33 @@
 use tokio::process::ChildStdout;
 use tokio::process::Command;
 
-use crate::fault::Fault;
+use crate::fault::MeasureError;
 use crate::fields::Fields;
 
-/// The first argument of a role's process.
+/// First argument of a role's process.
 pub const ROLE: &str = "role";
 
-/// What a role's process has used so far.
+/// Resource use of a role's process since its start.
 #[derive(Clone, Copy, Debug)]
-pub struct Stat {
+pub struct ResourceUsage {
     /// Processor time.
     pub cpu: Duration,
     /// Resident memory in KiB.
     pub rss: u64,
-    /// Lines of its log.
+    /// Lines logged.
     pub lines: u64,
-    /// Bytes of its log.
+    /// Bytes logged.
     pub bytes: u64,
 }
 
-impl Stat {
+impl ResourceUsage {
     /// Processor time used since `before`.
     pub fn cpu_since(&self, before: &Self) -> Duration {
         self.cpu.saturating_sub(before.cpu)
     }
 }
 
-/// A role's process; it ends with this value.
+/// A role's process, killed when dropped.
 pub struct Process {
     child: process::Child,
     input: ChildStdin,
@@ -46,12 +46,12 @@
 }
 
 impl Process {
-    /// Starts this program once more, as the role that `args` name.
+    /// Starts this program again as the role that `args` name.
     ///
     /// # Errors
     ///
-    /// Fails when the process can't be started.
-    pub fn start(args: &[&str]) -> Result<Self, Fault> {
+    /// Fails if the process can't be started.
+    pub fn start(args: &[&str]) -> Result<Self, MeasureError> {
         let mut child = Command::new(std::env::current_exe()?)
             .arg(ROLE)
             .args(args)
@@ -59,7 +59,7 @@
             .stdout(Stdio::piped())
             .kill_on_drop(true)
             .spawn()?;
-        let missing = || Fault::Role("no pipe".into());
+        let missing = || MeasureError::Role("no pipe".into());
         let input = child.stdin.take().ok_or_else(missing)?;
         let output = child.stdout.take().ok_or_else(missing)?;
         Ok(Self {
@@ -69,50 +69,50 @@
         })
     }
 
-    /// The next line that it says.
+    /// Reads the next line from the process.
     ///
     /// # Errors
     ///
-    /// Fails when it has ended.
-    pub async fn hear(&mut self) -> Result<Fields, Fault> {
+    /// Fails if the process has exited.
+    pub async fn read_line(&mut self) -> Result<Fields, MeasureError> {
         let line = self.output.next_line().await?;
         line.map(Fields::new)
-            .ok_or_else(|| Fault::Role("nothing, it ended".into()))
+            .ok_or_else(|| MeasureError::Role("the process has exited".into()))
     }
 
-    /// Says `line` and hears the answer.
+    /// Sends `line` to the process and reads the reply.
     ///
     /// # Errors
     ///
-    /// Fails when it has ended.
-    pub async fn ask(&mut self, line: &str) -> Result<Fields, Fault> {
+    /// Fails if the process has exited.
+    pub async fn request(&mut self, line: &str) -> Result<Fields, MeasureError> {
         self.input.write_all(line.as_bytes()).await?;
         self.input.write_all(b"\n").await?;
         self.input.flush().await?;
-        self.hear().await
+        self.read_line().await
     }
 
-    /// What it has used so far.
+    /// Queries the resource use of the process.
     ///
     /// # Errors
     ///
-    /// Fails when it has ended.
-    pub async fn stat(&mut self) -> Result<Stat, Fault> {
-        let said = self.ask("stat").await?;
-        Ok(Stat {
-            cpu: Duration::from_micros(said.number("cpu_us")?),
-            rss: said.number("rss_kib")?,
-            lines: said.number("lines")?,
-            bytes: said.number("bytes")?,
+    /// Fails if the process has exited.
+    pub async fn stat(&mut self) -> Result<ResourceUsage, MeasureError> {
+        let reply = self.request("stat").await?;
+        Ok(ResourceUsage {
+            cpu: Duration::from_micros(reply.number("cpu_us")?),
+            rss: reply.number("rss_kib")?,
+            lines: reply.number("lines")?,
+            bytes: reply.number("bytes")?,
         })
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits for its exit.
     ///
     /// # Errors
     ///
-    /// Fails when it can't be killed.
-    pub async fn kill(mut self) -> Result<(), Fault> {
+    /// Fails if the process can't be killed.
+    pub async fn kill(mut self) -> Result<(), MeasureError> {
         self.child.kill().await?;
         Ok(())
     }
--- a/crates/demo/examples/slopes/relay.rs
+++ b/crates/demo/examples/slopes/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that counts the bytes it passes on, both ways.
+//! A TCP relay that counts the bytes forwarded in both directions.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,15 +13,15 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// Bytes that a relay reads at once.
-const PIECE: usize = 64 * 1024;
+/// Size of a relay's buffer.
+const BUFFER_BYTES: usize = 64 * 1024;
 
-/// Bytes of payload that all relays with this count have passed on.
+/// Payload bytes forwarded by all relays that share this counter.
 #[derive(Clone, Debug, Default)]
-pub struct Count(Arc<AtomicU64>);
+pub struct ByteCounter(Arc<AtomicU64>);
 
-impl Count {
-    /// The bytes so far.
+impl ByteCounter {
+    /// Bytes forwarded so far.
     pub fn bytes(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -32,35 +32,39 @@
     }
 }
 
-/// Starts a relay to `target`; the answer is where it listens.
-pub async fn start(target: SocketAddr, count: Count) -> io::Result<SocketAddr> {
+/// Starts a relay to `target` and returns the address on which it listens.
+pub async fn start(target: SocketAddr, counter: ByteCounter) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
-        while let Ok((near, _)) = listener.accept().await {
-            tokio::spawn(join(near, target, count.clone()));
+        while let Ok((client, _)) = listener.accept().await {
+            tokio::spawn(relay_connection(client, target, counter.clone()));
         }
     });
     Ok(address)
 }
 
-async fn join(near: TcpStream, target: SocketAddr, count: Count) {
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn relay_connection(client: TcpStream, target: SocketAddr, counter: ByteCounter) {
+    let Ok(upstream) = TcpStream::connect(target).await else {
         return;
     };
-    // A held-back frame would show as latency of the role.
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
+    // Nagle's algorithm would add to the measured latency.
+    let _ = client.set_nodelay(true);
+    let _ = upstream.set_nodelay(true);
+    let (client_reader, client_writer) = client.into_split();
+    let (upstream_reader, upstream_writer) = upstream.into_split();
     tokio::join!(
-        pass(near_in, far_out, &count),
-        pass(far_in, near_out, &count)
+        copy_counted(client_reader, upstream_writer, &counter),
+        copy_counted(upstream_reader, client_writer, &counter)
     );
 }
 
-async fn pass(mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin, count: &Count) {
-    let mut buffer = vec![0; PIECE];
+async fn copy_counted(
+    mut from: impl AsyncRead + Unpin,
+    mut to: impl AsyncWrite + Unpin,
+    counter: &ByteCounter,
+) {
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let Ok(read) = from.read(&mut buffer).await else {
             return;
@@ -69,6 +73,6 @@
             let _ = to.shutdown().await;
             return;
         }
-        count.add(read);
+        counter.add(read);
     }
 }
--- a/crates/demo/examples/slopes/role.rs
+++ b/crates/demo/examples/slopes/role.rs
@@ -1,4 +1,4 @@
-//! The processes of the roles: start as told, then answer commands by a line each.
+//! Main functions of the roles' processes, which answer each command with one line.
 
 mod entry;
 mod ledger;
@@ -15,27 +15,27 @@
 use tokio::io::Lines;
 use tokio::io::Stdin;
 
-use crate::fault::Fault;
+use crate::fault::MeasureError;
 use crate::fields::Fields;
 use crate::usage;
 
-/// Runs the role that the arguments name until its input ends.
+/// Runs the role that the arguments name until standard input is closed.
 ///
 /// # Errors
 ///
-/// Fails when there is no such role, or it can't start.
-pub async fn run(args: &[String]) -> Result<(), Fault> {
+/// Fails if there is no such role, or the role can't start.
+pub async fn run(args: &[String]) -> Result<(), MeasureError> {
     let words: Vec<&str> = args.iter().map(String::as_str).collect();
     match words.as_slice() {
         ["control", data, index, rpc, listen] => replica::run(data, index, rpc, listen).await,
         ["directories", count] => entry::directories(count).await,
         ["gateways", count] => entry::gateways(count).await,
         ["ledger", answer] => ledger::run(answer),
-        _ => Err(Fault::Usage(words.join(" "))),
+        _ => Err(MeasureError::Usage(words.join(" "))),
     }
 }
 
-/// The commands that this process hears.
+/// Commands read from standard input.
 struct Commands(Lines<BufReader<Stdin>>);
 
 impl Commands {
@@ -43,57 +43,57 @@
         Self(BufReader::new(tokio::io::stdin()).lines())
     }
 
-    async fn next(&mut self) -> Result<Option<Fields>, Fault> {
+    async fn next(&mut self) -> Result<Option<Fields>, MeasureError> {
         Ok(self.0.next_line().await?.map(Fields::new))
     }
 
-    /// The next command, which must come.
-    async fn expect(&mut self) -> Result<Fields, Fault> {
-        let none = || Fault::Role("nothing, the input ended".into());
+    /// Reads the next command; fails if the input is closed.
+    async fn expect(&mut self) -> Result<Fields, MeasureError> {
+        let none = || MeasureError::Role("the input is closed".into());
         self.next().await?.ok_or_else(none)
     }
 }
 
-/// Says one line.
-fn say(line: &str) -> Result<(), Fault> {
+/// Writes one line to standard output.
+fn write_line(line: &str) -> Result<(), MeasureError> {
     let mut out = io::stdout().lock();
     writeln!(out, "{line}")?;
     out.flush()?;
     Ok(())
 }
 
-/// Says what this process has used.
-fn say_stat(log: &LogCount) -> Result<(), Fault> {
+/// Writes this process's resource use to standard output.
+fn write_usage(log: &LogCount) -> Result<(), MeasureError> {
     let [lines, bytes] = [&log.lines, &log.bytes].map(|n| n.load(Ordering::Relaxed));
-    say(&format!(
+    write_line(&format!(
         "cpu_us={} rss_kib={} lines={lines} bytes={bytes}",
         usage::cpu().as_micros(),
         usage::resident_kib(),
     ))
 }
 
-/// Counts of what was written to a log.
+/// Counters of a log's output.
 #[derive(Clone, Default)]
 pub struct LogCount {
-    /// Lines.
+    /// Lines written.
     pub lines: Arc<AtomicU64>,
-    /// Bytes.
+    /// Bytes written.
     pub bytes: Arc<AtomicU64>,
 }
 
-/// Where a role logs to: writes like a file, and counts.
+/// Output of a role's log, which counts lines and bytes.
 pub struct Sink {
     file: std::fs::File,
     count: LogCount,
 }
 
 impl Sink {
-    /// A sink that the system throws away, at the price of the write.
+    /// Opens the null device as output, which costs a system call per write.
     ///
     /// # Errors
     ///
-    /// Fails when the system has no null device.
-    pub fn open(count: LogCount) -> Result<Self, Fault> {
+    /// Fails if the null device can't be opened.
+    pub fn open(count: LogCount) -> Result<Self, MeasureError> {
         let file = std::fs::OpenOptions::new().write(true).open("/dev/null")?;
         Ok(Self { file, count })
     }
--- a/crates/demo/examples/slopes/role/ledger.rs
+++ b/crates/demo/examples/slopes/role/ledger.rs
@@ -1,4 +1,4 @@
-//! A control replica's state machine with ledger records, without log and disk.
+//! Runs a control replica's state machine with ledger records, without log and disk.
 
 use std::time::Instant;
 
@@ -8,24 +8,25 @@
 use wire::replica::Command;
 use wire::replica::command::Kind;
 
-use super::say;
+use super::write_line;
 use crate::claim;
-use crate::fault::Fault;
+use crate::fault::MeasureError;
 use crate::usage;
 
-/// Records at which the machine is measured while it grows.
+/// Numbers of records at which the growing state machine is measured.
 const RECORDS: [u64; 3] = [16_384, 65_536, 131_072];
-/// The time that each command is stamped with.
+/// Timestamp of all commands.
 const NOW_MS: u64 = 1_800_000_000_000;
 
-/// Fills one machine with claims and settlements whose answers have so many bytes.
-pub fn run(answer: &str) -> Result<(), Fault> {
+/// Fills a state machine with claims and settlements; `answer` is the size of each stored
+/// response in bytes.
+pub fn run(answer: &str) -> Result<(), MeasureError> {
     let body = Bytes::from(vec![b'x'; answer.parse().unwrap_or_default()]);
     let before = usage::resident_kib();
     let mut machine = Machine::default();
     let mut number = 0;
     for records in RECORDS {
-        let (first, begin) = (number, usage::cpu());
+        let (first, started_at) = (number, usage::cpu());
         while number < records {
             for kind in [claim::claim(number), claim::settle(number, &body)] {
                 let command = Command {
@@ -36,16 +37,16 @@
             }
             number += 1;
         }
-        let spent = usage::cpu().saturating_sub(begin);
-        let grown = usage::resident_kib().saturating_sub(before);
-        let begin = Instant::now();
+        let spent = usage::cpu().saturating_sub(started_at);
+        let growth = usage::resident_kib().saturating_sub(before);
+        let started_at = Instant::now();
         let snapshot = machine.snapshot();
-        say(&format!(
-            "records={} rss_kib={grown} apply_ns={} snapshot_bytes={} snapshot_us={}",
+        write_line(&format!(
+            "records={} rss_kib={growth} apply_ns={} snapshot_bytes={} snapshot_us={}",
             machine.ledger().counts().records,
             spent.as_nanos() / u128::from(records - first),
             snapshot.len(),
-            begin.elapsed().as_micros(),
+            started_at.elapsed().as_micros(),
         ))?;
     }
     Ok(())
--- a/crates/demo/examples/slopes/role/replica.rs
+++ b/crates/demo/examples/slopes/role/replica.rs
@@ -1,4 +1,4 @@
-//! One control replica.
+//! Runs one control replica.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,15 +9,15 @@
 
 use super::Commands;
 use super::LogCount;
-use super::say;
-use super::say_stat;
-use crate::fault::Fault;
+use super::write_line;
+use super::write_usage;
+use crate::fault::MeasureError;
 
-/// The replicas' failure domains, in turn.
+/// Failure domains, assigned to replicas in turn.
 const DOMAINS: [&str; 3] = ["milano", "torino", "genova"];
 
-/// Runs the replica number `index` with its folder at `data`.
-pub async fn run(data: &str, index: &str, rpc: &str, listen: &str) -> Result<(), Fault> {
+/// Runs replica `index` with its data folder at `data`.
+pub async fn run(data: &str, index: &str, rpc: &str, listen: &str) -> Result<(), MeasureError> {
     let number: usize = index.parse().unwrap_or_default();
     let mut settings = Settings::local(
         HostName::new(&format!("control-{index}"))?,
@@ -30,7 +30,7 @@
     let bound = control::bind(&settings).await?;
     settings.rpc = bound.rpc();
     settings.replica.listen = bound.replica();
-    say(&format!("rpc={} replica={}", bound.rpc(), bound.replica()))?;
+    write_line(&format!("rpc={} replica={}", bound.rpc(), bound.replica()))?;
     let mut commands = Commands::new();
     let start = commands.expect().await?;
     settings.replica.address = start.address("address")?;
@@ -38,14 +38,14 @@
     let disk = Folder::open(&settings.data)?;
     let log = telemetry::log::silent();
     let replica = bound.start(settings, Box::new(disk), log).await?;
-    say("started")?;
+    write_line("started")?;
     while commands.next().await?.is_some() {
-        say_stat(&LogCount::default())?;
+        write_usage(&LogCount::default())?;
     }
     drop(replica);
     Ok(())
 }
 
-fn address(text: &str) -> Result<SocketAddr, Fault> {
-    text.parse().map_err(|_| Fault::Usage(text.into()))
+fn address(text: &str) -> Result<SocketAddr, MeasureError> {
+    text.parse().map_err(|_| MeasureError::Usage(text.into()))
 }
--- a/crates/demo/examples/slopes/row.rs
+++ b/crates/demo/examples/slopes/row.rs
@@ -1,8 +1,8 @@
-//! One measured point: a role, what was measured, at which size, and figures.
+//! One measured point: a role, the measured quantity, the sizes and the figures.
 
 use std::fmt;
 
-/// A name with its unit, and a value.
+/// A named value; the unit is part of the name.
 #[derive(Clone, Debug)]
 pub struct Figure {
     name: &'static str,
@@ -19,7 +19,7 @@
 }
 
 impl Row {
-    /// A row of `role` without sizes and figures.
+    /// Creates a row of `role` without sizes and figures.
     pub fn new(role: &'static str, slope: &'static str) -> Self {
         Self {
             role,
@@ -29,19 +29,19 @@
         }
     }
 
-    /// With the size that it was measured at.
+    /// Adds a size at which the row was measured.
     pub fn at(mut self, name: &'static str, value: f64) -> Self {
         self.sizes.push(Figure { name, value });
         self
     }
 
-    /// With a figure; the unit is part of the name.
+    /// Adds a figure; the unit is part of the name.
     pub fn with(mut self, name: &'static str, value: f64) -> Self {
         self.figures.push(Figure { name, value });
         self
     }
 
-    /// One line of key=value pairs.
+    /// Formats the row as key=value pairs.
     pub fn plain(&self) -> String {
         let all = self.sizes.iter().chain(&self.figures);
         let pairs: Vec<String> = all.map(ToString::to_string).collect();
@@ -65,7 +65,7 @@
     }
 }
 
-/// A line of the table for people.
+/// Formats the row as a line of the table.
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let join = |figures: &[Figure]| -> String {
--- a/crates/demo/examples/slopes/system.rs
+++ b/crates/demo/examples/slopes/system.rs
@@ -15,52 +15,52 @@
 use wire::catalogue::edit::Kind;
 use wire::control::Role;
 
-use crate::fault::Fault;
+use crate::fault::MeasureError;
 use crate::fields;
 use crate::process::Process;
 use crate::relay;
-use crate::relay::Count;
+use crate::relay::ByteCounter;
 
-/// Services of the letter's target.
+/// Number of services in the catalogue.
 pub const SERVICES: usize = 130;
-/// Gateways that share the measuring budgets.
+/// Number of registered gateways, which share the probe budgets.
 pub const REGISTERED: usize = 15;
-/// Probes a second that one instance takes from all gateways, in thousandths.
+/// Probe budget of one instance over all gateways, in thousandths of a probe per second.
 pub const PROBES: u32 = 1_000;
-/// So many that one gateway's share is one probe a second.
+/// Probe budget at which one gateway's share is one probe per second.
 pub const MANY_PROBES: u32 = 15_000;
-/// Between two looks at who leads.
-const LOOK: Duration = Duration::from_millis(20);
-/// An address with a free port.
-pub const FREE: &str = "127.0.0.1:0";
-/// Requests of one service that may run at one gateway.
+/// Interval between checks for a leader.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Loopback address with a port chosen by the system.
+pub const FREE_PORT: &str = "127.0.0.1:0";
+/// Maximum number of concurrent requests of one service at one gateway.
 const CONCURRENCY: u32 = 4_096;
 
-/// Groups of replicas started so far, as each has a folder of its own.
+/// Number of replica groups started, which numbers their data folders.
 static GROUPS: AtomicU32 = AtomicU32::new(0);
 
-/// The control replicas.
+/// A group of control replicas.
 pub struct Replicas {
-    /// Their processes.
+    /// Processes of the replicas.
     pub processes: Vec<Process>,
-    /// Where directories, gateways and operators connect.
+    /// Addresses for directories, gateways and operators.
     pub rpc: Vec<SocketAddr>,
-    /// An operator.
+    /// An operator of the replicas.
     pub operator: Operator,
-    /// Bytes between replicas.
-    pub bytes: Count,
+    /// Bytes exchanged between replicas.
+    pub bytes: ByteCounter,
     listen: Vec<SocketAddr>,
     relays: Vec<SocketAddr>,
     folder: PathBuf,
 }
 
 impl Replicas {
-    /// Starts `count` replicas with empty folders, and waits for a leader.
+    /// Starts `count` replicas with empty folders and waits for a leader.
     ///
     /// # Errors
     ///
-    /// Fails when one can't start.
-    pub async fn start(count: usize) -> Result<Self, Fault> {
+    /// Fails if a replica can't start.
+    pub async fn start(count: usize) -> Result<Self, MeasureError> {
         let number = GROUPS.fetch_add(1, Ordering::Relaxed);
         let name = format!("rwr-slopes-{}-{number}", std::process::id());
         let folder = std::env::temp_dir().join(name);
@@ -68,14 +68,14 @@
             processes: vec![],
             rpc: vec![],
             operator: Operator::new(&[]),
-            bytes: Count::default(),
+            bytes: ByteCounter::default(),
             listen: vec![],
             relays: vec![],
             folder,
         };
         for index in 0..count {
-            let mut process = all.spawn(index, FREE, FREE)?;
-            let bound = process.hear().await?;
+            let mut process = all.spawn(index, FREE_PORT, FREE_PORT)?;
+            let bound = process.read_line().await?;
             all.processes.push(process);
             all.rpc.push(bound.address("rpc")?);
             let listen = bound.address("replica")?;
@@ -84,33 +84,33 @@
                 .push(relay::start(listen, all.bytes.clone()).await?);
         }
         all.operator = Operator::new(&all.rpc);
-        all.found().await?;
+        all.bootstrap().await?;
         all.leader().await;
         Ok(all)
     }
 
-    fn spawn(&self, index: usize, rpc: &str, listen: &str) -> Result<Process, Fault> {
+    fn spawn(&self, index: usize, rpc: &str, listen: &str) -> Result<Process, MeasureError> {
         let data = self.folder.join(index.to_string());
         let data = data.to_string_lossy();
         Process::start(&["control", &data, &index.to_string(), rpc, listen])
     }
 
-    async fn found(&mut self) -> Result<(), Fault> {
+    async fn bootstrap(&mut self) -> Result<(), MeasureError> {
         let initial = fields::join(&self.relays);
         for (process, relay) in self.processes.iter_mut().zip(&self.relays) {
             process
-                .ask(&format!("start address={relay} initial={initial}"))
+                .request(&format!("start address={relay} initial={initial}"))
                 .await?;
         }
         Ok(())
     }
 
-    /// Kills all at once and starts them again with the same folders.
+    /// Kills all replicas and starts them again with the same folders.
     ///
     /// # Errors
     ///
-    /// Fails when one can't be killed or started.
-    pub async fn restart(&mut self) -> Result<(), Fault> {
+    /// Fails if a replica can't be killed or started.
+    pub async fn restart(&mut self) -> Result<(), MeasureError> {
         for process in std::mem::take(&mut self.processes) {
             process.kill().await?;
         }
@@ -118,13 +118,13 @@
             let rpc = self.rpc[index].to_string();
             let listen = self.listen[index].to_string();
             let mut process = self.spawn(index, &rpc, &listen)?;
-            process.hear().await?;
+            process.read_line().await?;
             self.processes.push(process);
         }
-        self.found().await
+        self.bootstrap().await
     }
 
-    /// The index of the leader, as soon as there is one.
+    /// Waits for a leader and returns its index.
     pub async fn leader(&self) -> usize {
         loop {
             for index in 0..self.rpc.len() {
@@ -133,7 +133,7 @@
                     return index;
                 }
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -145,125 +145,129 @@
     }
 }
 
-/// The control replicas and the entry hosts.
+/// Control replicas and the directories of the entry hosts.
 pub struct System {
-    /// Control.
+    /// The control replicas.
     pub control: Replicas,
-    /// The directories of all hosts.
+    /// The process of all directories.
     pub directories: Process,
-    /// Where each directory answers upstreams and callers.
-    pub asks: Vec<SocketAddr>,
-    /// Bytes between directories.
-    pub peers: Count,
-    /// Bytes between directories and control.
-    pub follow: Count,
-    /// The catalogue's version.
+    /// HTTP addresses of the directories, for upstreams and callers.
+    pub directory_addresses: Vec<SocketAddr>,
+    /// Bytes exchanged between directories.
+    pub peer_bytes: ByteCounter,
+    /// Bytes exchanged between directories and control replicas.
+    pub control_bytes: ByteCounter,
+    /// Current version of the catalogue.
     pub version: u64,
     rpc: Vec<SocketAddr>,
 }
 
 impl System {
-    /// Starts three replicas and the directories of `hosts` entry hosts, with a
-    /// catalogue whose instances take `probes` thousandths of a probe a second.
+    /// Starts three replicas and the directories of `hosts` entry hosts, with a catalogue
+    /// whose probe budget is `probes` thousandths of a probe per second and instance.
     ///
     /// # Errors
     ///
-    /// Fails when a process can't start.
-    pub async fn start(hosts: usize, probes: u32) -> Result<Self, Fault> {
+    /// Fails if a process can't start.
+    pub async fn start(hosts: usize, probes: u32) -> Result<Self, MeasureError> {
         let control = Replicas::start(3).await?;
         let mut directories = Process::start(&["directories", &hosts.to_string()])?;
-        let bound = directories.hear().await?;
+        let bound = directories.read_line().await?;
         let rpc = bound.addresses("rpc")?;
-        let (peers, follow) = (Count::default(), Count::default());
-        let to_peers = relays(&rpc, &peers).await?;
-        let to_control = relays(&control.rpc, &follow).await?;
+        let (peer_bytes, control_bytes) = (ByteCounter::default(), ByteCounter::default());
+        let to_peers = relays(&rpc, &peer_bytes).await?;
+        let to_control = relays(&control.rpc, &control_bytes).await?;
         let start = format!(
             "start peers={} control={}",
             fields::join(&to_peers),
             fields::join(&to_control)
         );
-        directories.ask(&start).await?;
+        directories.request(&start).await?;
         let mut system = Self {
             control,
             directories,
-            asks: bound.addresses("http")?,
-            peers,
-            follow,
+            directory_addresses: bound.addresses("http")?,
+            peer_bytes,
+            control_bytes,
             version: 0,
             rpc,
         };
-        system.found(probes).await?;
+        system.bootstrap(probes).await?;
         Ok(system)
     }
 
-    async fn found(&mut self, probes: u32) -> Result<(), Fault> {
-        let puts = (0..SERVICES).map(|i| put_probed(i, 0, probes));
+    async fn bootstrap(&mut self, probes: u32) -> Result<(), MeasureError> {
+        let puts = (0..SERVICES).map(|i| put_edit_with_probes(i, 0, probes));
         let hosts = (0..REGISTERED).map(|i| Edit {
             kind: Some(Kind::AddGateway(format!("host-{i}"))),
         });
         self.apply(puts.chain(hosts).collect()).await?;
         let wait = format!("version count={}", self.version);
-        self.directories.ask(&wait).await?;
+        self.directories.request(&wait).await?;
         Ok(())
     }
 
-    /// Applies `edits` on top of the current version.
+    /// Applies `edits` to the current version.
     ///
     /// # Errors
     ///
-    /// Fails when the change isn't accepted.
-    pub async fn apply(&mut self, edits: Vec<Edit>) -> Result<(), Fault> {
+    /// Fails if the change is not accepted.
+    pub async fn apply(&mut self, edits: Vec<Edit>) -> Result<(), MeasureError> {
         self.version = self.control.operator.apply(self.version, edits).await?;
         Ok(())
     }
 
-    /// Starts the gateways of `count` hosts; they and where callers connect.
+    /// Starts the gateways of `count` hosts; returns their process and their addresses for
+    /// callers.
     ///
     /// # Errors
     ///
-    /// Fails when their process can't start.
-    pub async fn gateways(&self, count: usize) -> Result<(Process, Vec<SocketAddr>), Fault> {
+    /// Fails if their process can't start.
+    pub async fn gateways(&self, count: usize) -> Result<(Process, Vec<SocketAddr>), MeasureError> {
         let mut process = Process::start(&["gateways", &count.to_string()])?;
         let start = format!(
             "start directories={} control={}",
             fields::join(&self.rpc),
             fields::join(&self.control.rpc)
         );
-        let started = process.ask(&start).await?;
+        let started = process.request(&start).await?;
         let wait = format!("version count={}", self.version);
-        process.ask(&wait).await?;
+        process.request(&wait).await?;
         Ok((process, started.addresses("http")?))
     }
 }
 
-/// Starts a relay to each of `targets`.
+/// Starts a relay to each of `targets` and returns the relays' addresses.
 ///
 /// # Errors
 ///
-/// Fails when a port can't be bound.
-pub async fn relays(targets: &[SocketAddr], count: &Count) -> Result<Vec<SocketAddr>, Fault> {
-    let mut found = Vec::new();
+/// Fails if a port can't be bound.
+pub async fn relays(
+    targets: &[SocketAddr],
+    count: &ByteCounter,
+) -> Result<Vec<SocketAddr>, MeasureError> {
+    let mut addresses = Vec::new();
     for target in targets {
-        found.push(relay::start(*target, count.clone()).await?);
+        addresses.push(relay::start(*target, count.clone()).await?);
     }
-    Ok(found)
+    Ok(addresses)
 }
 
-/// The name of the entry host number `index`.
+/// Name of entry host `index`.
 ///
 /// # Errors
 ///
-/// Never with the names that are built in.
+/// Fails if the name is invalid, which does not happen with the built-in names.
 pub fn host_name(index: usize) -> Result<HostName, NameError> {
     HostName::new(&format!("host-{index}"))
 }
 
-/// The name of the service number `index`.
+/// Name of service `index`.
 pub fn service_name(index: usize) -> String {
     format!("service-{:03}", index % SERVICES)
 }
 
-/// The class of the service number `index`: the second of each four is class once.
+/// Class of service `index`; the classes alternate, starting with `Urgent` and `Once`.
 pub fn class_of(index: usize) -> Class {
     match index % 4 {
         0 => Class::Urgent,
@@ -273,12 +277,12 @@
     }
 }
 
-/// An edit of the service number `index`; `queue` makes it another one.
-pub fn put(index: usize, queue: u32) -> Edit {
-    put_probed(index, queue, PROBES)
+/// Edit that sets service `index`; different values of `queue` give different entries.
+pub fn put_edit(index: usize, queue: u32) -> Edit {
+    put_edit_with_probes(index, queue, PROBES)
 }
 
-fn put_probed(index: usize, queue: u32, probes: u32) -> Edit {
+fn put_edit_with_probes(index: usize, queue: u32, probes: u32) -> Edit {
     let mut entry = services::entry(&service_name(index), "operations", class_of(index), probes);
     entry.limits.concurrency = CONCURRENCY;
     entry.limits.queue = CONCURRENCY + queue;
--- a/crates/demo/examples/slopes/usage.rs
+++ b/crates/demo/examples/slopes/usage.rs
@@ -1,4 +1,4 @@
-//! What this process has used: processor time by its own clock, resident memory.
+//! Processor time and resident memory of this process, and conversions for figures.
 
 use std::fs;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 /// Processor time of all threads of this process.
 ///
-/// This clock counts nanoseconds where `/proc` counts hundredths of a second.
+/// The clock has a resolution of nanoseconds; `/proc` has hundredths of a second.
 pub fn cpu() -> Duration {
     let time = clock_gettime(ClockId::ProcessCPUTime);
     let secs = u64::try_from(time.tv_sec).unwrap_or_default();
@@ -16,7 +16,7 @@
     Duration::new(secs, nanos)
 }
 
-/// Resident memory of this process in KiB, zero where the system doesn't tell.
+/// Resident memory of this process in KiB; zero if unknown.
 pub fn resident_kib() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
@@ -26,7 +26,7 @@
         .unwrap_or_default()
 }
 
-/// `sum / count` as a float; counts beyond 32 bits don't come up here.
+/// `sum / count` as a float; a `count` of zero counts as one.
 pub fn ratio(sum: u64, count: u64) -> f64 {
     float(sum) / float(count.max(1))
 }
@@ -38,12 +38,12 @@
     f64::from(high).mul_add(4_294_967_296.0, f64::from(low))
 }
 
-/// `span` in microseconds over `count`.
-pub fn micros(span: Duration, count: u64) -> f64 {
-    span.as_secs_f64() * 1e6 / float(count.max(1))
+/// `elapsed` in microseconds, divided by `count`.
+pub fn micros(elapsed: Duration, count: u64) -> f64 {
+    elapsed.as_secs_f64() * 1e6 / float(count.max(1))
 }
 
-/// `busy` as a share of `span`, in percent of a core.
-pub fn percent(busy: Duration, span: Duration) -> f64 {
-    busy.as_secs_f64() * 100.0 / span.as_secs_f64()
+/// `busy` as a share of `elapsed`, in percent of a core.
+pub fn percent(busy: Duration, elapsed: Duration) -> f64 {
+    busy.as_secs_f64() * 100.0 / elapsed.as_secs_f64()
 }
