--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -12,10 +12,10 @@
 use standin::runs::Runs;
 use strum::Display;
 use telemetry::log::silent;
-use testutils::Ask;
 use testutils::Fleet;
 use testutils::Host;
 use testutils::Process;
+use testutils::Request;
 use testutils::process::field;
 use testutils::system::wait;
 use testutils::tables;
@@ -273,9 +273,9 @@
             return Ok(());
         }
         let process = if hub {
-            self.fleet.new_hub(index).await?
+            self.fleet.start_hub(index).await?
         } else {
-            self.fleet.new_entry(index).await?
+            self.fleet.start_entry(index).await?
         };
         *self.slot(position) = Some(process);
         Ok(())
@@ -355,9 +355,9 @@
 
     async fn wait_until_served(&self) -> Result<(), SoakError> {
         let asks = [
-            Ask::get(STATUS, "/read/wait").at(HOST),
-            Ask::post(GRANTS, "/once/wait", "block 7").at(HOST),
-            Ask::get(LOOKUPS, "/fragile/wait").at(HOST),
+            Request::get(STATUS, "/read/wait").at(HOST),
+            Request::post(GRANTS, "/once/wait", "block 7").at(HOST),
+            Request::get(LOOKUPS, "/fragile/wait").at(HOST),
         ];
         for index in 0..ENTRIES {
             for ask in &asks {
