--- a/crates/entry/tests/test_burst.rs
+++ b/crates/entry/tests/test_burst.rs
@@ -7,11 +7,11 @@
     reason = "figures of a model"
 )]
 
-mod rig;
+mod simulation;
 
-use rig::Case;
-use rig::SimulationResult;
-use rig::simulate;
+use simulation::Case;
+use simulation::SimulationResult;
+use simulation::simulate;
 
 /// A service with 52 slots. On busy days it receives 300 to 450 requests per second, otherwise
 /// 200.
--- a/crates/entry/tests/test_placing.rs
+++ b/crates/entry/tests/test_placement.rs
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn test_placing_grant_lasts_as_long_as_the_attempt() {
+async fn test_placement_grant_lasts_as_long_as_the_attempt() {
     let upstream = Upstream::start("i-1", Behavior::Hang).await;
     let instances = [instance(&upstream, "status")];
     let (asker, dispatcher) = (start(&instances).await, start(&instances).await);
@@ -146,18 +146,18 @@
 }
 
 #[tokio::test]
-async fn test_placing_dispatcher_that_is_gone_costs_no_request() {
+async fn test_placement_dispatcher_that_is_gone_costs_no_request() {
     check_requests_are_answered(false).await;
 }
 
 #[tokio::test]
-async fn test_placing_silent_dispatcher_costs_no_request() {
+async fn test_placement_silent_dispatcher_costs_no_request() {
     check_requests_are_answered(true).await;
 }
 
 /// Guards against failing requests because a dispatcher has restarted or knows no instances.
 #[tokio::test]
-async fn test_placing_dispatcher_that_knows_nothing_costs_no_request() {
+async fn test_placement_dispatcher_that_knows_nothing_costs_no_request() {
     let upstream = Upstream::start("i-1", Behavior::Answer).await;
     let asker = start(&[instance(&upstream, "status")]).await;
     let dispatcher = start(&[]).await;
@@ -224,7 +224,7 @@
 
 /// Guards against using a granted instance that is draining or unknown to this process.
 #[tokio::test]
-async fn test_placing_instance_that_leaves_gets_nothing_whoever_grants_it() {
+async fn test_placement_instance_that_leaves_gets_nothing_whoever_grants_it() {
     let one = Upstream::start("i-1", Behavior::Answer).await;
     let two = Upstream::start("i-2", Behavior::Answer).await;
     let leaving = Instance {
@@ -247,7 +247,7 @@
 }
 
 #[tokio::test]
-async fn test_placing_dispatcher_learns_how_the_attempt_ended() {
+async fn test_placement_dispatcher_learns_how_the_attempt_ended() {
     let cases = [
         (Behavior::Answer, Kind::Ok),
         (Behavior::Fail, Kind::Error),
--- a/crates/entry/tests/test_habit.rs
+++ b/crates/entry/tests/test_route_stats.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn test_habit_caller_that_retries_has_spent_the_difference() {
+fn test_route_stats_caller_that_retries_has_spent_the_difference() {
     let mut route = Route::with_callers(1_494);
     let spent = route.spent(1_490);
     assert!(spent <= millis(10), "{spent:?}");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn test_habit_callers_who_differ_in_patience_have_spent_nothing() {
+fn test_route_stats_callers_who_differ_in_patience_have_spent_nothing() {
     let mut route = Route::new();
     let mut late = 0;
     for step in 0..1_000 {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn test_habit_callers_after_an_outage_are_known_to_be_late() {
+fn test_route_stats_callers_after_an_outage_are_known_to_be_late() {
     let mut route = Route::with_callers(1_495);
     for step in 0..20 {
         let spent = route.spent(900 - step * 10);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn test_habit_first_callers_after_a_restart_are_known_to_be_late() {
+fn test_route_stats_first_callers_after_a_restart_are_known_to_be_late() {
     let mut route = Route::new();
     route.spent(1_495);
     for step in 0..18 {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn test_habit_few_longer_timeouts_make_no_other_caller_late() {
+fn test_route_stats_few_longer_timeouts_make_no_other_caller_late() {
     let mut route = Route::with_callers(1_000);
     for _ in 0..3 {
         route.spent(3_000);
@@ -96,7 +96,7 @@
 /// Guards against treating most callers as late after a restart of the whole system, when one in
 /// twenty-five waits three times as long.
 #[test]
-fn test_habit_longest_timeout_after_a_restart_makes_no_other_caller_late() {
+fn test_route_stats_longest_timeout_after_a_restart_makes_no_other_caller_late() {
     let timeout = Some(millis(500));
     let mut route_stats = RouteStats::initial(Some(millis(200)), timeout);
     let mut now = Moment::from_millis(1_000);
--- a/crates/entry/tests/test_subset.rs
+++ b/crates/entry/tests/test_subset.rs
@@ -8,10 +8,10 @@
     reason = "figures of a model"
 )]
 
-mod rig;
+mod simulation;
 
-use rig::Case;
-use rig::simulate;
+use simulation::Case;
+use simulation::simulate;
 
 /// One failure domain of a service: about two requests per second and process at normal load.
 const CALM: Case = Case {
