--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -51,7 +51,7 @@
 use crate::settings::Settings;
 
 quick_error! {
-/// Why a gateway failed to start.
+    /// Why a gateway failed to start.
     #[derive(Debug)]
     pub enum StartError {
         /// A port could not be bound or configured.
--- a/crates/gateway/src/probe_schedule.rs
+++ b/crates/gateway/src/probe_schedule.rs
@@ -1,8 +1,8 @@
 //! Schedules when each service is checked for probes to send.
 //!
-//! The meter tells when the next probe of an instance is allowed. A service is
-//! due as soon as one of its instances may be probed, so that an idle gateway
-//! wakes up only when it can send a probe.
+//! The [`ProbeLimiter`](measure::ProbeLimiter) tells when the next probe of an instance
+//! is allowed. A service is due as soon as one of its instances may be probed, so that
+//! an idle gateway wakes up only when it can send a probe.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 
 /// Interval between checks of an instance that may be probed but needs no probe yet.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Maximum time for which a denial of the meter is cached, as a share may be raised.
+/// Maximum time for which a denial of the limiter is cached, as a share may be raised.
 pub const MAX_DENIAL_TIME: Duration = Duration::from_secs(1);
 
 /// Schedule of one service.
@@ -23,7 +23,7 @@
 pub struct ServiceSchedule {
     instances: Instances,
     next_check: Moment,
-    // Time from which an instance may be probed, for those that the meter denied.
+    // Time from which an instance may be probed, for those that the limiter denied.
     denied_until: HashMap<InstanceId, Moment>,
 }
 
@@ -34,7 +34,7 @@
         self.denied_until.get(id).is_none_or(|at| *at <= now)
     }
 
-    /// Records that the meter denies probes of the instance before `at`.
+    /// Records that the limiter denies probes of the instance before `at`.
     pub fn deny(&mut self, id: &InstanceId, at: Moment, now: Moment) {
         self.denied_until
             .insert(id.clone(), at.min(now + MAX_DENIAL_TIME));
--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -1,7 +1,7 @@
 //! Probes instances for their load within the probe budget.
 //!
-//! The chooser selects the instances whose probe is most useful; the meter of the
-//! crate `measure` decides whether this gateway may send it now. Only one process
+//! The chooser selects the instances whose probe is most useful; the [`ProbeLimiter`]
+//! decides whether this gateway may send it now. Only one process
 //! of a host may probe: the one that has bound the operators' port.
 
 use std::sync::Arc;
@@ -41,10 +41,10 @@
 /// Minimum pause between two passes over the services that are due.
 const MIN_PAUSE: Duration = Duration::from_millis(2);
 
-/// The meter, which limits probes to the budget.
+/// The limiter that keeps probes within the budget.
 #[derive(Debug)]
 pub struct Prober {
-    meter: Mutex<ProbeLimiter>,
+    limiter: Mutex<ProbeLimiter>,
     clock: Clock,
 }
 
@@ -53,26 +53,26 @@
     #[must_use]
     pub fn new(host: HostName, lease: Duration, clock: Clock) -> Self {
         Self {
-            meter: Mutex::new(ProbeLimiter::new(host, lease, anchor(clock))),
+            limiter: Mutex::new(ProbeLimiter::new(host, lease, anchor(clock))),
             clock,
         }
     }
 
     /// Allows this process to probe for its host.
     pub fn enable(&self) {
-        self.meter().set_holder(true, self.clock.now());
+        self.limiter().set_holder(true, self.clock.now());
     }
 
     /// Updates budgets, confirmation and, if `changed`, the instances.
     pub fn update(&self, before: &View, after: &View, changed: bool) {
         let now = self.clock.now();
-        let mut meter = self.meter();
-        meter.set_anchor(anchor(self.clock));
+        let mut limiter = self.limiter();
+        limiter.set_anchor(anchor(self.clock));
         if after.version() > 0 {
-            meter.update_registry(after.registry().clone(), now);
+            limiter.update_registry(after.registry().clone(), now);
         }
         if let Some(confirmed_at) = after.confirmed_at() {
-            meter.confirm(after.version(), confirmed_at, now);
+            limiter.confirm(after.version(), confirmed_at, now);
         }
         if !changed {
             return;
@@ -80,16 +80,16 @@
         for removed in before.all_instances() {
             let remaining = after.instances(&removed.service);
             if !remaining.iter().any(|instance| instance.id == removed.id) {
-                meter.remove(&removed.service, &removed.id);
+                limiter.remove(&removed.service, &removed.id);
             }
         }
         for instance in after.all_instances() {
-            meter.add(&instance.service, &instance.id, now);
+            limiter.add(&instance.service, &instance.id, now);
         }
     }
 
-    fn meter(&self) -> MutexGuard<'_, ProbeLimiter> {
-        self.meter.lock().unwrap_or_else(PoisonError::into_inner)
+    fn limiter(&self) -> MutexGuard<'_, ProbeLimiter> {
+        self.limiter.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -122,7 +122,7 @@
     }
 }
 
-/// Sends the probes of one service that the meter allows.
+/// Sends the probes of one service that the limiter allows.
 fn send_due_probes(
     core: &Arc<Core>,
     service: &ServiceName,
@@ -133,12 +133,12 @@
     let mut picks = Vec::new();
     {
         let mut state = balancer.state();
-        let mut meter = core.prober.meter();
+        let mut limiter = core.prober.limiter();
         let mut allowed = |id: &InstanceId| {
             if !schedule.may_probe(id, now) {
                 return false;
             }
-            let verdict = meter.spend(service, id, now);
+            let verdict = limiter.spend(service, id, now);
             if let Err(Denied::Early(at)) = verdict {
                 schedule.deny(id, at, now);
             }
--- a/crates/gateway/tests/test_probe_schedule.rs
+++ b/crates/gateway/tests/test_probe_schedule.rs
@@ -50,7 +50,7 @@
     Arc::new(view.updated(at(0), reply))
 }
 
-/// Times before which the meter denies two instances, and when the next check is due.
+/// Times before which the limiter denies two instances, and when the next check is due.
 struct Case {
     name: &'static str,
     denied_until: [Option<u64>; 2],
