--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -66,7 +66,7 @@
     receive
 }
 
-fn terms(request: &Request) -> CallContext {
+fn call_context(request: &Request) -> CallContext {
     let class = request.head.service.class;
     CallContext {
         // A streamed body can't be sent again, so its request is treated as class once.
--- a/crates/gateway/src/call/classify.rs
+++ b/crates/gateway/src/call/classify.rs
@@ -17,7 +17,7 @@
     }
 }
 
-pub(super) fn ending_of(err: &SendError) -> AttemptError {
+pub(super) fn attempt_error_of(err: &SendError) -> AttemptError {
     match err {
         SendError::Connect(_) => AttemptError::ConnectFailed,
         SendError::NoAnswer(_) => AttemptError::NoAnswer,
--- a/crates/gateway/src/call/driver.rs
+++ b/crates/gateway/src/call/driver.rs
@@ -35,7 +35,7 @@
 use crate::call::state::caller_disconnected;
 use crate::call::state::next_response;
 use crate::call::state::relay_step;
-use crate::call::terms;
+use crate::call::call_context;
 use crate::core::Core;
 use crate::counters::add;
 use crate::headers;
@@ -76,7 +76,7 @@
             "request" => request.head.id.clone(),
             "service" => request.head.service.name.to_string(),
         ));
-        let call = attempt::Call::new(terms(&request));
+        let call = attempt::Call::new(call_context(&request));
         Self {
             core,
             balancer,
--- a/crates/gateway/src/call/responses.rs
+++ b/crates/gateway/src/call/responses.rs
@@ -19,7 +19,7 @@
 use route::OutcomeKind;
 use slog::info;
 
-use crate::call::classify::ending_of;
+use crate::call::classify::attempt_error_of;
 use crate::call::classify::kind_of;
 use crate::call::classify::kind_of_response;
 use crate::call::classify::range_start;
@@ -50,16 +50,16 @@
                 guard.set_kind(kind_of(&err));
                 drop(guard);
                 info!(self.log, "attempt failed"; "attempt" => number, "error" => %err);
-                self.step(Event::AttemptFailed(number, ending_of(&err)));
+                self.step(Event::AttemptFailed(number, attempt_error_of(&err)));
                 return;
             }
         };
         guard.record_head(&response.headers);
-        if let Some(ending) = self.reject_response(&response) {
+        if let Some(err) = self.reject_response(&response) {
             guard.set_kind(OutcomeKind::Error);
             drop(guard);
-            info!(self.log, "answer refused"; "attempt" => number, "ending" => <&str>::from(ending));
-            self.step(Event::AttemptFailed(number, ending));
+            info!(self.log, "answer refused"; "attempt" => number, "ending" => <&str>::from(err));
+            self.step(Event::AttemptFailed(number, err));
             return;
         }
         guard.set_kind(kind_of_response(&response));
--- a/crates/gateway/src/queue.rs
+++ b/crates/gateway/src/queue.rs
@@ -80,7 +80,7 @@
         for service in after.services() {
             state
                 .admission
-                .set_service(&service.name, terms(service, after));
+                .set_service(&service.name, service_config(service, after));
         }
         state.perform(out);
     }
@@ -247,7 +247,7 @@
     }
 }
 
-fn terms(service: &Service, view: &View) -> ServiceConfig {
+fn service_config(service: &Service, view: &View) -> ServiceConfig {
     let instances = view.instances(&service.name).iter();
     let slots: u32 = instances
         .filter(|instance| instance.phase == Phase::Ready)
