--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -1,7 +1,7 @@
 //! The quarantine state of one process that sends requests, as a state machine without I/O.
 //!
 //! The process counts the crashes that it sees itself, so that it refuses requests even if no hub
-//! answers. Hubs count the crashes of all processes. Events are retention after they were reported,
+//! answers. Hubs count the crashes of all processes. Events are retained after they were reported,
 //! because a restarted hub has lost them.
 
 use std::collections::BTreeMap;
--- a/crates/quarantine/src/tracker.rs
+++ b/crates/quarantine/src/tracker.rs
@@ -134,12 +134,12 @@
     }
 
     fn refuse(&mut self, now: Moment) -> Duration {
-        let span =
+        let duration =
             INITIAL_REFUSAL.saturating_mul(1_u32.checked_shl(self.refusals).unwrap_or(u32::MAX));
-        let span = span.min(MAX_REFUSAL);
+        let duration = duration.min(MAX_REFUSAL);
         self.refusals += 1;
-        self.refused_until = now + span;
-        span
+        self.refused_until = now + duration;
+        duration
     }
 }
 
