--- a/crates/admit/src/admission.rs
+++ b/crates/admit/src/admission.rs
@@ -11,7 +11,7 @@
 use crate::class_scheduler::ORDER;
 use crate::limit::Mode;
 use crate::refusal::Refusal;
-use crate::refusal::Refused;
+use crate::refusal::Reason;
 use crate::service_queue::Finish;
 use crate::service_queue::ServiceConfig;
 use crate::service_queue::ServiceQueue;
@@ -129,7 +129,7 @@
         queue.mark_removed();
         while let Some(ticket) = queue.take_first() {
             self.queued.remove(&ticket);
-            out.push(Action::Refuse(ticket, without_retry(Refused::Removed)));
+            out.push(Action::Refuse(ticket, without_retry(Reason::Removed)));
         }
         self.remove_if_drained(service);
     }
@@ -142,16 +142,16 @@
     /// Decides on an arriving call; decisions on queued calls are appended to `out`.
     pub fn arrive(&mut self, request: &Request, now: Moment, out: &mut Vec<Action>) -> Arrival {
         if self.stopping {
-            return Arrival::Refused(self.refusal(Refused::Stopping, None, now));
+            return Arrival::Refused(self.refusal(Reason::Stopping, None, now));
         }
         self.poll(now, out);
         let has_slot = self.has_slot();
         let queue = self.services.get_mut(&request.service);
         let Some(queue) = queue.filter(|queue| !queue.is_removed()) else {
-            return Arrival::Refused(without_retry(Refused::UnknownService));
+            return Arrival::Refused(without_retry(Reason::UnknownService));
         };
         if request.deadline <= now {
-            return self.refuse(Refused::Expired, &request.service, now);
+            return self.refuse(Reason::Expired, &request.service, now);
         }
         if has_slot && queue.has_room() && queue.queued() == 0 {
             queue.start();
@@ -159,10 +159,10 @@
             return Arrival::Started;
         }
         if !queue.can_meet_deadline(request, now) {
-            return self.refuse(Refused::Overloaded, &request.service, now);
+            return self.refuse(Reason::Overloaded, &request.service, now);
         }
         if queue.is_full() || !self.make_room_in_queue(&request.service, now, out) {
-            return self.refuse(Refused::QueueFull, &request.service, now);
+            return self.refuse(Reason::QueueFull, &request.service, now);
         }
         self.enqueue(request, now);
         Arrival::Queued
@@ -289,7 +289,7 @@
                     break;
                 };
                 self.queued.remove(&ticket);
-                let reason = Refused::Expired;
+                let reason = Reason::Expired;
                 let refusal = Refusal {
                     reason,
                     retry_after,
@@ -357,7 +357,7 @@
             return false;
         };
         self.queued.remove(&ticket);
-        let reason = Refused::Yielded;
+        let reason = Reason::Yielded;
         let refusal = Refusal {
             reason,
             retry_after,
@@ -376,11 +376,11 @@
         queued > to_usize(share.max(1))
     }
 
-    fn refuse(&self, reason: Refused, service: &ServiceName, now: Moment) -> Arrival {
+    fn refuse(&self, reason: Reason, service: &ServiceName, now: Moment) -> Arrival {
         Arrival::Refused(self.refusal(reason, Some(service), now))
     }
 
-    fn refusal(&self, reason: Refused, service: Option<&ServiceName>, now: Moment) -> Refusal {
+    fn refusal(&self, reason: Reason, service: Option<&ServiceName>, now: Moment) -> Refusal {
         let wait = service.map(|service| self.retry_after(service, now));
         Refusal {
             reason,
@@ -393,7 +393,7 @@
     queue.queued() > 0 && queue.has_room()
 }
 
-fn without_retry(reason: Refused) -> Refusal {
+fn without_retry(reason: Reason) -> Refusal {
     Refusal {
         reason,
         retry_after: None,
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -32,7 +32,7 @@
 pub use admission::Ticket;
 pub use limit::Mode;
 pub use refusal::Refusal;
-pub use refusal::Refused;
+pub use refusal::Reason;
 pub use service_queue::Finish;
 pub use service_queue::ServiceConfig;
 pub use wait_queue::WaitQueue;
--- a/crates/admit/src/refusal.rs
+++ b/crates/admit/src/refusal.rs
@@ -11,7 +11,7 @@
 /// Why a call was refused. A refused call was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Refused {
+pub enum Reason {
     /// The catalogue has no such service.
     UnknownService,
     /// The queue of the service or of the gateway is full.
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Value of [`base::header::REASON`], also logged.
-    pub reason: Refused,
+    pub reason: Reason,
     /// Value of `Retry-After`; none if retrying doesn't help.
     pub retry_after: Option<Duration>,
 }
@@ -42,7 +42,7 @@
     #[must_use]
     pub fn status(self) -> u16 {
         match self.reason {
-            Refused::UnknownService | Refused::Removed => 404,
+            Reason::UnknownService | Reason::Removed => 404,
             _ => 503,
         }
     }
--- a/crates/admit/tests/test_admission.rs
+++ b/crates/admit/tests/test_admission.rs
@@ -7,7 +7,7 @@
 use admit::Admission;
 use admit::Arrival;
 use admit::Finish;
-use admit::Refused;
+use admit::Reason;
 use admit::Request;
 use admit::ServiceConfig;
 use admit::Settings;
@@ -51,14 +51,14 @@
     }
 }
 
-fn refused(arrival: Arrival) -> Option<Refused> {
+fn refused(arrival: Arrival) -> Option<Reason> {
     match arrival {
         Arrival::Refused(refusal) => Some(refusal.reason),
         Arrival::Started | Arrival::Queued => None,
     }
 }
 
-fn refusals(out: &[Action]) -> Vec<(u64, Refused)> {
+fn refusals(out: &[Action]) -> Vec<(u64, Reason)> {
     let each = out.iter().filter_map(|action| match action {
         Action::Refuse(ticket, refusal) => Some((ticket.0, refusal.reason)),
         Action::Start(_) => None,
@@ -113,14 +113,14 @@
     let Arrival::Refused(refusal) = short else {
         panic!("{short:?}");
     };
-    assert_eq!(refusal.reason, Refused::Overloaded);
+    assert_eq!(refusal.reason, Reason::Overloaded);
     let wait = refusal.retry_after.expect("a retry time");
     assert!(wait >= Duration::from_millis(100), "{wait:?}");
     assert_eq!(refusal.retry_seconds(), Some(1));
     let long = admission.arrive(&request(6, urgent, 10_000), at(200), &mut out);
     assert_eq!(long, Arrival::Queued);
     let past = admission.arrive(&request(7, urgent, 200), at(200), &mut out);
-    assert_eq!(refused(past), Some(Refused::Expired));
+    assert_eq!(refused(past), Some(Reason::Expired));
 }
 
 #[test]
@@ -132,16 +132,16 @@
         ..request(1, Class::Urgent, 900)
     };
     let arrival = admission.arrive(&unknown, at(0), &mut out);
-    assert_eq!(refused(arrival), Some(Refused::UnknownService));
+    assert_eq!(refused(arrival), Some(Reason::UnknownService));
     admission.arrive(&request(2, Class::Urgent, 900), at(0), &mut out);
     admission.arrive(&request(3, Class::Urgent, 900), at(0), &mut out);
     let arrival = admission.arrive(&request(4, Class::Urgent, 900), at(0), &mut out);
-    assert_eq!(refused(arrival), Some(Refused::QueueFull));
+    assert_eq!(refused(arrival), Some(Reason::QueueFull));
     // The service is removed from the catalogue and added again while its call runs.
     admission.remove_service(&name(Class::Urgent), &mut out);
-    assert_eq!(refusals(&out), [(3, Refused::Removed)]);
+    assert_eq!(refusals(&out), [(3, Reason::Removed)]);
     let arrival = admission.arrive(&request(5, Class::Urgent, 900), at(0), &mut out);
-    assert_eq!(refused(arrival), Some(Refused::UnknownService));
+    assert_eq!(refused(arrival), Some(Reason::UnknownService));
     let config = ServiceConfig {
         class: Class::Urgent,
         concurrency: 1,
@@ -153,7 +153,7 @@
     assert_eq!(arrival, Arrival::Queued);
     admission.stop();
     let arrival = admission.arrive(&request(7, Class::Once, 900), at(0), &mut out);
-    assert_eq!(refused(arrival), Some(Refused::Stopping));
+    assert_eq!(refused(arrival), Some(Reason::Stopping));
 }
 
 /// Guards against calls being queued while slots are free, after a burst at the start or
@@ -209,7 +209,7 @@
         let expected = if ticket <= 78 {
             None
         } else {
-            Some(Refused::QueueFull)
+            Some(Reason::QueueFull)
         };
         assert_eq!(refused(arrival), expected, "{ticket}");
     }
@@ -218,7 +218,7 @@
     assert!(
         yielded
             .iter()
-            .all(|(_, reason)| *reason == Refused::Yielded)
+            .all(|(_, reason)| *reason == Reason::Yielded)
     );
 }
 
@@ -266,7 +266,7 @@
     admission.poll(at(299), &mut out);
     assert!(out.is_empty());
     admission.poll(at(300), &mut out);
-    assert_eq!(refusals(&out), [(2, Refused::Expired)]);
+    assert_eq!(refusals(&out), [(2, Reason::Expired)]);
     admission.cancel_queued(Ticket(4));
     admission.finish(Ticket(1), Finish::Answered, at(310), &mut out);
     assert_eq!((admission.running(), admission.queued()), (0, 0));
--- a/crates/gateway/src/queue.rs
+++ b/crates/gateway/src/queue.rs
@@ -12,7 +12,6 @@
 use admit::Admission;
 use admit::Arrival;
 use admit::Finish;
-use admit::Refused;
 use admit::ServiceConfig;
 use admit::Ticket;
 use base::prelude::*;
@@ -272,14 +271,14 @@
     }
 }
 
-fn reason_of(refused: Refused) -> Reason {
-    match refused {
-        Refused::UnknownService => Reason::UnknownService,
-        Refused::QueueFull => Reason::QueueFull,
-        Refused::Overloaded => Reason::Overloaded,
-        Refused::Expired => Reason::Expired,
-        Refused::Yielded => Reason::Yielded,
-        Refused::Removed => Reason::Removed,
-        Refused::Stopping => Reason::Stopping,
+fn reason_of(reason: admit::Reason) -> Reason {
+    match reason {
+        admit::Reason::UnknownService => Reason::UnknownService,
+        admit::Reason::QueueFull => Reason::QueueFull,
+        admit::Reason::Overloaded => Reason::Overloaded,
+        admit::Reason::Expired => Reason::Expired,
+        admit::Reason::Yielded => Reason::Yielded,
+        admit::Reason::Removed => Reason::Removed,
+        admit::Reason::Stopping => Reason::Stopping,
     }
 }
