--- a/crates/admit/tests/test_admission.rs
+++ b/crates/admit/tests/test_admission.rs
@@ -215,11 +215,7 @@
     }
     let yielded = refusals(&out);
     assert_eq!(yielded.len(), 38);
-    assert!(
-        yielded
-            .iter()
-            .all(|(_, reason)| *reason == Reason::Yielded)
-    );
+    assert!(yielded.iter().all(|(_, reason)| *reason == Reason::Yielded));
 }
 
 #[test]
--- a/crates/entry/src/balancer/dispatch.rs
+++ b/crates/entry/src/balancer/dispatch.rs
@@ -56,7 +56,7 @@
             work: duration_from_micros(ask.work_us),
             aim: duration_from_micros(ask.aim_us),
             crossing: ask.crossing,
-            room: ask.room,
+            max_occupancy: ask.room,
             domain_index: self.chooser.domain_index(domain),
         }
     }
--- a/crates/entry/src/flow/choice.rs
+++ b/crates/entry/src/flow/choice.rs
@@ -131,7 +131,7 @@
             crossing: self
                 .core
                 .route_stats(&self.route, |stats| stats.crossing_cost(price)),
-            room: if self.is_late() {
+            max_occupancy: if self.is_late() {
                 LATE_MAX_OCCUPANCY
             } else {
                 1.0
--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -96,7 +96,7 @@
         work_us: micros(search.need.work),
         aim_us: micros(search.need.aim),
         crossing: search.need.crossing,
-        room: search.need.room,
+        room: search.need.max_occupancy,
         priority: search.priority,
         patience_us: micros(search.max_wait),
         left_us: micros(search.remaining),
--- a/crates/entry/tests/simulation/mod.rs
+++ b/crates/entry/tests/simulation/mod.rs
@@ -242,7 +242,7 @@
             work: Duration::from_micros(self.case.work),
             aim: Duration::from_micros(self.case.aim.saturating_sub(spent).max(self.case.aim / 4)),
             crossing: 0.0,
-            room: 1.0,
+            max_occupancy: 1.0,
             domain_index: DomainIndex::OWN,
         }
     }
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -37,7 +37,7 @@
     work: Duration::from_millis(10),
     aim: Duration::from_millis(150),
     crossing: 0.0,
-    room: 1.0,
+    max_occupancy: 1.0,
     domain_index: DomainIndex::OWN,
 };
 
--- a/crates/route/src/cost.rs
+++ b/crates/route/src/cost.rs
@@ -94,7 +94,7 @@
     /// Cost of its traffic between failure domains, as a fraction of its worth.
     pub crossing: f64,
     /// Fraction of an instance's slots that may be in use including this request.
-    pub room: f64,
+    pub max_occupancy: f64,
     /// Failure domain that the answer is sent to.
     pub domain_index: DomainIndex,
 }
--- a/crates/route/src/probing.rs
+++ b/crates/route/src/probing.rs
@@ -201,7 +201,7 @@
     /// Whether no further round is needed: the instance has room, and its cost is low or this
     /// would be the last round.
     fn is_enough(&self, now: Moment, need: &Need, index: usize, cost: f64, round: u32) -> bool {
-        let room = self.entries[index].has_room(now, self.averages, need.room);
+        let room = self.entries[index].has_room(now, self.averages, need.max_occupancy);
         room && (cost < GOOD_COST || round + 1 >= MAX_ROUNDS)
     }
 
@@ -213,7 +213,7 @@
         }
         let known = self.cheapest(now, need, exclude, MAX_KNOWN_AGE);
         if let Some((index, _)) = known
-            && self.entries[index].has_room(now, self.averages, need.room)
+            && self.entries[index].has_room(now, self.averages, need.max_occupancy)
         {
             let fresh = self.entries[index].is_fresh(now);
             let reason = if fresh { Reason::Fresh } else { Reason::Stale };
@@ -223,7 +223,7 @@
         match any {
             Some((index, _))
                 if self.may_send_blind(index)
-                    && self.entries[index].has_room(now, self.averages, need.room) =>
+                    && self.entries[index].has_room(now, self.averages, need.max_occupancy) =>
             {
                 return self.decide(now, need, index, Reason::Stale);
             }
--- a/crates/route/src/probing/entry.rs
+++ b/crates/route/src/probing/entry.rs
@@ -103,11 +103,16 @@
         self.age(now).is_some_and(|age| age < MAX_FRESH_AGE)
     }
 
-    /// Whether one more request would start at once, using at most `part` of the slots. An
+    /// Whether one more request would start at once, using at most the share `max_occupancy` of the slots. An
     /// instance above the knee counts as having room, as it may still answer in time.
-    pub(super) fn has_room(&self, now: Moment, averages: ServiceAverages, part: f64) -> bool {
+    pub(super) fn has_room(
+        &self,
+        now: Moment,
+        averages: ServiceAverages,
+        max_occupancy: f64,
+    ) -> bool {
         let state = self.state(now, averages);
-        state.busy + 1.0 <= (state.slots * part).max(1.0)
+        state.busy + 1.0 <= (state.slots * max_occupancy).max(1.0)
     }
 
     pub(super) fn state(&self, now: Moment, averages: ServiceAverages) -> InstanceState {
--- a/crates/route/tests/test_probing.rs
+++ b/crates/route/tests/test_probing.rs
@@ -23,7 +23,7 @@
     work: Duration::from_millis(120),
     aim: Duration::from_millis(300),
     crossing: 0.05,
-    room: 1.0,
+    max_occupancy: 1.0,
     domain_index: DomainIndex::OWN,
 };
 
@@ -190,7 +190,10 @@
 #[test]
 fn test_probing_late_requests_leave_room() {
     let mut chooser = chooser(&["i-1", "i-2"].map(|id| instance(id, "a")));
-    let late = Need { room: 0.5, ..NEED };
+    let late = Need {
+        max_occupancy: 0.5,
+        ..NEED
+    };
     probe_until_decided(&mut chooser, at(0), |_| Some(report(3, 0, 100)));
     assert_eq!(chooser.choose(at(0), &late, &[]), Decision::Wait);
     assert!(sent(&mut chooser, at(0)).is_some());
@@ -209,7 +212,10 @@
         ..report(0, 0, 100)
     };
     probe_until_decided(&mut chooser, at(0), |_| Some(idle));
-    let late = Need { room: 0.5, ..NEED };
+    let late = Need {
+        max_occupancy: 0.5,
+        ..NEED
+    };
     let sent = chooser.choose(at(0), &late, &[]);
     assert!(matches!(sent, Decision::Send(_)), "{sent:?}");
 }
