--- a/crates/route/src/probing.rs
+++ b/crates/route/src/probing.rs
@@ -107,7 +107,7 @@
     /// Whether most instances have announced themselves recently. Otherwise, as after a restart
     /// of all processes, silence doesn't mean that an instance may be gone.
     most_announced: bool,
-    /// Version of the process list by which cold instances are shared; `None` if they aren't.
+    /// Revision of the process list by which cold instances are shared; `None` if they aren't.
     cold_sharing: Option<u64>,
 }
 
--- a/crates/route/src/probing/cold.rs
+++ b/crates/route/src/probing/cold.rs
@@ -9,20 +9,20 @@
 use super::entry::Share;
 
 impl ProbingChooser {
-    /// Sets the version of the process list by which cold instances are shared; `None` if they
+    /// Sets the revision of the process list by which cold instances are shared; `None` if they
     /// aren't.
-    pub fn share_cold(&mut self, list_version: Option<u64>) {
-        self.cold_sharing = list_version;
+    pub fn share_cold(&mut self, list_revision: Option<u64>) {
+        self.cold_sharing = list_revision;
     }
 
     /// Cold instances for which this process's share by the current list isn't set yet.
     #[must_use]
     pub fn cold_without_share(&self, now: Moment) -> Vec<Pick> {
-        let Some(list_version) = self.cold_sharing else {
+        let Some(list_revision) = self.cold_sharing else {
             return Vec::new();
         };
         let lacks_share = |entry: &Entry| {
-            entry.is_ready() && entry.is_cold(now) && entry.share.list_version != list_version
+            entry.is_ready() && entry.is_cold(now) && entry.share.list_revision != list_revision
         };
         let indexes = 0..self.entries.len();
         let found = indexes.filter(|index| lacks_share(&self.entries[*index]));
@@ -31,12 +31,12 @@
 
     /// Sets how many requests this process may start at the instance per second.
     pub fn set_share(&mut self, pick: Pick, starts: u32) {
-        let Some(list_version) = self.cold_sharing else {
+        let Some(list_revision) = self.cold_sharing else {
             return;
         };
         if let Some(entry) = self.entry(pick) {
             entry.share = Share {
-                list_version,
+                list_revision,
                 starts,
             };
         }
@@ -46,7 +46,7 @@
     /// isn't used up.
     pub(super) fn may_send(&self, now: Moment, entry: &Entry) -> bool {
         match self.cold_sharing {
-            Some(list_version) if entry.is_cold(now) => entry.has_share(now, list_version),
+            Some(list_revision) if entry.is_cold(now) => entry.has_share(now, list_revision),
             _ => true,
         }
     }
--- a/crates/route/src/probing/entry.rs
+++ b/crates/route/src/probing/entry.rs
@@ -55,8 +55,8 @@
 /// A process's share of a cold instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Share {
-    /// Version of the process list that it was computed from.
-    pub(super) list_version: u64,
+    /// Revision of the process list that it was computed from.
+    pub(super) list_revision: u64,
     /// Starts per second.
     pub(super) starts: u32,
 }
@@ -83,11 +83,11 @@
     }
 
     /// Whether this process's share isn't used up.
-    pub(super) fn has_share(&self, now: Moment, list_version: u64) -> bool {
+    pub(super) fn has_share(&self, now: Moment, list_revision: u64) -> bool {
         let counts = |at: &&Moment| now.since(**at) < COLD_WINDOW;
         let recent = self.recent_starts.iter().rev().take_while(counts).count();
         let starts = usize::try_from(self.share.starts).unwrap_or(usize::MAX);
-        self.share.list_version == list_version && recent < starts.min(MAX_RECENT_STARTS)
+        self.share.list_revision == list_revision && recent < starts.min(MAX_RECENT_STARTS)
     }
 
     pub(super) fn record_start(&mut self, now: Moment) {
