--- a/crates/route/src/chooser.rs
+++ b/crates/route/src/chooser.rs
@@ -96,8 +96,8 @@
                 entry.instance.phase = Phase::Gone;
             }
         }
-        for row in table {
-            self.apply_row(now, row);
+        for instance in table {
+            self.apply_instance(now, instance);
         }
         self.has_started |= !table.is_empty();
         self.ready.clear();
@@ -108,13 +108,13 @@
         }
     }
 
-    fn apply_row(&mut self, now: Moment, row: &Instance) {
+    fn apply_instance(&mut self, now: Moment, instance: &Instance) {
         let mut entries = self.entries.iter_mut();
-        if let Some(entry) = entries.find(|e| e.instance.is_same(row)) {
-            entry.apply(now, row);
+        if let Some(entry) = entries.find(|e| e.instance.is_same(instance)) {
+            entry.apply(now, instance);
             return;
         }
-        if row.phase == Phase::Gone {
+        if instance.phase == Phase::Gone {
             return;
         }
         let state = if self.has_started {
@@ -124,8 +124,8 @@
         };
         let free = self.entries.iter_mut().find(|e| e.is_gone());
         match free {
-            Some(entry) => *entry = Entry::new(row.clone(), entry.generation + 1, state),
-            None => self.entries.push(Entry::new(row.clone(), 0, state)),
+            Some(entry) => *entry = Entry::new(instance.clone(), entry.generation + 1, state),
+            None => self.entries.push(Entry::new(instance.clone(), 0, state)),
         }
     }
 
--- a/crates/route/src/entry.rs
+++ b/crates/route/src/entry.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Applies a row of the instance table; an instance that returns or becomes ready ramps.
+    /// Applies an entry of the instance table; an instance that returns or becomes ready ramps.
     pub(crate) fn apply(&mut self, now: Moment, announced: &Instance) {
         if self.is_gone() && announced.phase != Phase::Gone {
             let state = State::Ramping { since: now };
--- a/crates/route/src/instance.rs
+++ b/crates/route/src/instance.rs
@@ -23,7 +23,7 @@
     Gone,
 }
 
-/// One row of the directory's table.
+/// An entry of the directory's instance table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
     /// Unique within the service.
--- a/crates/route/src/probing/entry.rs
+++ b/crates/route/src/probing/entry.rs
@@ -103,8 +103,9 @@
         self.age(now).is_some_and(|age| age < MAX_FRESH_AGE)
     }
 
-    /// Whether one more request would start at once, using at most the share `max_occupancy` of the slots. An
-    /// instance above the knee counts as having room, as it may still answer in time.
+    /// Whether one more request would start at once, using at most the fraction `max_occupancy`
+    /// of the slots. An instance above the knee counts as having room, as it may still answer in
+    /// time.
     pub(super) fn has_room(
         &self,
         now: Moment,
--- a/crates/route/src/probing/results.rs
+++ b/crates/route/src/probing/results.rs
@@ -45,9 +45,9 @@
     }
 
     /// Records the time that an instance reports to remain cold.
-    pub fn set_cold_remaining(&mut self, now: Moment, pick: Pick, left: Duration) {
+    pub fn set_cold_remaining(&mut self, now: Moment, pick: Pick, remaining: Duration) {
         if let Some(entry) = self.entry(pick) {
-            entry.cold_until = now + left;
+            entry.cold_until = now + remaining;
         }
     }
 
