--- a/crates/entry/src/balancer.rs
+++ b/crates/entry/src/balancer.rs
@@ -72,7 +72,7 @@
     last_completion: Moment,
     /// Moving average of the time between finished attempts.
     completion_interval: Duration,
-    /// Callers told to retry later, decaying with `MAX_RETRY_AFTER` as the time constant.
+    /// Number of recently refused requests, decaying with `MAX_RETRY_AFTER` as the time constant.
     recent_refusals: f64,
     last_refusal: Moment,
     /// Open grants to other processes.
@@ -181,19 +181,19 @@
     pub fn update<'a>(&mut self, now: Moment, instances: impl Iterator<Item = InstanceStatus<'a>>) {
         self.upstreams.clear();
         let mut table = Vec::new();
-        for listed in instances {
-            let upstream = listed.upstream;
+        for status in instances {
+            let upstream = status.upstream;
             let instance = Instance {
                 id: upstream.id.clone(),
                 incarnation: upstream.incarnation,
                 domain: upstream.domain.clone(),
                 slots: upstream.slots,
-                phase: phase_from_wire(listed.phase),
+                phase: phase_from_wire(status.phase),
             };
             table.push(ReportedInstance {
                 instance,
                 cold: upstream.cold,
-                silent: listed.silent,
+                silent: status.silent,
             });
             self.upstreams
                 .insert(upstream.id.clone(), Arc::clone(upstream));
@@ -344,7 +344,7 @@
         }
     }
 
-    /// Records the start of an attempt; the ticket is due at its end.
+    /// Records the start of an attempt. The ticket is passed to [`Self::finish_attempt`] at its end.
     pub fn start_attempt(&mut self, now: Moment, pick: Pick) -> Ticket {
         self.chooser.started(now, pick)
     }
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -219,16 +219,21 @@
 
     /// Applies what the hub at `hub` reports: instances, and which of them it receives
     /// heartbeats from.
-    pub fn apply_instances(&self, hub: SocketAddr, instances: &[Instance], heard: &[Hearing]) {
-        if instances.is_empty() && heard.is_empty() {
+    pub fn apply_instances(
+        &self,
+        hub: SocketAddr,
+        instances: &[Instance],
+        liveness_changes: &[Hearing],
+    ) {
+        if instances.is_empty() && liveness_changes.is_empty() {
             return;
         }
         // A process that starts receives hundreds of instances while requests wait for them; a
         // line for each would delay it.
-        let many = instances.len() + heard.len() > MAX_INSTANCE_LOG_LINES;
+        let many = instances.len() + liveness_changes.len() > MAX_INSTANCE_LOG_LINES;
         if many {
             info!(self.log, "instances"; "hub" => %hub, "rows" => instances.len(),
-                "heard" => heard.len());
+                "heard" => liveness_changes.len());
         }
         let mut state = self.state();
         let mut changed = BTreeSet::new();
@@ -240,12 +245,12 @@
                 changed.insert(service);
             }
         }
-        for hearing in heard {
-            if let Some(service) = state.instances.apply_hearing(hub, hearing) {
+        for liveness in liveness_changes {
+            if let Some(service) = state.instances.apply_liveness(hub, liveness) {
                 if !many {
-                    info!(self.log, "instance"; "instance" => &hearing.id,
-                        "service" => %service, "incarnation" => hearing.incarnation,
-                        "heard" => hearing.heard, "hub" => %hub);
+                    info!(self.log, "instance"; "instance" => &liveness.id,
+                        "service" => %service, "incarnation" => liveness.incarnation,
+                        "heard" => liveness.heard, "hub" => %hub);
                 }
                 changed.insert(service);
             }
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -178,10 +178,10 @@
 
     /// Applies whether a hub receives an instance's heartbeats. Returns the service if its
     /// instances changed.
-    pub fn apply_hearing(&mut self, hub: SocketAddr, hearing: &Hearing) -> Option<ServiceName> {
-        let known = self.by_id.get_mut(&hearing.id)?;
-        let same = known.announced.incarnation == hearing.incarnation;
-        let changed = same && known.set_reporting(hub, hearing.heard);
+    pub fn apply_liveness(&mut self, hub: SocketAddr, liveness: &Hearing) -> Option<ServiceName> {
+        let known = self.by_id.get_mut(&liveness.id)?;
+        let same = known.announced.incarnation == liveness.incarnation;
+        let changed = same && known.set_reporting(hub, liveness.heard);
         known.service().filter(|_| changed)
     }
 
@@ -208,7 +208,7 @@
         })
     }
 
-    /// Evicts instances that were removed more than [`KEEP_GONE`] ago, as hubs do.
+    /// Evicts instances that were removed more than [`TOMBSTONE_RETENTION`] ago, as hubs do.
     pub fn evict_removed(&mut self, now: Moment) {
         let digest = &mut self.digest;
         self.by_id.retain(|_, known| {
--- a/crates/entry/tests/test_progress.rs
+++ b/crates/entry/tests/test_progress.rs
@@ -132,7 +132,7 @@
             self.instances.apply(address(hub), instance);
         }
         for hearing in &reply.heard {
-            self.instances.apply_hearing(address(hub), hearing);
+            self.instances.apply_liveness(address(hub), hearing);
         }
         let applied_index = progress.apply(asked.news, &reply);
         self.applied_index = self.applied_index.max(applied_index);
