--- a/crates/entry/src/balancer.rs
+++ b/crates/entry/src/balancer.rs
@@ -344,7 +344,7 @@
         }
     }
 
-    /// Records the start of an attempt. The ticket is passed to [`Self::finish_attempt`] at its end.
+    /// Records the start of an attempt. Returns the ticket for [`Self::finish_attempt`].
     pub fn start_attempt(&mut self, now: Moment, pick: Pick) -> Ticket {
         self.chooser.started(now, pick)
     }
--- a/crates/entry/src/balancer/dispatch.rs
+++ b/crates/entry/src/balancer/dispatch.rs
@@ -30,8 +30,8 @@
 
 impl Balancer {
     /// Sets which process dispatches for the service.
-    pub fn set_dispatched(&mut self, now: Moment, dispatched: DispatcherLocation) {
-        self.dispatcher_role.set(now, dispatched);
+    pub fn set_dispatcher_location(&mut self, now: Moment, location: DispatcherLocation) {
+        self.dispatcher_role.set(now, location);
         self.update_probe_share(now);
     }
 
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -141,7 +141,7 @@
             cold: settings.cold,
             retry: settings.retry,
             probes: settings.probes,
-            dispatched: settings.dispatched,
+            max_dispatched: settings.max_dispatched,
             stop: settings.stop,
             ..(*current).clone()
         };
--- a/crates/entry/src/core/share.rs
+++ b/crates/entry/src/core/share.rs
@@ -45,14 +45,14 @@
     let own = settings.place.map(|own| own.to_string());
     state.dispatcher_addresses.clear();
     for (service, balancer) in &mut state.balancers {
-        let is_small = balancer.len() <= settings.dispatched;
+        let is_small = balancer.len() <= settings.max_dispatched;
         let names = places.iter().copied().filter(|place| !place.is_empty());
         let dispatcher = dispatch::dispatcher(service, names).filter(|_| is_small && own.is_some());
         let here = dispatcher.is_some() && dispatcher == own.as_deref();
         let elsewhere = dispatcher
             .filter(|_| !here)
             .and_then(|place| place.parse().ok());
-        balancer.set_dispatched(
+        balancer.set_dispatcher_location(
             now,
             match (here, elsewhere) {
                 (true, _) => DispatcherLocation::Local,
--- a/crates/entry/src/flow/head.rs
+++ b/crates/entry/src/flow/head.rs
@@ -37,10 +37,10 @@
 /// Waits until `deadline` for the first known instance. After a restart of all processes, the
 /// table arrives first, and the instance lists of many processes share narrow links.
 pub(super) async fn wait_for_instances(core: &Core, deadline: Instant) {
-    let mut has_instances = core.instances_known.subscribe();
-    if !*has_instances.borrow_and_update() {
+    let mut instances_known = core.instances_known.subscribe();
+    if !*instances_known.borrow_and_update() {
         // The caller handles missing instances.
-        let _ = tokio::time::timeout_at(deadline, has_instances.wait_for(|known| *known)).await;
+        let _ = tokio::time::timeout_at(deadline, instances_known.wait_for(|known| *known)).await;
     }
 }
 
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -147,7 +147,7 @@
     /// selects instances by itself.
     pub place: Option<SocketAddr>,
     /// Maximum number of instances of a service that one entry process dispatches.
-    pub dispatched: usize,
+    pub max_dispatched: usize,
     /// The graceful shutdown.
     pub stop: Stop,
     /// The cost of a megabyte sent between failure domains, in thousandths of a request's value;
@@ -188,7 +188,7 @@
             retry: Retry::default(),
             probes: PROBES,
             place: None,
-            dispatched: DISPATCHED as usize,
+            max_dispatched: DISPATCHED as usize,
             stop: Stop::default(),
             crossing: 0,
             cold: ColdBound::default(),
@@ -231,7 +231,7 @@
         let retry = read_retry(r);
         let probes = r.or(PROBE, "per-second", PROBES);
         let place = r.optional(PLACE, "listen");
-        let dispatched: u32 = r.or(PLACE, "instances", DISPATCHED);
+        let max_dispatched: u32 = r.or(PLACE, "instances", DISPATCHED);
         let stop = read_stop(r);
         let crossing = r.or(COST, "crossing", 0);
         let cold = read_cold(r);
@@ -260,7 +260,7 @@
             retry,
             probes,
             place,
-            dispatched: usize::try_from(dispatched).unwrap_or(usize::MAX),
+            max_dispatched: usize::try_from(max_dispatched).unwrap_or(usize::MAX),
             stop,
             crossing,
             cold,
@@ -356,7 +356,7 @@
         if let Some(place) = self.place {
             writeln!(f, "listen = {place}")?;
         }
-        writeln!(f, "instances = {}", self.dispatched)?;
+        writeln!(f, "instances = {}", self.max_dispatched)?;
         writeln!(f, "\n[{STOP}]")?;
         writeln!(f, "linger = {}", duration_text(self.stop.linger))?;
         writeln!(f, "grace = {}", duration_text(self.stop.grace))?;
--- a/crates/entry/tests/simulation/mod.rs
+++ b/crates/entry/tests/simulation/mod.rs
@@ -153,7 +153,7 @@
         });
         balancer.update(at(0), listed);
         if dispatched {
-            balancer.set_dispatched(at(0), DispatcherLocation::Local);
+            balancer.set_dispatcher_location(at(0), DispatcherLocation::Local);
         }
         balancer
     };
