--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -23,23 +23,23 @@
 const COLD: &str = "cold";
 
 /// Default path of the readiness page.
-const READY_PATH: &str = "/ready";
+const DEFAULT_READY_PATH: &str = "/ready";
 /// Default time for which callers may cache a list of entry hosts.
-const TTL: Duration = Duration::from_secs(2);
+const DEFAULT_TTL: Duration = Duration::from_secs(2);
 /// Default number of probes per instance and second.
-const PROBES: u32 = 50;
+const DEFAULT_PROBES: u32 = 50;
 /// Default minimum number of entry hosts in an answer to a caller, so that one may be lost while
 /// another is stopping.
-const SPREAD: u32 = 3;
+const DEFAULT_SPREAD: u32 = 3;
 /// Default for the maximum number of instances of a service that one entry process dispatches.
 /// The dispatcher probes each of them many times a second.
-const DISPATCHED: u32 = 24;
-/// The first hub port of a local installation.
-const PORT: u16 = 7010;
-/// The region of a local entry process.
-const REGION: &str = "local";
+const DEFAULT_MAX_DISPATCHED: u32 = 24;
+/// First hub port of a local entry process.
+const DEFAULT_PORT: u16 = 7010;
+/// Region of a local entry process.
+const DEFAULT_REGION: &str = "local";
 /// Offset of the port for entry processes from the first hub port.
-const HUB_PORT: u16 = 2;
+const HUB_PORT_OFFSET: u16 = 2;
 
 /// The budget for retries of a service, shared by all entry processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -177,18 +177,19 @@
         Self {
             host,
             domain,
-            region: RegionName::new(REGION).unwrap_or_else(|_| unreachable!("a valid name")),
+            region: RegionName::new(DEFAULT_REGION)
+                .unwrap_or_else(|_| unreachable!("a valid name")),
             front,
             ready: SocketAddr::new(front.ip(), 0),
-            ready_path: READY_PATH.into(),
-            port: PORT,
+            ready_path: DEFAULT_READY_PATH.into(),
+            port: DEFAULT_PORT,
             seeds: Vec::new(),
-            ttl: TTL,
-            spread: SPREAD as usize,
+            ttl: DEFAULT_TTL,
+            spread: DEFAULT_SPREAD as usize,
             retry: Retry::default(),
-            probes: PROBES,
+            probes: DEFAULT_PROBES,
             place: None,
-            max_dispatched: DISPATCHED as usize,
+            max_dispatched: DEFAULT_MAX_DISPATCHED as usize,
             stop: Stop::default(),
             crossing: 0,
             cold: ColdBound::default(),
@@ -223,20 +224,22 @@
         let region = r.required(ENTRY, "region");
         let front = r.required(ENTRY, "front");
         let ready = r.required(ENTRY, "ready");
-        let ready_path = r.or(ENTRY, "ready-path", UrlPath(READY_PATH.into())).0;
+        let ready_path = r
+            .or(ENTRY, "ready-path", UrlPath(DEFAULT_READY_PATH.into()))
+            .0;
         let port: Option<u32> = r.required(ENTRY, "port");
         let seeds = r.list(ENTRY, "seeds");
-        let ttl = r.or(ENTRY, "ttl", TTL);
-        let spread: u32 = r.or(ENTRY, "spread", SPREAD);
+        let ttl = r.or(ENTRY, "ttl", DEFAULT_TTL);
+        let spread: u32 = r.or(ENTRY, "spread", DEFAULT_SPREAD);
         let retry = read_retry(r);
-        let probes = r.or(PROBE, "per-second", PROBES);
+        let probes = r.or(PROBE, "per-second", DEFAULT_PROBES);
         let place = r.optional(PLACE, "listen");
-        let max_dispatched: u32 = r.or(PLACE, "instances", DISPATCHED);
+        let max_dispatched: u32 = r.or(PLACE, "instances", DEFAULT_MAX_DISPATCHED);
         let stop = read_stop(r);
         let crossing = r.or(COST, "crossing", 0);
         let cold = read_cold(r);
         let telemetry = telemetry::Settings::read(r);
-        let max_port = u32::from(u16::MAX - HUB_PORT);
+        let max_port = u32::from(u16::MAX - HUB_PORT_OFFSET);
         if let Some(port) = port.filter(|p| *p > max_port) {
             let problem = Problem::Form(port.to_string());
             r.fault(
@@ -287,7 +290,7 @@
     /// The address at which the hub at `ip` serves entry processes.
     #[must_use]
     pub fn hub_at(&self, ip: IpAddr) -> SocketAddr {
-        SocketAddr::new(ip, self.port + HUB_PORT)
+        SocketAddr::new(ip, self.port + HUB_PORT_OFFSET)
     }
 }
 
