--- a/crates/gateway/tests/fakes/mod.rs
+++ b/crates/gateway/tests/fakes/mod.rs
@@ -55,7 +55,7 @@
     settings
 }
 
-/// Starts a gateway and condition until it isn't fenced.
+/// Starts a gateway and waits until it isn't fenced.
 pub async fn ready(settings: Settings) -> Gateway {
     let gateway = start(settings).await;
     wait_until(|| !gateway.core().is_fenced()).await;
