--- a/crates/entry/tests/simulation/mod.rs
+++ b/crates/entry/tests/simulation/mod.rs
@@ -35,7 +35,7 @@
 use wire::hub::Phase;
 
 /// Interval at which a waiting request searches again, as in the real process.
-const POLL: u64 = 40_000;
+const SEARCH_INTERVAL: u64 = 40_000;
 /// Keep-alive time of an idle connection.
 const KEEP_ALIVE: u64 = 8_500_000;
 /// Multiple of the typical work that must remain of the aim for a request to wait, as in the
@@ -49,9 +49,9 @@
     pub slots: u32,
     pub work: u64,
     pub aim: u64,
-    /// The length of an interval of constant pace, the share of slow intervals, and their
+    /// The duration for which a pace is constant, the share of slow intervals, and their
     /// slowdown.
-    pub stretch: u64,
+    pub pace_interval: u64,
     pub slow_share: f64,
     pub slowdown: f64,
     pub processes: usize,
@@ -146,12 +146,12 @@
     let balancer = |n: usize| {
         let domain = DomainName::new("a").expect("a name");
         let mut balancer = Balancer::new(domain, &shared, seed * 100 + n as u64, at(0));
-        let listed = upstreams.iter().map(|upstream| InstanceStatus {
+        let statuses = upstreams.iter().map(|upstream| InstanceStatus {
             phase: Phase::Ready,
             silent: false,
             upstream,
         });
-        balancer.update(at(0), listed);
+        balancer.update(at(0), statuses);
         if dispatched {
             balancer.set_dispatcher_location(at(0), DispatcherLocation::Local);
         }
@@ -221,8 +221,8 @@
     }
 
     fn pace(&self, instance: usize) -> f64 {
-        let stretch = self.now / self.case.stretch;
-        let seed = self.instances[instance].seed.wrapping_mul(1_000_003) + stretch;
+        let pace_interval = self.now / self.case.pace_interval;
+        let seed = self.instances[instance].seed.wrapping_mul(1_000_003) + pace_interval;
         let slow = SmallRng::seed_from_u64(seed).random::<f64>() < self.case.slow_share;
         if slow { self.case.slowdown } else { 1.0 }
     }
@@ -248,7 +248,7 @@
     }
 
     /// How long the request may still wait for a free slot.
-    fn patience(&self, job: usize) -> u64 {
+    fn remaining_wait(&self, job: usize) -> u64 {
         let margin = (self.case.work as f64 * WORK_MARGIN) as u64;
         let spent = self.now - self.jobs[job].arrived_at;
         self.case.aim.saturating_sub(margin).saturating_sub(spent)
@@ -277,12 +277,12 @@
                 self.balancers[process].record_probe(now, pick, Some(report));
             }
         }
-        let patience = self.patience(job);
+        let remaining_wait = self.remaining_wait(job);
         match self.balancers[process].choose(now, &need, &[]) {
             Selection::Send(chosen) => self.send(job, &chosen),
-            Selection::Slow(chosen) if patience == 0 => self.send(job, &chosen),
-            Selection::Slow(_) | Selection::Wait if patience > 0 => {
-                self.wait_for_capacity(job, patience.min(POLL));
+            Selection::Slow(chosen) if remaining_wait == 0 => self.send(job, &chosen),
+            Selection::Slow(_) | Selection::Wait if remaining_wait > 0 => {
+                self.wait_for_capacity(job, remaining_wait.min(SEARCH_INTERVAL));
             }
             _ => {
                 self.jobs[job].done = true;
--- a/crates/entry/tests/test_cold.rs
+++ b/crates/entry/tests/test_cold.rs
@@ -32,7 +32,7 @@
 };
 const SECOND: u64 = 1_000;
 /// Time in which all processes learn of a new process list, in milliseconds.
-const SPREAD: u64 = 800;
+const PROPAGATION_TIME: u64 = 800;
 const NEED: Need = Need {
     work: Duration::from_millis(10),
     aim: Duration::from_millis(150),
@@ -139,7 +139,7 @@
             first = rng.random_range(0..30);
             update_at = update_at
                 .iter()
-                .map(|_| now + rng.random_range(0..SPREAD))
+                .map(|_| now + rng.random_range(0..PROPAGATION_TIME))
                 .collect();
         }
         for own in 0..PROCESSES {
--- a/crates/entry/tests/test_subset.rs
+++ b/crates/entry/tests/test_subset.rs
@@ -19,7 +19,7 @@
     slots: 6,
     work: 460_000,
     aim: 1_200_000,
-    stretch: 300_000,
+    pace_interval: 300_000,
     slow_share: 0.25,
     slowdown: 4.0,
     processes: 90,
