--- a/crates/entry/tests/test_burst.rs
+++ b/crates/entry/tests/test_burst.rs
@@ -7,11 +7,11 @@
     reason = "figures of a model"
 )]
 
-mod rig;
+mod simulation;
 
-use rig::Case;
-use rig::SimulationResult;
-use rig::simulate;
+use simulation::Case;
+use simulation::SimulationResult;
+use simulation::simulate;
 
 /// A service with 52 slots. On busy days it receives 300 to 450 requests per second, otherwise
 /// 200.
@@ -20,7 +20,7 @@
     slots: 4,
     work: 60_000,
     aim: 160_000,
-    stretch: 150_000,
+    pace_interval: 150_000,
     slow_share: 0.25,
     slowdown: 5.0,
     processes: 17,
@@ -45,7 +45,7 @@
         slots: 2,
         work: 120_000,
         aim: 400_000,
-        stretch: 300_000,
+        pace_interval: 300_000,
         slowdown: 4.0,
         calls: 170.0,
         ..BUSY
@@ -55,7 +55,7 @@
         slots: 6,
         work: 120_000,
         aim: 300_000,
-        stretch: 300_000,
+        pace_interval: 300_000,
         slowdown: 4.0,
         processes: 16,
         calls: 220.0,
@@ -66,7 +66,7 @@
         slots: 8,
         work: 1_000_000,
         aim: 3_000_000,
-        stretch: 1_000_000,
+        pace_interval: 1_000_000,
         processes: 40,
         calls: 25.0,
         seconds: 40,
--- a/crates/entry/tests/test_subset.rs
+++ b/crates/entry/tests/test_subset.rs
@@ -8,10 +8,10 @@
     reason = "figures of a model"
 )]
 
-mod rig;
+mod simulation;
 
-use rig::Case;
-use rig::simulate;
+use simulation::Case;
+use simulation::simulate;
 
 /// One failure domain of a service: about two requests per second and process at normal load.
 const CALM: Case = Case {
@@ -19,7 +19,7 @@
     slots: 6,
     work: 460_000,
     aim: 1_200_000,
-    stretch: 300_000,
+    pace_interval: 300_000,
     slow_share: 0.25,
     slowdown: 4.0,
     processes: 90,
--- a/crates/route/src/probing/entry.rs
+++ b/crates/route/src/probing/entry.rs
@@ -55,8 +55,8 @@
 /// A process's share of a cold instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Share {
-    /// Version of the process list that it was computed from.
-    pub(super) list_version: u64,
+    /// Revision of the process list that it was computed from.
+    pub(super) list_revision: u64,
     /// Starts per second.
     pub(super) starts: u32,
 }
@@ -83,11 +83,11 @@
     }
 
     /// Whether this process's share isn't used up.
-    pub(super) fn has_share(&self, now: Moment, list_version: u64) -> bool {
+    pub(super) fn has_share(&self, now: Moment, list_revision: u64) -> bool {
         let counts = |at: &&Moment| now.since(**at) < COLD_WINDOW;
         let recent = self.recent_starts.iter().rev().take_while(counts).count();
         let starts = usize::try_from(self.share.starts).unwrap_or(usize::MAX);
-        self.share.list_version == list_version && recent < starts.min(MAX_RECENT_STARTS)
+        self.share.list_revision == list_revision && recent < starts.min(MAX_RECENT_STARTS)
     }
 
     pub(super) fn record_start(&mut self, now: Moment) {
@@ -103,11 +103,17 @@
         self.age(now).is_some_and(|age| age < MAX_FRESH_AGE)
     }
 
-    /// Whether one more request would start at once, using at most `part` of the slots. An
-    /// instance above the knee counts as having room, as it may still answer in time.
-    pub(super) fn has_room(&self, now: Moment, averages: ServiceAverages, part: f64) -> bool {
+    /// Whether one more request would start at once, using at most the fraction `max_occupancy`
+    /// of the slots. An instance above the knee counts as having room, as it may still answer in
+    /// time.
+    pub(super) fn has_room(
+        &self,
+        now: Moment,
+        averages: ServiceAverages,
+        max_occupancy: f64,
+    ) -> bool {
         let state = self.state(now, averages);
-        state.busy + 1.0 <= (state.slots * part).max(1.0)
+        state.busy + 1.0 <= (state.slots * max_occupancy).max(1.0)
     }
 
     pub(super) fn state(&self, now: Moment, averages: ServiceAverages) -> InstanceState {
