--- a/crates/attempt/src/action.rs
+++ b/crates/attempt/src/action.rs
@@ -17,13 +17,13 @@
 pub enum Action {
     /// Choose an upstream that this call hasn't tried, and send the request to it.
     Start(Start),
-    /// Cancel an attempt. Its connection may be reused only if its answer was complete.
+    /// Cancel an attempt. Its connection may be reused only if its response was complete.
     Cancel(AttemptNumber),
-    /// Relay the answer of an attempt to the caller.
+    /// Relay the response of an attempt to the caller.
     Relay {
         /// The attempt to relay.
         number: AttemptNumber,
-        /// Whether to add [`base::header::RETRIED`]: the answer is a failure, which callers
+        /// Whether to add [`base::header::RETRIED`]: the response is a failure, which callers
         /// at higher levels must not retry, or took extra attempts, which they charge to
         /// their budgets.
         retried: bool,
@@ -52,7 +52,7 @@
     pub hedge: bool,
 }
 
-/// The final answer of a call without an upstream's answer. Always carries
+/// The final response of a call without an upstream's response. Always carries
 /// [`base::header::RETRIED`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
@@ -84,13 +84,13 @@
     Connect,
     /// The upstream shed the request before any work.
     Shed,
-    /// No answer to a request that may have been sent.
+    /// No response to a request that may have been sent.
     NoAnswer,
-    /// The answer belonged to another request.
+    /// The response belonged to another request.
     Mismatch,
     /// The deadline passed.
     Deadline,
-    /// The body of the answer was truncated.
+    /// The body of the response was truncated.
     ShortBody,
 }
 
--- a/crates/attempt/src/call.rs
+++ b/crates/attempt/src/call.rs
@@ -1,14 +1,14 @@
-//! The state machine of one call, from its first attempt to its answer.
+//! The state machine of one call, from its first attempt to its response.
 //!
 //! A failed attempt is retried if that is safe for the class, if no level below has retried
 //! already, if the service's budget has a token, and if there is time before the deadline.
-//! Otherwise the call gets its final answer at once.
+//! Otherwise the call gets its final response at once.
 //!
 //! A slow or stalled attempt may be caused by a failure at any level below, so only the edge
 //! (depth 0) reacts to it: with a hedge for class urgent, with a cancellation and a retry for the
 //! other idempotent classes.
 
-mod answer;
+mod response;
 
 use base::prelude::*;
 use rand::Rng;
@@ -33,7 +33,7 @@
 pub struct CallContext {
     /// Class of the called service.
     pub class: Class,
-    /// When the caller stops waiting for an answer.
+    /// When the caller stops waiting for a response.
     pub deadline: Moment,
     /// Value of [`base::header::DEPTH`], 0 when absent.
     pub depth: u8,
@@ -47,9 +47,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    // Waiting for the head of an answer, or for a retry.
+    // Waiting for the head of a response, or for a retry.
     Trying,
-    // Relaying the answer of an attempt; `resumable` says whether a truncated body is resumed.
+    // Relaying the response of an attempt; `resumable` says whether a truncated body is resumed.
     Relaying {
         number: AttemptNumber,
         resumable: bool,
@@ -75,7 +75,7 @@
     paid: bool,
     // When the attempt in flight is hedged or considered stalled.
     late_at: Option<Moment>,
-    // Bytes of the body relayed by attempts whose answer was truncated.
+    // Bytes of the body relayed by attempts whose response was truncated.
     offset: u64,
 }
 
@@ -157,7 +157,7 @@
             .min()
     }
 
-    /// Whether the final answer was given, or the caller of a cancelled call is gone.
+    /// Whether the final response was given, or the caller of a cancelled call is gone.
     #[must_use]
     pub fn is_finished(&self) -> bool {
         self.phase == Phase::Finished
@@ -324,7 +324,7 @@
         }
     }
 
-    // Cancels the attempts in flight and gives the final answer.
+    // Cancels the attempts in flight and gives the final response.
     fn fail(&mut self, reason: Reason, actions: &mut Actions) {
         let failure = self.failure(reason);
         let relaying = self.offset > 0 || matches!(self.phase, Phase::Relaying { .. });
--- a/crates/attempt/src/call/answer.rs
+++ b/crates/attempt/src/call/response.rs
@@ -1,4 +1,4 @@
-//! Handling of the answers and failures of a call's attempts.
+//! Handling of the responses and failures of a call's attempts.
 
 use base::prelude::*;
 use rand::Rng;
@@ -147,7 +147,7 @@
             }
             self.offset = offset.max(self.offset);
             self.phase = Phase::Trying;
-            // At offset 0, a complete new answer could not be told from the missing rest.
+            // At offset 0, a complete new response could not be told from the missing rest.
             if self.offset > 0 && self.schedule_retry(service, rng, now) {
                 self.start_due_retry(service, now, actions);
                 return;
--- a/crates/attempt/src/event.rs
+++ b/crates/attempt/src/event.rs
@@ -9,11 +9,11 @@
 /// An event of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The head of an upstream's answer was received.
+    /// The head of an upstream's response was received.
     Head(AttemptNumber, Head),
-    /// The answer was relayed to the caller completely.
+    /// The response was relayed to the caller completely.
     Complete(AttemptNumber),
-    /// An attempt ended without a complete answer.
+    /// An attempt ended without a complete response.
     AttemptFailed(AttemptNumber, AttemptError),
     /// Time has passed, for example until [`Call::next_wakeup`](crate::call::Call::next_wakeup).
     Tick,
@@ -21,7 +21,7 @@
     CallerGone,
 }
 
-/// The head of an upstream's answer, as far as a call's decisions need it.
+/// The head of an upstream's response, as far as a call's decisions need it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Head {
     /// The HTTP status.
@@ -36,7 +36,7 @@
     pub resumable: bool,
 }
 
-/// Why an attempt ended without a complete answer.
+/// Why an attempt ended without a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum AttemptError {
@@ -46,9 +46,9 @@
     ConnectFailed,
     /// The connection failed before the first byte of the request was sent.
     NotSent,
-    /// The request may have been sent, and no head of an answer was received.
+    /// The request may have been sent, and no head of a response was received.
     NoAnswer,
-    /// The answer echoes the id of another request.
+    /// The response echoes the id of another request.
     Mismatch,
     /// The driver's timeout ended the attempt; the request may have been sent.
     Timeout,
--- a/crates/attempt/src/latency.rs
+++ b/crates/attempt/src/latency.rs
@@ -1,15 +1,15 @@
-//! Latency quantiles of a service's recent answers, in constant memory.
+//! Latency quantiles of a service's recent responses, in constant memory.
 //!
 //! The latencies are counted in a histogram with four buckets per octave. All counts are halved
-//! once they sum to [`WINDOW`], so that old answers lose weight. A quantile is the upper bound
+//! once they sum to [`WINDOW`], so that old responses lose weight. A quantile is the upper bound
 //! of its bucket, at most 25 % too high.
 
 use std::time::Duration;
 
-/// Number of counted answers at which all counts are halved.
+/// Number of counted responses at which all counts are halved.
 pub const WINDOW: u32 = 2048;
-/// Minimum number of answers for a quantile.
-pub const MIN_ANSWERS: u32 = 32;
+/// Minimum number of responses for a quantile.
+pub const MIN_RESPONSES: u32 = 32;
 
 const BUCKETS: usize = 96;
 const MIN_NANOS: u64 = 1 << 14;
@@ -32,7 +32,7 @@
 }
 
 impl Latency {
-    /// Records the latency of an answer.
+    /// Records the latency of a response.
     pub fn record(&mut self, latency: Duration) {
         let nanos = u64::try_from(latency.as_nanos()).unwrap_or(u64::MAX);
         self.counts[bucket(nanos)] += 1;
@@ -42,10 +42,10 @@
         }
     }
 
-    /// The quantile at `permille` thousandths; none with fewer than [`MIN_ANSWERS`] answers.
+    /// The quantile at `permille` thousandths; none with fewer than [`MIN_RESPONSES`] responses.
     #[must_use]
     pub fn quantile(&self, permille: u32) -> Option<Duration> {
-        if self.total < MIN_ANSWERS {
+        if self.total < MIN_RESPONSES {
             return None;
         }
         let rank = u64::from(self.total) * u64::from(permille) / 1000;
--- a/crates/attempt/src/lib.rs
+++ b/crates/attempt/src/lib.rs
@@ -1,7 +1,7 @@
 //! Attempts of a call at upstreams: retries, hedges and the retry budget of a service.
 //!
 //! A [`Call`] is a state machine without I/O: it takes [`Event`]s and the current time, and
-//! returns [`Action`]s such as to start or cancel an attempt, to relay an answer, or to fail. The
+//! returns [`Action`]s such as to start or cancel an attempt, to relay a response, or to fail. The
 //! calls of a service share its [`Service`]: the retry [`Budget`] and the observed [`Latency`].
 //!
 //! Invariants, for any order of events:
--- a/crates/attempt/src/service.rs
+++ b/crates/attempt/src/service.rs
@@ -11,7 +11,7 @@
 pub struct Service {
     /// Tokens for retries and hedges.
     pub budget: Budget,
-    /// Times from the start of an attempt to the head of a successful answer.
+    /// Times from the start of an attempt to the head of a successful response.
     pub latency: Latency,
     /// Whether calls of the service are queued, so that hedges would only add load. Set by the
     /// driver.
--- a/crates/attempt/tests/test_call.rs
+++ b/crates/attempt/tests/test_call.rs
@@ -248,7 +248,7 @@
         fixture.step(Event::Head(2, head(200))),
         "cancel-1 relay-2-marked"
     );
-    // A late answer of the cancelled attempt is ignored.
+    // A late response of the cancelled attempt is ignored.
     assert_eq!(fixture.step(Event::Head(1, head(200))), "");
     assert_eq!(fixture.step(Event::Complete(2)), "");
     assert!(fixture.call.is_finished());
@@ -332,7 +332,7 @@
     assert_eq!(fixture.step(Event::Complete(2)), "");
     assert!(fixture.call.is_finished());
 
-    // A complete new answer is never appended to a relayed part.
+    // A complete new response is never appended to a relayed part.
     let mut fixture = Fixture::new(Class::Deferred, 0);
     fixture.step(Event::Head(1, resumable()));
     fixture.step(short);
@@ -343,7 +343,7 @@
     let ended = Event::AttemptFailed(3, AttemptError::NoUpstream);
     assert_eq!(fixture.step(ended), "break-unknown-no-upstream");
 
-    // An answer that can't be resumed breaks the caller's connection.
+    // A response that can't be resumed breaks the caller's connection.
     for class in [Class::Urgent, Class::Once, Class::Durable] {
         let mut fixture = Fixture::new(class, 0);
         fixture.step(Event::Head(1, resumable()));
--- a/crates/attempt/tests/test_levels.rs
+++ b/crates/attempt/tests/test_levels.rs
@@ -34,7 +34,7 @@
     SomeSlow,
 }
 
-// The event that ends an attempt and its time; none if there is no answer.
+// The event that ends an attempt and its time; none if there is no response.
 type Result = Option<(Moment, Event)>;
 
 struct Stack {
@@ -61,7 +61,7 @@
         }
     }
 
-    // Runs one call at the gateway of a level; returns the time and the head of its answer.
+    // Runs one call at the gateway of a level; returns the time and the head of its response.
     fn call(&mut self, depth: u8, upstream_timeout: Duration, start: Moment) -> (Moment, Head) {
         let context = CallContext {
             class: self.class,
--- a/crates/attempt/tests/test_safety.rs
+++ b/crates/attempt/tests/test_safety.rs
@@ -125,7 +125,7 @@
 }
 
 impl Model {
-    // Records the end of an attempt. Only three errors, and a shed before the answer is relayed,
+    // Records the end of an attempt. Only three errors, and a shed before the response is relayed,
     // prove that it never ran.
     fn record_event(&mut self, event: Event) {
         let (number, ran) = match event {
@@ -151,7 +151,7 @@
 
     fn apply(&mut self, class: Class, actions: Actions) {
         for action in actions {
-            assert_eq!(self.finals, 0, "{action:?} after the final answer");
+            assert_eq!(self.finals, 0, "{action:?} after the final response");
             match action {
                 Action::Start(start) => {
                     self.started += 1;
