--- a/crates/route/src/chooser.rs
+++ b/crates/route/src/chooser.rs
@@ -25,11 +25,11 @@
 use crate::policy::Settings;
 use crate::view::View;
 
-/// Work time assumed before the first answer, in seconds.
+/// Work time assumed before the first response, in seconds.
 const INITIAL_WORK_TIME: f64 = 0.01;
 /// Lower bound of the average work time, in seconds.
 const MIN_WORK_TIME: f64 = 1e-5;
-/// Weight of one answer in the service's averages.
+/// Weight of one response in the service's averages.
 const AVERAGE_WEIGHT: f64 = 0.02;
 /// Upper bound of a sample, relative to the average work time.
 const MAX_SAMPLE_RATIO: f64 = 4.0;
@@ -41,9 +41,9 @@
 const MAX_CANDIDATES: usize = 24;
 /// Number of recent choices that [`View::chosen`] covers.
 const SHARE_WINDOW: u32 = 2048;
-/// Time without an answer that ejects an instance, in average work times.
+/// Time without a response that ejects an instance, in average work times.
 const SILENCE_WORK_TIMES: f64 = 40.0;
-/// Lower bound of the time without an answer that ejects an instance.
+/// Lower bound of the time without a response that ejects an instance.
 const MIN_SILENCE: Duration = Duration::from_millis(100);
 /// At most one instance in this many is ejected.
 const EJECTED_DIVISOR: usize = 2;
--- a/crates/route/src/cost.rs
+++ b/crates/route/src/cost.rs
@@ -1,6 +1,6 @@
 //! Cost of sending a request to an instance, as a fraction of the request's worth.
 //!
-//! The largest part is the probability that the answer comes after the target
+//! The largest part is the probability that the response comes after the target
 //! latency. Traffic between failure domains, the expected response time and the
 //! instance's failure share add to it; response time decides between instances
 //! that would all answer in time.
@@ -26,7 +26,7 @@
 const WORK_TIME_SIGMA: f64 = 0.3;
 /// Scale at which the logistic function approximates the normal distribution.
 const LOGISTIC_SCALE: f64 = 1.7;
-/// Part of a request's worth that a late answer loses.
+/// Part of a request's worth that a late response loses.
 const LATE_LOSS: f64 = 0.9;
 /// Cost of a response time equal to the target latency.
 const TIME_COST: f64 = 0.03;
@@ -80,7 +80,7 @@
     pub pace_stats: PaceStats,
     /// Whether it has just started.
     pub cold: bool,
-    /// Share of failures among its recent answers.
+    /// Share of failures among its recent responses.
     pub failure_share: f64,
 }
 
@@ -89,13 +89,13 @@
 pub struct Need {
     /// Usual work time of the request.
     pub work: Duration,
-    /// Target latency, from now: an answer within this time keeps its full worth.
+    /// Target latency, from now: a response within this time keeps its full worth.
     pub aim: Duration,
     /// Cost of its traffic between failure domains, as a fraction of its worth.
     pub crossing: f64,
     /// Fraction of an instance's slots that may be in use including this request.
     pub max_occupancy: f64,
-    /// Failure domain that the answer is sent to.
+    /// Failure domain that the response is sent to.
     pub domain_index: DomainIndex,
 }
 
@@ -154,7 +154,7 @@
         .sum()
 }
 
-/// Probability that the answer comes after the target latency.
+/// Probability that the response comes after the target latency.
 #[must_use]
 pub fn late_probability(state: &InstanceState, need: &Need) -> f64 {
     let aim = need.aim.as_secs_f64().max(1e-3);
--- a/crates/route/src/entry.rs
+++ b/crates/route/src/entry.rs
@@ -41,12 +41,12 @@
     pub(crate) work: f64,
     /// Requests from other gateways at an instance.
     pub(crate) external: f64,
-    /// Whether `work` comes from at least one answer.
+    /// Whether `work` comes from at least one response.
     pub(crate) known: bool,
 }
 
 impl ServiceAverages {
-    /// Half-life of the time that attempts waited without an answer.
+    /// Half-life of the time that attempts waited without a response.
     fn wait_half_life(self) -> Duration {
         Duration::from_secs_f64(self.work * WAIT_HALF_LIFE)
     }
@@ -76,10 +76,10 @@
     starts: Vec<Moment>,
     external_load: ExternalLoad,
     work_time: WorkTime,
-    // Time that attempts waited without an answer since the last answer.
+    // Time that attempts waited without a response since the last response.
     unanswered_wait: Duration,
     unanswered_at: Moment,
-    last_answer: Moment,
+    last_response: Moment,
 }
 
 impl Entry {
@@ -97,7 +97,7 @@
             work_time: WorkTime::default(),
             unanswered_wait: Duration::ZERO,
             unanswered_at: Moment::ZERO,
-            last_answer: Moment::ZERO,
+            last_response: Moment::ZERO,
         }
     }
 
@@ -143,7 +143,7 @@
         self.external_load.mean(now, limit)
     }
 
-    /// Expected time to the answer of one more request, in seconds.
+    /// Expected time to the response of one more request, in seconds.
     pub(crate) fn expected(
         &mut self,
         now: Moment,
@@ -167,23 +167,23 @@
         load / f64::from(self.instance.slots.max(1))
     }
 
-    /// Wait of the oldest attempt in flight, plus that of attempts that ended without an answer.
+    /// Wait of the oldest attempt in flight, plus that of attempts that ended without a response.
     fn total_wait(&self, now: Moment, averages: ServiceAverages) -> Duration {
         let running = self.starts.first().map(|start| now.since(*start));
         self.decayed_unanswered_wait(now, averages) + running.unwrap_or_default()
     }
 
-    /// How long attempts have waited since the last answer of any attempt.
+    /// How long attempts have waited since the last response of any attempt.
     pub(crate) fn silence(&self, now: Moment, averages: ServiceAverages) -> Duration {
         let oldest = self
             .starts
             .first()
-            .map(|start| (*start).max(self.last_answer));
+            .map(|start| (*start).max(self.last_response));
         let running = oldest.map(|start| now.since(start));
         self.decayed_unanswered_wait(now, averages) + running.unwrap_or_default()
     }
 
-    /// Whether an attempt has ended without an answer since the last answer.
+    /// Whether an attempt has ended without a response since the last response.
     pub(crate) fn is_suspect(&self) -> bool {
         !self.unanswered_wait.is_zero()
     }
@@ -239,7 +239,7 @@
                 self.record_failure(now, Cause::Silence)
             }
             OutcomeKind::Shed => {
-                self.record_answer(now);
+                self.record_response(now);
                 self.health.trial_cancelled();
                 Verdict::Unchanged
             }
@@ -258,7 +258,7 @@
         averages: ServiceAverages,
         settings: &Settings,
     ) -> Verdict {
-        self.record_answer(now);
+        self.record_response(now);
         self.health.record_success(now);
         let slots = self.instance.slots;
         let load = self.utilization(now, averages, settings) * f64::from(slots);
@@ -275,8 +275,8 @@
         }
     }
 
-    fn record_answer(&mut self, now: Moment) {
-        self.last_answer = now;
+    fn record_response(&mut self, now: Moment) {
+        self.last_response = now;
         self.unanswered_wait = Duration::ZERO;
     }
 
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -1,7 +1,7 @@
 //! Outlier detection for one instance.
 //!
 //! An instance is ejected after too many consecutive failures, too large a share
-//! of failures, or too long a wait without any answer. It returns after an
+//! of failures, or too long a wait without any response. It returns after an
 //! answered probe, one trial request and a ramp. The ejection time doubles for
 //! each ejection that follows soon after the previous one, so that a flapping
 //! instance affects fewer and fewer requests. The chooser limits how many
@@ -28,7 +28,7 @@
 const RESULT_WINDOW: f64 = 20.0;
 /// Age at which a result has half of its weight.
 const RESULT_HALF_LIFE: Duration = Duration::from_secs(1);
-/// Consecutive failed probes, without an answer in between, that eject an instance.
+/// Consecutive failed probes, without a response in between, that eject an instance.
 const FAILED_PROBES_LIMIT: u32 = 2;
 /// Duration of a first ejection.
 const MIN_EJECTION: Duration = Duration::from_secs(1);
@@ -49,7 +49,7 @@
 pub(crate) enum Cause {
     /// Failed attempts.
     Failures,
-    /// No answer.
+    /// No response.
     Silence,
 }
 
@@ -102,7 +102,7 @@
         matches!(self.state, State::Healthy | State::Ramping { .. })
     }
 
-    /// Records an answer that isn't a failure of the instance.
+    /// Records a response that isn't a failure of the instance.
     pub(crate) fn record_success(&mut self, now: Moment) {
         self.record(now, 0.0);
         self.streak = 0;
@@ -145,7 +145,7 @@
 
     /// Records a failed probe and returns whether the instance should be ejected.
     ///
-    /// `suspect` means that attempts have gone unanswered since the last answer.
+    /// `suspect` means that attempts have gone unanswered since the last response.
     pub(crate) fn probe_failed(&mut self, suspect: bool) -> bool {
         self.failed_probes += 1;
         suspect || !self.takes_traffic() || self.failed_probes >= FAILED_PROBES_LIMIT
--- a/crates/route/src/outcome.rs
+++ b/crates/route/src/outcome.rs
@@ -10,13 +10,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum OutcomeKind {
-    /// An answer that isn't a failure of the instance; includes errors of the caller.
+    /// A response that isn't a failure of the instance; includes errors of the caller.
     Ok,
-    /// A failure of the instance: 5xx other than shed, or a broken or truncated answer.
+    /// A failure of the instance: 5xx other than shed, or a broken or truncated response.
     Error,
     /// Refused before any work.
     Shed,
-    /// No answer within the attempt's timeout.
+    /// No response within the attempt's timeout.
     Timeout,
     /// No connection.
     ConnectFailed,
@@ -24,7 +24,7 @@
     Cancelled,
 }
 
-/// Load reported on an answer, without the answered request.
+/// Load reported on a response, without the answered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
     /// Requests in flight at the instance, including queued ones.
@@ -51,9 +51,9 @@
 pub struct Outcome {
     /// How it ended.
     pub kind: OutcomeKind,
-    /// Time from the start to the answer's head, or to the failure.
+    /// Time from the start to the response's head, or to the failure.
     pub latency: Duration,
-    /// Load report on the answer, if any.
+    /// Load report on the response, if any.
     pub report: Option<Report>,
 }
 
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -21,7 +21,7 @@
     RoundRobin,
     /// The one of two random instances with fewer own attempts in flight.
     TwoChoices,
-    /// The instance with the earliest expected answer.
+    /// The instance with the earliest expected response.
     #[default]
     LeastWait,
 }
@@ -55,7 +55,7 @@
     pub age: Option<Duration>,
     /// Own attempts in flight there.
     pub in_flight: u32,
-    /// Expected time to the answer.
+    /// Expected time to the response.
     pub expected: Duration,
 }
 
--- a/crates/route/src/probing.rs
+++ b/crates/route/src/probing.rs
@@ -1,6 +1,6 @@
 //! Chooses an instance by load reports that are requested for the choice.
 //!
-//! Where load shifts within milliseconds, a report that came on an earlier answer
+//! Where load shifts within milliseconds, a report that came on an earlier response
 //! is stale when it is used. A choice therefore takes up to three rounds of
 //! probes: [`ProbingChooser::plan`] names a few instances to probe,
 //! [`ProbingChooser::probed`] takes the results, and the next round follows only
@@ -56,7 +56,7 @@
 /// Additional time until an ejected instance that may be gone is probed. If it returns, its
 /// announcement usually arrives first.
 const SILENT_PROBE_DELAY: Duration = Duration::from_secs(5);
-/// Probability of a late answer above which waiting is better than sending.
+/// Probability of a late response above which waiting is better than sending.
 const MAX_LATE_PROBABILITY: f64 = 0.5;
 
 /// A chosen instance with its cost and the state that it was chosen by.
@@ -72,7 +72,7 @@
     pub report: Option<LoadReport>,
     /// Own attempts in flight there.
     pub in_flight: u32,
-    /// Expected time to the answer.
+    /// Expected time to the response.
     pub expected: Duration,
     /// Cost of the choice, as a fraction of the request's worth.
     pub cost: f64,
@@ -83,7 +83,7 @@
 pub enum Decision {
     /// Send it.
     Send(ScoredChoice),
-    /// The instance has room, but the answer would probably be late: wait for a better one while
+    /// The instance has room, but the response would probably be late: wait for a better one while
     /// that may still answer in time. Requests on a slow machine also hold their slots longer.
     Slow(ScoredChoice),
     /// Wait for room: all instances are at capacity, or there are no reports and this process
--- a/crates/route/src/probing/results.rs
+++ b/crates/route/src/probing/results.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Records that an answer was aborted after the end of its attempt.
+    /// Records that a response was aborted after the end of its attempt.
     pub fn response_aborted(&mut self, now: Moment, pick: Pick) {
         let cause = Cause::Failures;
         let should_eject = self
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Records the end of an attempt, with the load report on its answer.
+    /// Records the end of an attempt, with the load report on its response.
     pub fn finished(
         &mut self,
         now: Moment,
