--- a/crates/entry/tests/test_flow.rs
+++ b/crates/entry/tests/test_flow.rs
@@ -399,7 +399,7 @@
 
 /// Guards against moving requests to another part of a split.
 #[tokio::test]
-async fn test_flow_split_stays_in_its_part() {
+async fn test_flow_split_no_failover_to_other_part() {
     let status = Upstream::start("i-1", Behavior::Answer).await;
     let other = Upstream::start("i-2", Behavior::Shed).await;
     let entry = start_unconfigured().await;
@@ -417,7 +417,7 @@
 }
 
 #[tokio::test]
-async fn test_flow_bad_input_touches_nobody_else() {
+async fn test_flow_malformed_request_affects_no_other_connection() {
     let (upstream, entry) = start_one(Behavior::Answer).await;
     let cases: [(&str, &[u8]); 6] = [
         ("no HTTP", b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n"),
