--- a/crates/gateway/tests/test_keyed.rs
+++ b/crates/gateway/tests/test_keyed.rs
@@ -253,7 +253,7 @@
 }
 
 #[tokio::test]
-async fn test_keyed_kept_answer_damaged() {
+async fn test_keyed_stored_response_corrupted() {
     let control = FakeControl::start().await;
     let rig = rig(&[control.address], |_| {}).await;
     keyed_request(&rig, "k", "/ok")
--- a/crates/gateway/tests/test_serve.rs
+++ b/crates/gateway/tests/test_serve.rs
@@ -199,7 +199,7 @@
 }
 
 #[tokio::test]
-async fn test_serve_late_answer_reaches_nobody() {
+async fn test_serve_late_response_discarded() {
     let rig = rig(&[], |_| {}).await;
     let client = client();
     let url = |path: &str| format!("http://{}{path}", rig.gateway.http());
