--- a/crates/hub/src/bin/rwr-hub.rs
+++ b/crates/hub/src/bin/rwr-hub.rs
@@ -17,7 +17,8 @@
 impl Daemon for HubDaemon {
     const NAME: &'static str = "rwr-hub";
     const VERSION: &'static str = env!("CARGO_PKG_VERSION");
-    const SUMMARY: &'static str = "Keeps the route table and the list of upstreams.";
+    const SUMMARY: &'static str =
+        "Runs a hub, which stores the route table and the announced upstreams.";
     type Settings = Settings;
     type Error = HubError;
 
