--- a/crates/registry/src/check.rs
+++ b/crates/registry/src/check.rs
@@ -24,11 +24,11 @@
         }
         /// The address is not an IP address and port to connect to.
         Address(text: String) {
-            display("address: {text:?} is no IP:port that can be connected to")
+            display("address: {text:?} is not a connectable IP:port")
         }
         /// The number of slots is out of range.
         Slots(count: u32) {
-            display("slots: {count} is not within 1 to {MAX_SLOTS}")
+            display("slots: {count} is not between 1 and {MAX_SLOTS}")
         }
         /// The phase is missing or unknown.
         Phase {
