--- a/crates/members/examples/ages.rs
+++ b/crates/members/examples/ages.rs
@@ -28,13 +28,13 @@
 }
 
 /// The polling state of one directory.
-struct Asker {
+struct Poller {
     phase: usize,
     round: Vec<usize>,
     ring: Ring,
 }
 
-impl Asker {
+impl Poller {
     fn new(me: usize, hosts: usize, random: &mut StdRng) -> Self {
         let peers: Vec<SocketAddr> = (0..hosts).map(address).collect();
         let mut ring = Ring::new(address(me), &peers);
@@ -72,21 +72,21 @@
     let live = hosts - hosts * dead / 100;
     // `known[a][b]`: when directory `a` last knew `b` to be alive.
     let mut known = vec![vec![0_usize; live]; live];
-    let mut askers: Vec<Asker> = (0..live)
-        .map(|i| Asker::new(i, hosts, &mut random))
+    let mut pollers: Vec<Poller> = (0..live)
+        .map(|i| Poller::new(i, hosts, &mut random))
         .collect();
     let mut ages = Vec::new();
     for now in (0..SPAN_MS).step_by(STEP_MS) {
         for i in 0..live {
             known[i][i] = now;
-            if now % PERIOD_MS != askers[i].phase {
+            if now % PERIOD_MS != pollers[i].phase {
                 continue;
             }
             let peer = match order {
-                "ring" => askers[i].by_ring(i),
-                _ => askers[i].shuffled(i, hosts, &mut random),
+                "ring" => pollers[i].by_ring(i),
+                _ => pollers[i].shuffled(i, hosts, &mut random),
             };
-            askers[i].ring.record(address(peer), peer < live);
+            pollers[i].ring.record(address(peer), peer < live);
             if peer >= live {
                 continue;
             }
--- a/crates/members/tests/common/mod.rs
+++ b/crates/members/tests/common/mod.rs
@@ -73,15 +73,15 @@
     }
 }
 
-/// `asker` pulls in full from `peer`: the request is sent at `sent` and answered at `made`.
-pub fn pull(asker: &mut Members, peer: &mut Members, sent: Moment, made: Moment) {
+/// `requester` pulls in full from `peer`: the request is sent at `sent` and answered at `made`.
+pub fn pull(requester: &mut Members, peer: &mut Members, sent: Moment, made: Moment) {
     let location = peer.location().clone();
-    let deltas = peer.deltas(&asker.statuses(made));
+    let deltas = peer.deltas(&requester.statuses(made));
     let statuses = peer.statuses(made);
     for (home, delta) in &deltas {
-        asker.merge_delta(home, location.clone(), delta);
+        requester.merge_delta(home, location.clone(), delta);
     }
-    asker.merge_statuses(&statuses, sent);
+    requester.merge_statuses(&statuses, sent);
 }
 
 /// `home` pushes its whole own partition to `peer`.
--- a/crates/members/tests/test_gossip.rs
+++ b/crates/members/tests/test_gossip.rs
@@ -82,7 +82,7 @@
         self.now = self.now + common::ms(STEP);
         match self.random.random_range(0..100) {
             0..40 => self.announce(),
-            40..70 => self.ask(),
+            40..70 => self.pull(),
             70..80 => self.push(),
             80..85 => self.toggle(),
             85..88 => self.isolate_or_heal(),
@@ -162,11 +162,11 @@
     }
 
     /// One directory pulls from another; the reply is lost, delayed or duplicated.
-    fn ask(&mut self) {
-        let Some((asker, peer)) = self.pair() else {
+    fn pull(&mut self) {
+        let Some((requester, peer)) = self.pair() else {
             return;
         };
-        let answer = self.answer(asker, peer);
+        let answer = self.answer(requester, peer);
         for _ in 0..self.random.random_range(0..3) {
             let delay = common::ms(self.random.random_range(0..40) * STEP);
             let deliver_at = self.now + delay;
@@ -177,11 +177,11 @@
         }
     }
 
-    fn answer(&self, asker: usize, peer: usize) -> InTransit {
-        let (asking, answering) = (&self.nodes[asker], &self.nodes[peer]);
+    fn answer(&self, requester: usize, peer: usize) -> InTransit {
+        let (asking, answering) = (&self.nodes[requester], &self.nodes[peer]);
         let equal = asking.digest() == answering.digest();
         InTransit {
-            to: asker,
+            to: requester,
             sent: self.now,
             deliver_at: self.now,
             digest: answering.digest(),
@@ -276,9 +276,9 @@
             if round % 8 == 0 {
                 (0..INSTANCES).for_each(|i| self.announce_to(i, i % NODES));
             }
-            for asker in 0..NODES {
-                let peer = (asker + 1 + round % (NODES - 1)) % NODES;
-                let answer = self.answer(asker, peer);
+            for requester in 0..NODES {
+                let peer = (requester + 1 + round % (NODES - 1)) % NODES;
+                let answer = self.answer(requester, peer);
                 self.in_transit.push(answer);
             }
             self.deliver();
