--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -50,7 +50,7 @@
     pub(crate) id: u64,
     pub(crate) rpc: SocketAddr,
     pub(crate) replica: SocketAddr,
-    pub(crate) desk: LocalClient,
+    pub(crate) local_client: LocalClient,
     pub(crate) driver: DriverHandle,
     pub(crate) partition: Partition,
     pub(crate) shutdown: ShutdownTokens,
@@ -85,7 +85,7 @@
     /// The in-process client of this replica.
     #[must_use]
     pub fn local_client(&self) -> &LocalClient {
-        &self.desk
+        &self.local_client
     }
 
     /// The simulated network partition, for tests.
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -203,7 +203,7 @@
         let founding = tokio::spawn(self.run_founding(&driver, awaits_founding, group));
         let open_requests = TaskTracker::new();
         let server = self.new_control_server(&driver, view, &shutdown);
-        let desk = LocalClient::new(&server);
+        let local_client = LocalClient::new(&server);
         let mut acceptors = JoinSet::new();
         let acceptor = Acceptor {
             max_connections: MAX_CONNECTIONS,
@@ -230,7 +230,7 @@
             id: recovered.id,
             rpc,
             replica,
-            desk,
+            local_client,
             driver,
             partition: self.partition,
             shutdown,
