--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -96,10 +96,10 @@
 
     async fn request_ledger(&self, kind: command::Kind) -> Option<Kind> {
         let command = Command { kind: Some(kind) };
-        let ask = Ask {
+        let request = Ask {
             kind: Some(ask::Kind::Ledger(command)),
         };
-        self.leader_client.request(&ask).await.ok()
+        self.leader_client.request(&request).await.ok()
     }
 
     /// Fills in the id, failure domain and region of a replica by asking it at its address.
@@ -109,8 +109,8 @@
             return Some(replica);
         }
         let link = link::replica(replica.address.parse().ok()?);
-        let ask = Hello { initial: vec![] };
-        let reply = link::hello(&link, &self.partition, ask, HELLO_TIMEOUT).await;
+        let request = Hello { initial: vec![] };
+        let reply = link::hello(&link, &self.partition, request, HELLO_TIMEOUT).await;
         let found = reply.ok()?.replica?;
         let id_matches = replica.id == 0 || replica.id == found.id;
         id_matches.then_some(Replica {
@@ -122,10 +122,10 @@
 
 impl ControlApi for ControlServer {
     async fn propose(self, _: Context, change: Change) -> ChangeReply {
-        let ask = Ask {
+        let request = Ask {
             kind: Some(ask::Kind::Change(change)),
         };
-        match self.leader_client.request(&ask).await {
+        match self.leader_client.request(&request).await {
             Ok(Kind::Change(reply)) => reply,
             _ => ChangeReply {
                 kind: Some(change_reply::Kind::Uncertain(Uncertain {})),
@@ -133,18 +133,18 @@
         }
     }
 
-    async fn follow(self, _: Context, ask: Follow) -> FollowReply {
-        let wait = Duration::from_millis(ask.wait_ms.into()).min(MAX_FOLLOW_WAIT);
+    async fn follow(self, _: Context, request: Follow) -> FollowReply {
+        let wait = Duration::from_millis(request.wait_ms.into()).min(MAX_FOLLOW_WAIT);
         let deadline = Instant::now() + wait;
         let confirmed = self.confirm().await;
         if confirmed {
-            self.wait_for_newer(ask.have, deadline).await;
+            self.wait_for_newer(request.have, deadline).await;
         }
         let catalogue = self.views.borrow().catalogue.clone();
         FollowReply {
             confirmed,
             version: catalogue.version,
-            catalogue: (catalogue.version > ask.have).then(|| (*catalogue).clone()),
+            catalogue: (catalogue.version > request.have).then(|| (*catalogue).clone()),
         }
     }
 
@@ -168,10 +168,10 @@
             kind => kind,
         };
         info!(self.log, "membership asked"; "change" => format!("{kind:?}"));
-        let ask = Ask {
+        let request = Ask {
             kind: Some(ask::Kind::Membership(Membership { kind })),
         };
-        match self.leader_client.request(&ask).await {
+        match self.leader_client.request(&request).await {
             Ok(Kind::Membership(reply)) => reply,
             _ => membership_refused("no leader answered in time; retry the request"),
         }
--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -238,7 +238,7 @@
                     self.step(Event::Message(message));
                 }
             }
-            Input::Ask(ask, reply) => self.ask(ask, reply),
+            Input::Ask(request, reply) => self.ask(request, reply),
             Input::Read(reply) => {
                 let ticket = self.tickets.open(OpenRequest::Read(reply));
                 self.step(Event::Read { ticket });
--- a/crates/control/src/driver/propose.rs
+++ b/crates/control/src/driver/propose.rs
@@ -36,12 +36,12 @@
 
 impl Driver {
     /// Proposes a request, or queues it while the current write is full.
-    pub(super) fn ask(&mut self, ask: Ask, reply: oneshot::Sender<AskReply>) {
+    pub(super) fn ask(&mut self, request: Ask, reply: oneshot::Sender<AskReply>) {
         if self.admitted < self.parts.max_write_commands {
-            return self.admit(ask, reply);
+            return self.admit(request, reply);
         }
         if self.queued.len() < MAX_QUEUED {
-            return self.queued.push_back((ask, reply));
+            return self.queued.push_back((request, reply));
         }
         let kind = Some(tickets::declined(None, false, "busy"));
         let _ = reply.send(AskReply { kind });
@@ -50,15 +50,15 @@
     /// Proposes queued requests until the next write is full.
     pub(super) fn admit_queued(&mut self) {
         while self.admitted < self.parts.max_write_commands {
-            let Some((ask, reply)) = self.queued.pop_front() else {
+            let Some((request, reply)) = self.queued.pop_front() else {
                 return;
             };
-            self.admit(ask, reply);
+            self.admit(request, reply);
         }
     }
 
-    fn admit(&mut self, ask: Ask, reply: oneshot::Sender<AskReply>) {
-        match ask.kind {
+    fn admit(&mut self, request: Ask, reply: oneshot::Sender<AskReply>) {
+        match request.kind {
             Some(ask::Kind::Change(change)) => match self.parts.state_machine.known(&change) {
                 Some(known) => send_change_reply(reply, known),
                 None => self.propose(Kind::Change(change), reply),
--- a/crates/control/src/founding.rs
+++ b/crates/control/src/founding.rs
@@ -151,11 +151,11 @@
 
     async fn hello(&self, address: &str) -> Option<HelloReply> {
         let address: SocketAddr = address.parse().ok()?;
-        let ask = Hello {
+        let request = Hello {
             initial: self.identity.initial.clone(),
         };
         let link = link::replica(address);
-        let reply = link::hello(&link, &self.partition, ask, REPLY_TIMEOUT).await;
+        let reply = link::hello(&link, &self.partition, request, REPLY_TIMEOUT).await;
         // Ignores a replica that answers at an address other than its own.
         reply.ok().filter(|r| {
             r.replica
@@ -192,17 +192,17 @@
         };
         loop {
             let link = link::replica(address);
-            let ask = Hello { initial: vec![] };
-            if let Ok(reply) = link::hello(&link, &self.partition, ask, REPLY_TIMEOUT).await {
+            let request = Hello { initial: vec![] };
+            if let Ok(reply) = link::hello(&link, &self.partition, request, REPLY_TIMEOUT).await {
                 let same = reply.replica.is_some_and(|r| r.id == member.id);
                 if !same || reply.started {
                     return;
                 }
-                let ask = Found {
+                let request = Found {
                     to: member.id,
                     group: Some(self.group.clone()),
                 };
-                let _ = link::found(&link, &self.partition, ask, REPLY_TIMEOUT).await;
+                let _ = link::found(&link, &self.partition, request, REPLY_TIMEOUT).await;
             }
             tokio::time::sleep(ROUND_INTERVAL).await;
         }
--- a/crates/control/src/joining.rs
+++ b/crates/control/src/joining.rs
@@ -109,10 +109,10 @@
 
     async fn send_join(&self, address: SocketAddr) -> Option<Kind> {
         let link = link::replica(address);
-        let ask = Ask {
+        let request = Ask {
             kind: Some(ask::Kind::Join(self.identity.to_wire(true))),
         };
-        let reply = link::ask(&link, &self.partition, ask, REPLY_TIMEOUT)
+        let reply = link::ask(&link, &self.partition, request, REPLY_TIMEOUT)
             .await
             .ok()?;
         info!(self.log, "joining"; "asked" => %address, "answer" => format!("{:?}", reply.kind));
--- a/crates/control/src/leader_client.rs
+++ b/crates/control/src/leader_client.rs
@@ -64,20 +64,20 @@
     /// # Errors
     ///
     /// Fails when there is no answer within the `ask` timeout.
-    pub async fn request(&self, ask: &Ask) -> Result<Kind, LeaderError> {
+    pub async fn request(&self, request: &Ask) -> Result<Kind, LeaderError> {
         let deadline = Instant::now() + self.timing.ask;
-        let attempts = self.retry_until_answered(ask, deadline);
+        let attempts = self.retry_until_answered(request, deadline);
         tokio::time::timeout_at(deadline, attempts)
             .await
             .map_err(|_| LeaderError::Timeout)
     }
 
-    async fn retry_until_answered(&self, ask: &Ask, deadline: Instant) -> Kind {
+    async fn retry_until_answered(&self, request: &Ask, deadline: Instant) -> Kind {
         let mut leader = None;
         loop {
             let kind = match leader {
-                None => self.ask_local(ask).await,
-                Some(address) => self.ask_remote(ask, address, deadline).await,
+                None => self.ask_local(request).await,
+                Some(address) => self.ask_remote(request, address, deadline).await,
             };
             match kind {
                 Some(Kind::Declined(declined)) => {
@@ -96,20 +96,25 @@
         }
     }
 
-    async fn ask_local(&self, ask: &Ask) -> Option<Kind> {
-        let ask = ask.clone();
-        let reply = self.driver.call(|r| Input::Ask(ask, r)).await;
+    async fn ask_local(&self, request: &Ask) -> Option<Kind> {
+        let request = request.clone();
+        let reply = self.driver.call(|r| Input::Ask(request, r)).await;
         reply.ok().and_then(|reply| reply.kind)
     }
 
     /// Limits each attempt to two election timeouts, as a leader that does not answer may
     /// be partitioned.
-    async fn ask_remote(&self, ask: &Ask, address: SocketAddr, deadline: Instant) -> Option<Kind> {
+    async fn ask_remote(
+        &self,
+        request: &Ask,
+        address: SocketAddr,
+        deadline: Instant,
+    ) -> Option<Kind> {
         let remaining = deadline.saturating_duration_since(Instant::now());
         let timeout = remaining.min(self.timing.election * 2);
         let link = self.link(address);
         let reply: Result<AskReply, _> =
-            link::ask(&link, &self.partition, ask.clone(), timeout).await;
+            link::ask(&link, &self.partition, request.clone(), timeout).await;
         reply.ok().and_then(|reply| reply.kind)
     }
 
--- a/crates/control/src/link.rs
+++ b/crates/control/src/link.rs
@@ -24,10 +24,11 @@
 pub async fn hello(
     link: &ReplicaLink,
     partition: &Partition,
-    ask: Hello,
+    request: Hello,
     timeout: Duration,
 ) -> Result<HelloReply, LinkError> {
-    let send = |client: ReplicaApiClient| async move { client.hello(within(timeout), ask).await };
+    let send =
+        |client: ReplicaApiClient| async move { client.hello(within(timeout), request).await };
     call(link, partition, timeout, send).await
 }
 
@@ -39,10 +40,11 @@
 pub async fn found(
     link: &ReplicaLink,
     partition: &Partition,
-    ask: Found,
+    request: Found,
     timeout: Duration,
 ) -> Result<bool, LinkError> {
-    let send = |client: ReplicaApiClient| async move { client.found(within(timeout), ask).await };
+    let send =
+        |client: ReplicaApiClient| async move { client.found(within(timeout), request).await };
     call(link, partition, timeout, send)
         .await
         .map(|reply| reply.taken)
@@ -56,10 +58,10 @@
 pub async fn ask(
     link: &ReplicaLink,
     partition: &Partition,
-    ask: Ask,
+    request: Ask,
     timeout: Duration,
 ) -> Result<AskReply, LinkError> {
-    let send = |client: ReplicaApiClient| async move { client.ask(within(timeout), ask).await };
+    let send = |client: ReplicaApiClient| async move { client.ask(within(timeout), request).await };
     call(link, partition, timeout, send).await
 }
 
--- a/crates/control/src/local_client.rs
+++ b/crates/control/src/local_client.rs
@@ -44,10 +44,10 @@
     /// Proposes a route table. Returns `None` when no majority accepted it in time; it may
     /// still be accepted later.
     pub async fn put(&self, table: Table) -> Option<TableReply> {
-        let ask = Ask {
+        let request = Ask {
             kind: Some(ask::Kind::Table(table)),
         };
-        match self.leader_client.request(&ask).await {
+        match self.leader_client.request(&request).await {
             Ok(Kind::Table(reply)) => Some(reply),
             Ok(_) | Err(_) => None,
         }
@@ -55,11 +55,11 @@
 
     /// Proposes an instance announcement. Returns false when no majority accepted it in time.
     pub async fn register(&self, instance: Instance) -> bool {
-        let ask = Ask {
+        let request = Ask {
             kind: Some(ask::Kind::Instance(instance)),
         };
         matches!(
-            self.leader_client.request(&ask).await,
+            self.leader_client.request(&request).await,
             Ok(Kind::Instance(_))
         )
     }
@@ -76,10 +76,10 @@
         limit: Duration,
     ) -> Option<Outcome> {
         let order = self.evacuations(limit).await?.order(domain, evacuated);
-        let ask = Ask {
+        let request = Ask {
             kind: Some(ask::Kind::Evacuation(order)),
         };
-        match self.leader_client.request(&ask).await {
+        match self.leader_client.request(&request).await {
             Ok(Kind::Evacuation(reply)) => Some(reply.outcome()),
             Ok(_) | Err(_) => None,
         }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -69,15 +69,15 @@
 }
 
 impl ReplicaServer {
-    async fn accept_founding(&self, ask: Found) -> bool {
-        let group = ask.group.unwrap_or_default();
+    async fn accept_founding(&self, request: Found) -> bool {
+        let group = request.group.unwrap_or_default();
         let mut addresses: Vec<&str> = group.replicas.iter().map(|r| &*r.address).collect();
         addresses.sort_unstable();
-        let matches_settings = ask.to == self.identity.id && addresses == self.identity.initial;
+        let matches_settings = request.to == self.identity.id && addresses == self.identity.initial;
         let config = match convert::group(&group) {
             Ok(config) if matches_settings => config,
             _ => {
-                warn!(self.log, "founding"; "outcome" => "refused", "to" => ask.to,
+                warn!(self.log, "founding"; "outcome" => "refused", "to" => request.to,
                     "group" => addresses.join(","));
                 return false;
             }
@@ -120,16 +120,16 @@
         }
     }
 
-    async fn found(self, _: Context, ask: Found) -> FoundReply {
+    async fn found(self, _: Context, request: Found) -> FoundReply {
         self.partition.block_if_active().await;
         FoundReply {
-            taken: self.accept_founding(ask).await,
+            taken: self.accept_founding(request).await,
         }
     }
 
-    async fn ask(self, _: Context, ask: Ask) -> AskReply {
+    async fn ask(self, _: Context, request: Ask) -> AskReply {
         self.partition.block_if_active().await;
-        let reply = self.driver.call(|r| Input::Ask(ask, r)).await;
+        let reply = self.driver.call(|r| Input::Ask(request, r)).await;
         self.partition.block_if_active().await;
         reply.unwrap_or_else(|err| AskReply {
             kind: Some(tickets::declined(None, true, &err.to_string())),
