--- a/crates/cli/src/flags.rs
+++ b/crates/cli/src/flags.rs
@@ -98,7 +98,7 @@
         DuplicateOption(flag: Flag) {
             display("--{flag} stands twice")
         }
-        /// An option lacks its value, or a switch was given one.
+        /// An option lacks its value, or was given one that it does not take.
         Syntax(text: String) {
             display("{text}")
         }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -237,7 +237,7 @@
         };
         self.local_reads
             .deadline(&self.settings)
-            .map_or(timer, |ask| ask.min(timer))
+            .map_or(timer, |read| read.min(timer))
     }
 
     /// Returns the replica's view of itself and its group.
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Upstreams announce themselves and callers ask for entry hosts over HTTP ([`http`]).
 //! Gateways poll for the catalogue and the instances ([`sync`]). The directory follows the
-//! control replicas ([`follow`]) and exchanges with other directories ([`peers`]). The
+//! control replicas ([`follow`]) and exchanges state with other directories ([`peers`]). The
 //! decisions are in the crates `members` and `place`; this crate adds sockets, tasks and the
 //! clock.
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -50,7 +50,7 @@
     include!("generated/rwr.place.rs");
 }
 
-/// Records in a replica's data directory.
+/// Records in a replica's data folder.
 #[allow(missing_docs, clippy::pedantic)]
 pub mod store {
     include!("generated/rwr.store.rs");
