--- a/crates/soak/src/calls.rs
+++ b/crates/soak/src/calls.rs
@@ -99,17 +99,20 @@
 
 async fn call(fronts: &[SocketAddr], number: u64) -> Call {
     let once = number.is_multiple_of(2);
-    let ask = match number % 4 {
+    let request = match number % 4 {
         1 => Request::get(LOOKUPS, &format!("{FRAGILE}{number}")),
         3 => Request::get(STATUS, &format!("{READ}{number}")),
         _ => Request::post(GRANTS, &format!("{ONCE}{number}"), "block 7"),
     };
-    let ask = ask.at(HOST).within(DEADLINE);
+    let request = request.at(HOST).within(DEADLINE);
     let front_index = usize::try_from(number / 2).unwrap_or(0) % fronts.len();
-    let reply =
-        tokio::time::timeout(CALL_TIMEOUT, Caller::new().call(fronts[front_index], &ask)).await;
+    let reply = tokio::time::timeout(
+        CALL_TIMEOUT,
+        Caller::new().call(fronts[front_index], &request),
+    )
+    .await;
     Call {
-        path: ask.path,
+        path: request.path,
         once,
         reply: reply.ok(),
     }
@@ -117,6 +120,6 @@
 
 /// Sends the request that crashes the instance that runs it. Any reply or none is accepted.
 pub async fn send_crash_request(front: SocketAddr) {
-    let ask = Request::get(LOOKUPS, CRASH).at(HOST).within(DEADLINE);
-    let _ = tokio::time::timeout(CALL_TIMEOUT, Caller::new().call(front, &ask)).await;
+    let request = Request::get(LOOKUPS, CRASH).at(HOST).within(DEADLINE);
+    let _ = tokio::time::timeout(CALL_TIMEOUT, Caller::new().call(front, &request)).await;
 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -354,15 +354,18 @@
     }
 
     async fn wait_until_served(&self) -> Result<(), SoakError> {
-        let asks = [
+        let requests = [
             Request::get(STATUS, "/read/wait").at(HOST),
             Request::post(GRANTS, "/once/wait", "block 7").at(HOST),
             Request::get(LOOKUPS, "/fragile/wait").at(HOST),
         ];
         for index in 0..ENTRIES {
-            for ask in &asks {
-                let goal = format!("response of {} at entry {index}", ask.service);
-                wait(&goal, async || self.fleet.call(index, ask).await.is_ok()).await?;
+            for request in &requests {
+                let goal = format!("response of {} at entry {index}", request.service);
+                wait(&goal, async || {
+                    self.fleet.call(index, request).await.is_ok()
+                })
+                .await?;
             }
         }
         Ok(())
