--- a/crates/base/src/name.rs
+++ b/crates/base/src/name.rs
@@ -13,19 +13,22 @@
 
 quick_error! {
     /// Reason why a string is not a valid name.
+    ///
+    /// Control replicas store these texts with the changes of the catalogue that they refuse.
+    /// Their snapshots must be byte-identical: changing a text breaks that between two releases.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum NameError {
         /// The string is empty.
         Empty {
-            display("name is empty")
+            display("a name has at least one character")
         }
         /// The string is longer than [`MAX_NAME_BYTES`].
         Long(bytes: usize) {
-            display("name is {bytes} bytes long; the maximum is {MAX_NAME_BYTES}")
+            display("a name has at most {MAX_NAME_BYTES} bytes, not {bytes}")
         }
         /// The string contains a character that is not allowed in names.
         Character(found: char) {
-            display("invalid character {found:?} in name; allowed are ASCII letters, digits, '-', '_', '.' and ':'")
+            display("a name has letters, digits, '-', '_', '.' and ':', not {found:?}")
         }
     }
 }
